--- a/agent/agent.go
+++ b/agent/agent.go
@@ -160,7 +160,7 @@
 	a.crashes.tell(c)
 	a.report(c)
 	if a.stopping.Load() {
-		_ = c.SendNote(wire.NoteGoodbye, nil) // a lost connection needs no goodbye
+		_ = c.SendNote(wire.NoteShutdown, nil) // a lost connection needs no goodbye
 	}
 	<-c.Done()
 	a.mu.Lock()
@@ -189,13 +189,13 @@
 	switch n {
 	case wire.NoteAgentConfig:
 		a.heardConfig(c, payload)
-	case wire.NoteAttest:
+	case wire.NoteDispatchReport:
 		a.serveAttest(c, payload)
 	}
 }
 
 func (a *Agent) serveAttest(c *wire.Conn, payload []byte) {
-	var at wire.Attest
+	var at wire.DispatchReport
 	if _, err := at.UnmarshalMsg(payload); err != nil {
 		a.log.Error(err, "bad attestation")
 		return
--- a/agent/goodbye.go
+++ b/agent/goodbye.go
@@ -25,7 +25,7 @@
 	// comes now is greeted with a goodbye, and entries don't come back after one.
 	a.stopping.Store(true)
 	for _, c := range a.conns() {
-		_ = c.SendNote(wire.NoteGoodbye, nil) // a lost connection needs no goodbye
+		_ = c.SendNote(wire.NoteShutdown, nil) // a lost connection needs no goodbye
 	}
 	deadline := time.After(goodbyeWait)
 	for len(a.conns()) > 0 {
--- a/agent/ledger.go
+++ b/agent/ledger.go
@@ -37,7 +37,7 @@
 	return ledgerKey{team: req.Team, service: req.Service, key: req.Key}
 }
 
-func (k ledgerKey) home() string { return route.HomeKey(k.team, k.service, k.key) }
+func (k ledgerKey) home() string { return route.DedupKey(k.team, k.service, k.key) }
 
 func newLedger() *ledger {
 	return &ledger{records: make(map[ledgerKey]*record)}
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -21,7 +21,7 @@
 	engine outside.Rank
 
 	mu     sync.Mutex // held through an order, engine included
-	rank   expert.Rank
+	rank   expert.RankState
 	orders chan rankCall
 
 	stuckSince time.Time // zero: the rank runs; of the watch alone
@@ -49,7 +49,7 @@
 	return &rankAgent{
 		agent:  a,
 		engine: engine,
-		rank:   expert.NewRank(a.opts.Incarnation),
+		rank:   expert.NewRankState(a.opts.Incarnation),
 		orders: make(chan rankCall, orderRing),
 	}
 }
@@ -91,10 +91,10 @@
 	switch {
 	case errors.As(err, &e):
 		return e
-	case errors.Is(err, expert.ErrOldBallot):
+	case errors.Is(err, expert.ErrBallotSuperseded):
 		return result.New(result.BallotOld, "%w", err)
-	case errors.Is(err, expert.ErrNotHeld), errors.Is(err, expert.ErrIncarnation),
-		errors.Is(err, expert.ErrStart), errors.Is(err, expert.ErrToken):
+	case errors.Is(err, expert.ErrNotHeld), errors.Is(err, expert.ErrAgentRestarted),
+		errors.Is(err, expert.ErrEngineRestarted), errors.Is(err, expert.ErrHoldSuperseded):
 		return result.New(result.BallotVoid, "%w", err)
 	}
 	return result.New(result.RankUnknown, "%w", err)
@@ -121,7 +121,7 @@
 // that it has; it needs no lease, since the log that gives leases may be down.
 func (r *rankAgent) pass(o *wire.RankOrder) error {
 	begins := o.Op == wire.RankPrepare || o.Op == wire.RankHold
-	if !begins || o.Rescue {
+	if !begins || o.Recovery {
 		return nil
 	}
 	return r.agent.config.fence.Check(control.GroupResource(o.Group), o.Fence)
@@ -165,7 +165,7 @@
 	b := expert.Ballot{Round: o.Round, Owner: o.Owner}
 	switch o.Op {
 	case wire.RankHold:
-		h, err := r.rank.Hold(e, expert.HoldOrder{Ballot: b, At: o.At})
+		h, err := r.rank.Hold(e, expert.HoldRequest{Ballot: b, HoldAt: o.At})
 		if err != nil {
 			return nil, err
 		}
@@ -173,7 +173,7 @@
 	case wire.RankConfirm:
 		return new(wire.RankReply), r.rank.Confirm(b, o.Incarnation)
 	case wire.RankDecide:
-		d := expert.Decision{Ballot: b, Join: o.Join}
+		d := expert.Decision{Ballot: b, JoinStep: o.Join}
 		for _, seg := range o.Schedule {
 			d.Schedule = append(d.Schedule, expert.Segment{From: seg.From, Map: expert.MapID(seg.Map)})
 		}
@@ -190,10 +190,10 @@
 	}
 	return &wire.RankReply{
 		Incarnation: h.Incarnation,
-		Start:       h.Start,
+		Start:       h.EngineRun,
 		Entered:     h.Joined,
-		Next:        h.Next,
-		Inside:      h.Inside,
+		Next:        h.NextStep,
+		Inside:      h.InStep,
 		Map:         uint64(h.Map),
 		Held:        true,
 		HoldAt:      h.HoldAt,
@@ -265,7 +265,7 @@
 		Shape: expert.Shape{Ranks: o.Ranks, Layers: o.Layers, Experts: o.Experts, SlotsOfRank: o.SlotsOfRank},
 		Slot:  wire.DecodeSlots(o.Slots),
 	}
-	if err := m.Check(); err != nil {
+	if err := m.Validate(); err != nil {
 		return nil, result.New(result.MapBad, "%w", err)
 	}
 	if err := r.engine.Prepare(ctx, o.Rank, m); err != nil {
@@ -274,7 +274,7 @@
 	return r.status(ctx, wire.RankStatus)
 }
 
-// engineOrders gives expert.Rank's orders to the engine. They wait for the
+// engineOrders gives expert.RankState's orders to the engine. They wait for the
 // engine's answer however long it takes: if the connection breaks, the engine has
 // died and taken the order with it.
 type engineOrders struct {
@@ -282,15 +282,15 @@
 	engine outside.Rank
 }
 
-func (e engineOrders) Hold(t expert.Token, at uint64) (before, after expert.Position, err error) {
+func (e engineOrders) Hold(t expert.HoldToken, at uint64) (before, after expert.Position, err error) {
 	return e.engine.Hold(e.ctx, t, at)
 }
 
-func (e engineOrders) Release(t expert.Token, start uint64, s expert.Schedule, join uint64) error {
+func (e engineOrders) Release(t expert.HoldToken, start uint64, s expert.Schedule, join uint64) error {
 	return e.engine.Release(e.ctx, t, start, s, join)
 }
 
-func (e engineOrders) Lift(t expert.Token) error { return e.engine.Lift(e.ctx, t) }
+func (e engineOrders) Lift(t expert.HoldToken) error { return e.engine.Lift(e.ctx, t) }
 
 // watch tells the entries when the rank stands still for want of a decision: its
 // orderer has died, or the engine came back and knows no map.
@@ -322,6 +322,6 @@
 		return
 	}
 	for _, c := range r.agent.conns() {
-		_ = c.SendNote(wire.NoteRankStuck, &wire.RankStuck{Target: r.agent.opts.Settings.Target, Held: p.Joined})
+		_ = c.SendNote(wire.NoteRankStalled, &wire.RankStalled{Target: r.agent.opts.Settings.Target, Held: p.Joined})
 	}
 }
--- a/agent/rank_test.go
+++ b/agent/rank_test.go
@@ -41,7 +41,7 @@
 
 func newRankBench(t *testing.T) *rankBench {
 	shape := expert.Shape{Ranks: testRanks, Layers: 2, Experts: 6, SlotsOfRank: 3}
-	b := &rankBench{g: NewWithT(t), weights: fake.NewWeightStore(1 << 40), first: expert.NewMap(shape)}
+	b := &rankBench{g: NewWithT(t), weights: fake.NewWeightStore(1 << 40), first: expert.InitialMap(shape)}
 	b.next = b.first.Clone()
 	for l := range shape.Layers {
 		s := b.next.Layer(l)
@@ -81,7 +81,7 @@
 }
 
 func (b *rankBench) order(i int, o *wire.RankOrder) (*wire.RankReply, error) {
-	o.Rescue = true // these orders come without a lease
+	o.Recovery = true // these orders come without a lease
 	s, err := b.conns[i].Open(wire.MethodRank, o)
 	b.g.Expect(err).NotTo(HaveOccurred())
 	defer s.Close()
@@ -106,27 +106,27 @@
 }
 
 // hold runs a ballot up to its confirmations.
-func (b *rankBench) hold(round uint64, want expert.MapID) *expert.Attempt {
-	a := expert.NewAttempt(expert.Ballot{Round: round}, b.group.Steps()+10, want, testRanks)
+func (b *rankBench) hold(round uint64, want expert.MapID) *expert.SwitchAttempt {
+	a := expert.NewSwitchAttempt(expert.Ballot{Round: round}, b.group.Steps()+10, want, testRanks)
 	for i := range testRanks {
-		r, err := b.order(i, &wire.RankOrder{Op: wire.RankHold, Round: round, At: a.At})
+		r, err := b.order(i, &wire.RankOrder{Op: wire.RankHold, Round: round, At: a.HoldAt})
 		b.g.Expect(err).NotTo(HaveOccurred())
-		a.Reply(i, expert.HoldReply{Incarnation: r.Incarnation, Start: r.Start, Joined: r.Entered, Next: r.Next,
-			Inside: r.Inside, Map: expert.MapID(r.Map), HoldAt: r.HoldAt})
+		a.RecordReply(i, expert.HoldReply{Incarnation: r.Incarnation, EngineRun: r.Start, Joined: r.Entered, NextStep: r.Next,
+			InStep: r.Inside, Map: expert.MapID(r.Map), HoldAt: r.HoldAt})
 	}
 	for i := range testRanks {
 		_, err := b.order(i, &wire.RankOrder{Op: wire.RankConfirm, Round: round, Incarnation: a.Replies[i].Incarnation})
 		b.g.Expect(err).NotTo(HaveOccurred())
-		a.Confirm(i)
+		a.RecordConfirmation(i)
 	}
 	return a
 }
 
-func (b *rankBench) decide(a *expert.Attempt, i int) error {
+func (b *rankBench) decide(a *expert.SwitchAttempt, i int) error {
 	d, err := a.Decide()
 	b.g.Expect(err).NotTo(HaveOccurred())
-	o := &wire.RankOrder{Op: wire.RankDecide, Round: a.Ballot.Round, Join: d.Join,
-		Incarnation: a.Replies[i].Incarnation, Start: a.Replies[i].Start}
+	o := &wire.RankOrder{Op: wire.RankDecide, Round: a.Ballot.Round, Join: d.JoinStep,
+		Incarnation: a.Replies[i].Incarnation, Start: a.Replies[i].EngineRun}
 	for _, seg := range d.Schedule {
 		o.Schedule = append(o.Schedule, wire.RankSegment{From: seg.From, Map: uint64(seg.Map)})
 	}
@@ -135,7 +135,7 @@
 }
 
 // entered waits until a rank is in the step that the decision is about.
-func (b *rankBench) entered(a *expert.Attempt, i int) {
+func (b *rankBench) entered(a *expert.SwitchAttempt, i int) {
 	d, err := a.Decide()
 	b.g.Expect(err).NotTo(HaveOccurred())
 	at := d.Schedule[len(d.Schedule)-1].From
@@ -145,7 +145,7 @@
 	}, "20s").Should(BeNumerically(">", at))
 }
 
-func (b *rankBench) decideAll(a *expert.Attempt) {
+func (b *rankBench) decideAll(a *expert.SwitchAttempt) {
 	for i := range testRanks {
 		b.g.Expect(b.decide(a, i)).To(Succeed())
 	}
--- a/agent/report.go
+++ b/agent/report.go
@@ -88,16 +88,16 @@
 	_ = c.SendNote(wire.NoteLoad, &load)
 }
 
-func loadOf(a *route.Account) wire.Load {
+func loadOf(a *route.LoadReport) wire.Load {
 	return wire.Load{
-		Total:         workOf(&a.Total),
-		Mine:          workOf(&a.Mine),
-		Queued:        a.Queued,
-		Slots:         a.Slots,
-		TokensPerSec:  float32(a.TokensPerSec),
-		PrefillPerSec: float32(a.PrefillPerSec),
-		StepWait:      float32(a.StepWait),
-		AnswerTokens:  float32(a.AnswerTokens),
+		Total:             workOf(&a.Total),
+		FromReceiver:      workOf(&a.FromReceiver),
+		Queued:            a.Queued,
+		Slots:             a.Slots,
+		TokensPerSec:      float32(a.TokensPerSec),
+		PrefillPerSec:     float32(a.PrefillPerSec),
+		FirstTokenBaseSec: float32(a.FirstTokenBaseSec),
+		AnswerTokens:      float32(a.AnswerTokens),
 	}
 }
 
--- a/agent/run.go
+++ b/agent/run.go
@@ -145,7 +145,7 @@
 // it was sent.
 func backendError(ctx context.Context, err error) error {
 	var send *outside.SendError
-	if errors.As(err, &send) && !send.Sent {
+	if errors.As(err, &send) && !send.MayHaveRun {
 		if r := new(result.Error); errors.As(send.Err, &r) {
 			return r // of the agent's own queue
 		}
--- a/agent/turns.go
+++ b/agent/turns.go
@@ -21,7 +21,7 @@
 	refused func(entry string) // the entry's picture of this target is wrong
 
 	mu   sync.Mutex
-	gate *route.Gate
+	gate *route.AdmissionQueue
 }
 
 func newTurns(b outside.Backend, s settings.Agent, refused func(entry string)) *turns {
@@ -29,7 +29,7 @@
 	if slots == 0 {
 		slots = s.Queue
 	}
-	return &turns{backend: b, start: time.Now(), refused: refused, gate: route.NewGate(slots, s.Queue)}
+	return &turns{backend: b, start: time.Now(), refused: refused, gate: route.NewAdmissionQueue(slots, s.Queue)}
 }
 
 // turn is one request's place.
@@ -44,7 +44,7 @@
 func (t *turns) Run(ctx context.Context, call *outside.Call) (*outside.Reply, error) {
 	turn, err := t.take(ctx, &call.Sched)
 	if err != nil {
-		return nil, &outside.SendError{Sent: false, Err: err}
+		return nil, &outside.SendError{MayHaveRun: false, Err: err}
 	}
 	reply, err := t.backend.Run(ctx, call)
 	if err != nil {
@@ -65,31 +65,31 @@
 		Peer: s.Entry,
 	}
 	turn.job.Team, turn.job.Weight, turn.job.Priority = s.Team, float64(s.Weight), s.Priority
-	turn.job.Owner = turn
-	offer := route.Offer{MaxWait: s.MaxWait}
+	turn.job.UserData = turn
+	offer := route.AdmissionBounds{MaxWait: s.MaxWait}
 	if deadline, ok := ctx.Deadline(); ok {
-		offer.Left = time.Until(deadline)
+		offer.TimeLeft = time.Until(deadline)
 	}
 	t.mu.Lock()
 	said, wait := t.gate.Offer(t.now(), &turn.job, offer)
 	t.pull()
 	t.mu.Unlock()
-	if said != route.AdmitRun {
+	if said != route.Admitted {
 		t.refused(s.Entry)
 		return nil, refusal(said, wait, offer)
 	}
 	select {
 	case <-turn.ready:
-		if turn.job.Late {
+		if turn.job.Expired {
 			return nil, result.New(result.DeadlineUnmet, "the deadline can't be met any more")
 		}
 		return turn, nil
 	case <-ctx.Done():
 	}
 	t.mu.Lock()
-	waited := t.gate.Leave(&turn.job)
+	waited := t.gate.Remove(&turn.job)
 	t.mu.Unlock()
-	if !waited && !turn.job.Late {
+	if !waited && !turn.job.Expired {
 		turn.end(false) // it began just now
 	}
 	if context.Cause(ctx) != nil && result.From(context.Cause(ctx)).Code == result.DeadlinePast {
@@ -98,14 +98,14 @@
 	return nil, context.Cause(ctx)
 }
 
-func refusal(said route.Admission, wait time.Duration, o route.Offer) error {
+func refusal(said route.Admission, wait time.Duration, o route.AdmissionBounds) error {
 	switch said {
-	case route.AdmitTooLong:
+	case route.RejectedWait:
 		err := result.New(result.WaitTooLong, "wait of %s, up to %s is taken", wait.Round(time.Millisecond), o.MaxWait)
 		err.RetryAfter = wait
 		return err
-	case route.AdmitDeadline:
-		err := result.New(result.DeadlineUnmet, "wait of %s, deadline in %s", wait.Round(time.Millisecond), o.Left.Round(time.Millisecond))
+	case route.RejectedDeadline:
+		err := result.New(result.DeadlineUnmet, "wait of %s, deadline in %s", wait.Round(time.Millisecond), o.TimeLeft.Round(time.Millisecond))
 		err.RetryAfter = wait
 		return err
 	default:
@@ -118,29 +118,29 @@
 // pull lets waiting requests run while there are free slots. Called with mu.
 func (t *turns) pull() {
 	for j := t.gate.Next(t.now()); j != nil; j = t.gate.Next(t.now()) {
-		close(j.Owner.(*turn).ready)
+		close(j.UserData.(*turn).ready)
 	}
 }
 
 // account returns the load as told to one entry.
-func (t *turns) account(entry string) route.Account {
+func (t *turns) account(entry string) route.LoadReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.gate.Account(entry)
+	return t.gate.LoadReport(entry)
 }
 
 func (t *turn) tokens(piece []byte) {
-	n, streamed := route.CountTokens(piece)
+	n, streamed := route.EstimateTokens(piece)
 	t.turns.mu.Lock()
 	defer t.turns.mu.Unlock()
-	t.turns.gate.Tokens(t.turns.now(), &t.job, float64(n), streamed)
+	t.turns.gate.RecordTokens(t.turns.now(), &t.job, float64(n), streamed)
 }
 
 func (t *turn) end(whole bool) {
 	t.once.Do(func() {
 		t.turns.mu.Lock()
 		defer t.turns.mu.Unlock()
-		t.turns.gate.End(t.turns.now(), &t.job, whole)
+		t.turns.gate.Finish(t.turns.now(), &t.job, whole)
 		t.turns.pull()
 	})
 }
--- a/agent/vouch.go
+++ b/agent/vouch.go
@@ -112,7 +112,7 @@
 	}
 	for i := len(w.homes) - 1; i >= 0; i-- {
 		names := w.homes[i].names
-		at := route.Home(homeKey, names)
+		at := route.HomeIndex(homeKey, names)
 		if at < 0 || names[at] != w.target {
 			break
 		}
--- a/agent/witness.go
+++ b/agent/witness.go
@@ -76,7 +76,7 @@
 }
 
 // attest takes an entry's statement.
-func (w *witness) attest(entry uint64, at *wire.Attest) {
+func (w *witness) attest(entry uint64, at *wire.DispatchReport) {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +127,7 @@
 
 // learnHomes extends the history of target lists. A version that was missed
 // starts it anew: the home may have been elsewhere meanwhile.
-func (w *witness) learnHomes(at *wire.Attest, now time.Time) {
+func (w *witness) learnHomes(at *wire.DispatchReport, now time.Time) {
 	next := homeList{from: at.Version, to: at.Version, names: at.Targets, since: now}
 	last := len(w.homes) - 1
 	switch {
--- a/bench/expert.go
+++ b/bench/expert.go
@@ -24,12 +24,12 @@
 // contestant decides on a map each period.
 type contestant struct {
 	name     string
-	weights  expert.Weights
+	weights  expert.CostWeights
 	kind     string
 	trend    float64
 	planner  expert.Planner
-	estimate expert.Estimator
-	speeds   expert.Speeds
+	estimate expert.LoadEstimator
+	speeds   expert.SpeedEstimator
 
 	live  *expert.Map
 	next  *expert.Map // loading; live from the next period on
@@ -57,8 +57,8 @@
 
 // Policies of the two kinds of operator.
 var (
-	SkewPolicy = expert.Weights{Skew: 3, Move: 1}
-	CostPolicy = expert.Weights{Skew: 0.6, Move: 1}
+	SkewPolicy = expert.CostWeights{Skew: 3, Move: 1}
+	CostPolicy = expert.CostWeights{Skew: 0.6, Move: 1}
 )
 
 // curvePrices are the prices of a gigabyte along the curve of skew against bytes.
@@ -80,7 +80,7 @@
 	list = append(list, &contestant{name: "plan skew, trend", kind: kindPlan, weights: SkewPolicy, trend: 0.5})
 	for _, price := range curvePrices {
 		name := fmt.Sprintf("plan at %g", price)
-		list = append(list, &contestant{name: name, kind: kindPlan, weights: expert.Weights{Skew: 1, Move: price}})
+		list = append(list, &contestant{name: name, kind: kindPlan, weights: expert.CostWeights{Skew: 1, Move: price}})
 	}
 	return list
 }
@@ -106,12 +106,12 @@
 	first := expert.Recompute(s, loads, trace.Speeds())
 	for _, c := range list {
 		c.live = first
-		c.estimate.HalfLife = estimateHalfLife
-		c.estimate.Trend = c.trend
+		c.estimate.HalfLifeSeconds = estimateHalfLife
+		c.estimate.TrendShare = c.trend
 	}
 	for p := range trace.Periods - 1 {
 		speeds := trace.Speeds()
-		bound = append(bound, expert.Measure(first, loads, speeds).BoundSkew())
+		bound = append(bound, expert.PredictStepTimes(first, loads, speeds).SkewLowerBound())
 		lost := trace.Lost()
 		for _, c := range list {
 			c.period(float64(p)*expertPeriod, trace, loads, lost)
@@ -126,7 +126,7 @@
 	if c.next != nil {
 		c.live, c.next = c.next, nil
 	}
-	c.skews = append(c.skews, expert.Measure(c.live, loads, speeds).Skew())
+	c.skews = append(c.skews, expert.PredictStepTimes(c.live, loads, speeds).Skew())
 	if c.kind == kindNone || lost {
 		return
 	}
@@ -181,16 +181,16 @@
 func (c *contestant) decide(now float64) *expert.Map {
 	c.buf = c.estimate.Forecast(now+expertPeriod, c.buf[:0])
 	if c.kind == kindRecompute {
-		return expert.Recompute(c.live.Shape, c.buf, c.speeds.Known())
+		return expert.Recompute(c.live.Shape, c.buf, c.speeds.RankSpeeds())
 	}
-	plan, err := c.planner.Plan(&expert.Input{
-		Map:         c.live,
-		Loads:       c.buf,
-		Speeds:      c.speeds.Known(),
-		ExpertBytes: expertMegabytes * 1e6,
-		StoreRate:   storeRate,
-		Life:        gainLife,
-		Weights:     c.weights,
+	plan, err := c.planner.Plan(&expert.PlanInput{
+		Map:                 c.live,
+		Loads:               c.buf,
+		RankSpeeds:          c.speeds.RankSpeeds(),
+		ExpertBytes:         expertMegabytes * 1e6,
+		StoreBytesPerSecond: storeRate,
+		GainLifeSeconds:     gainLife,
+		CostWeights:         c.weights,
 	})
 	if err != nil {
 		return nil
@@ -267,8 +267,8 @@
 	runtime.ReadMemStats(&before)
 	trace := NewExpertTrace(s, expertPeriod, 1)
 	loads := trace.Next(nil)
-	c := &contestant{kind: kindPlan, weights: SkewPolicy, live: expert.NewMap(s)}
-	c.estimate.HalfLife = estimateHalfLife
+	c := &contestant{kind: kindPlan, weights: SkewPolicy, live: expert.InitialMap(s)}
+	c.estimate.HalfLifeSeconds = estimateHalfLife
 	c.period(0, trace, loads, false)
 	trace = nil
 	runtime.GC()
--- a/bench/group/engine.go
+++ b/bench/group/engine.go
@@ -32,16 +32,16 @@
 		Name: "12 ranks", Ranks: 12, Entries: 8, Chunk: 512,
 		GapAim: 120 * time.Millisecond, Aim: 500 * time.Millisecond, Patience: 2 * time.Second,
 		Model: serving.EngineModel{
-			Slots: 12, Stride: 4, Step: 4550 * time.Microsecond, StepPerWriter: 905 * time.Microsecond,
-			ReadRate: 61400, Sets: 4, Experts: 72, ExpertShare: 0.85, UsualPrompt: 800, UsualAnswer: 97,
+			Slots: 12, StepsPerPass: 4, BaseStepTime: 4550 * time.Microsecond, StepTimePerStream: 905 * time.Microsecond,
+			PrefillRate: 61400, LayerSets: 4, Experts: 72, ExpertShare: 0.85, MeanPromptTokens: 800, MeanOutputTokens: 97,
 		},
 	},
 	{
 		Name: "63 ranks", Ranks: 63, Entries: 46, Chunk: 512,
 		GapAim: 150 * time.Millisecond, Aim: 500 * time.Millisecond, Patience: 2 * time.Second,
 		Model: serving.EngineModel{
-			Slots: 10, Stride: 5, Step: 4550 * time.Microsecond, StepPerWriter: 1090 * time.Microsecond,
-			ReadRate: 61400, Sets: 8, Experts: 252, ExpertShare: 0.85, UsualPrompt: 800, UsualAnswer: 95,
+			Slots: 10, StepsPerPass: 5, BaseStepTime: 4550 * time.Microsecond, StepTimePerStream: 1090 * time.Microsecond,
+			PrefillRate: 61400, LayerSets: 8, Experts: 252, ExpertShare: 0.85, MeanPromptTokens: 800, MeanOutputTokens: 95,
 		},
 	},
 }
@@ -105,7 +105,7 @@
 		reads[r] = read
 		total += work
 		pace := g.pattern.pace(r, now)
-		fixed := float64(m.Stride) * bench.Millis(m.Step)
+		fixed := float64(m.StepsPerPass) * bench.Millis(m.BaseStepTime)
 		own = max(own, pace*(fixed+(1-m.ExpertShare)*work))
 	}
 	g.passing = busy
@@ -121,7 +121,7 @@
 	g.passed += took
 	g.clock.after(took, func() {
 		for r := range g.ranks {
-			g.ranks[r].advance(g.clock.now, reads[r], float64(m.Stride))
+			g.ranks[r].advance(g.clock.now, reads[r], float64(m.StepsPerPass))
 		}
 		g.pass()
 	})
@@ -142,7 +142,7 @@
 // work returns the milliseconds that a rank's tokens take in one pass, and the
 // prompt tokens that are read in it.
 func (e *engine) work(s *Shape) (ms float64, read map[*job]float64) {
-	budget := float64(s.Chunk * s.Model.Stride)
+	budget := float64(s.Chunk * s.Model.StepsPerPass)
 	read = make(map[*job]float64)
 	writers := 0
 	for _, j := range e.running {
@@ -153,9 +153,9 @@
 		n := min(j.read, budget)
 		budget -= n
 		read[j] = n
-		ms += n / s.Model.ReadRate * 1000
+		ms += n / s.Model.PrefillRate * 1000
 	}
-	ms += float64(s.Model.Stride) * bench.Millis(s.Model.StepPerWriter) * float64(writers)
+	ms += float64(s.Model.StepsPerPass) * bench.Millis(s.Model.StepTimePerStream) * float64(writers)
 	return ms, read
 }
 
@@ -204,7 +204,7 @@
 // sizes draws the tokens of a stream: prompts and answers spread as the users'
 // requests do, with a long tail.
 func (s *Shape) sizes(rng *rand.Rand) (prompt, answer float64) {
-	prompt = min(s.Model.UsualPrompt*(0.3+0.7*rng.ExpFloat64()), 3.2*s.Model.UsualPrompt)
-	answer = min(s.Model.UsualAnswer*(0.3+0.7*rng.ExpFloat64()), 2.5*s.Model.UsualAnswer)
+	prompt = min(s.Model.MeanPromptTokens*(0.3+0.7*rng.ExpFloat64()), 3.2*s.Model.MeanPromptTokens)
+	answer = min(s.Model.MeanOutputTokens*(0.3+0.7*rng.ExpFloat64()), 2.5*s.Model.MeanOutputTokens)
 	return prompt, max(answer, 1)
 }
--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -36,10 +36,10 @@
 // entry sends requests.
 type entry struct {
 	w       *world
-	book    *placing.Book
-	gate    placing.Gate
-	waiting []waiting       // in the order of arrival
-	told    placing.Waiting // at the latest question
+	book    *placing.Tracker
+	gate    placing.AdmissionQueue
+	waiting []waiting           // in the order of arrival
+	told    placing.QueueCounts // at the latest question
 }
 
 // waiting is a request at the gate.
@@ -49,17 +49,17 @@
 }
 
 func newEntry(w *world, n int) *entry {
-	return &entry{w: w, book: placing.NewBook(fmt.Sprint(n), fmt.Sprint(n%3), rand.New(rand.NewPCG(w.seed, uint64(n))))}
+	return &entry{w: w, book: placing.NewTracker(fmt.Sprint(n), fmt.Sprint(n%3), rand.New(rand.NewPCG(w.seed, uint64(n))))}
 }
 
-func (e *entry) lane() placing.Lane {
-	return placing.Lane{Service: &e.w.service, GapAim: e.w.shape.GapAim, Targets: e.w.targets, Entries: len(e.w.entries)}
+func (e *entry) lane() placing.TargetPool {
+	return placing.TargetPool{Service: &e.w.service, EventGapObjective: e.w.shape.GapAim, Targets: e.w.targets, Entries: len(e.w.entries)}
 }
 
 // take places a request, or lets it wait.
 func (e *entry) take(j *job) {
 	now := e.w.clock.now
-	size := placing.Size{Prompt: j.prompt, Answer: j.write}
+	size := placing.Size{PromptTokens: j.prompt, OutputTokens: j.write}
 	switch e.w.policy {
 	case PolicyRandom:
 		e.send(e.w.targets[e.w.rng.IntN(len(e.w.targets))], j, size, true)
@@ -70,19 +70,19 @@
 	}
 	r := &j.request
 	*r = placing.Request{
-		Arrived: now,
-		Aim:     e.w.shape.Aim,
-		MaxWait: time.Duration(float64(e.w.shape.Patience) * (1 - firstEventShare)),
-		Size:    size,
+		Arrived:          now,
+		LatencyObjective: e.w.shape.Aim,
+		MaxWait:          time.Duration(float64(e.w.shape.Patience) * (1 - firstEventShare)),
+		Size:             size,
 	}
-	waiter, _, ok := e.gate.Enter(r, now)
+	waiter, _, ok := e.gate.Enqueue(r, now)
 	if !ok {
 		j.end(refused, now)
 		return
 	}
 	e.waiting = append(e.waiting, waiting{at: waiter, job: j})
 	e.w.clock.after(r.MaxWait, func() {
-		if e.gate.Leave(waiter) {
+		if e.gate.Remove(waiter) {
 			e.waiting = slices.DeleteFunc(e.waiting, func(o waiting) bool { return o.job == j })
 			j.end(refusedLate, e.w.clock.now)
 		}
@@ -112,24 +112,24 @@
 	}
 	e.waiting = still
 	for i, j := range jobs {
-		e.send(targets[i], j, placing.Size{Prompt: j.prompt}, false)
+		e.send(targets[i], j, placing.Size{PromptTokens: j.prompt}, false)
 	}
 }
 
 // send sends a request to a target.
 func (e *entry) send(t *serving.Target, j *job, size placing.Size, begin bool) {
 	if begin {
-		e.book.Begin(t, size)
+		e.book.StartAttempt(t, size)
 	}
-	account := e.book.Account(t)
+	account := e.book.TargetState(t)
 	over := false
 	j.left = func() {
 		if over {
 			return
 		}
 		over = true
-		e.book.Answered(account, size)
-		e.book.End(account, &j.request, e.w.clock.now)
+		e.book.RecordResponseStart(account, size)
+		e.book.EndAttempt(account, &j.request, e.w.clock.now)
 		if e.gated() {
 			e.letGo()
 		}
@@ -139,11 +139,11 @@
 
 // poll takes the latest report.
 func (e *entry) poll() {
-	e.told = e.gate.Waiting(e.w.clock.now)
-	if e.w.reported.state.At.IsZero() {
+	e.told = e.gate.QueueCounts(e.w.clock.now)
+	if e.w.reported.state.ReportedAt.IsZero() {
 		return
 	}
-	e.book.Reported(e.w.service.Name, e.w.targets, e.w.reported.loads, e.w.reported.state)
+	e.book.ApplyLoadReport(e.w.service.Name, e.w.targets, e.w.reported.loads, e.w.reported.state)
 	if e.gated() {
 		e.letGo()
 	}
--- a/bench/group/world.go
+++ b/bench/group/world.go
@@ -95,10 +95,10 @@
 // capacity returns the streams a second of a calm group with all places taken.
 func (s *Shape) capacity() float64 {
 	m := &s.Model
-	each := bench.Millis(m.StepPerWriter) * float64(m.Slots) * ((1 - m.ExpertShare) + m.ExpertShare*calm)
-	pass := float64(m.Stride) * (bench.Millis(m.Step) + each)
-	passes := m.UsualAnswer/float64(m.Stride) + 1 // and one to read the prompt
-	reading := m.UsualPrompt / m.ReadRate * 1000 * float64(m.Slots)
+	each := bench.Millis(m.StepTimePerStream) * float64(m.Slots) * ((1 - m.ExpertShare) + m.ExpertShare*calm)
+	pass := float64(m.StepsPerPass) * (bench.Millis(m.BaseStepTime) + each)
+	passes := m.MeanOutputTokens/float64(m.StepsPerPass) + 1 // and one to read the prompt
+	reading := m.MeanPromptTokens / m.PrefillRate * 1000 * float64(m.Slots)
 	return float64(s.Ranks*m.Slots) / (passes*pass + reading) * 1000
 }
 
@@ -138,7 +138,7 @@
 	loads := make(map[string]placing.RankLoad, len(w.targets))
 	for r, target := range w.targets {
 		e := &w.engines.ranks[r]
-		loads[target.Address] = placing.RankLoad{Running: len(e.running), Waiting: len(e.waiting), Pace: w.pattern.pace(r, t)}
+		loads[target.Address] = placing.RankLoad{Running: len(e.running), Waiting: len(e.waiting), Slowdown: w.pattern.pace(r, t)}
 	}
 	imbalance, _ := w.pattern.imbalance(t)
 	w.reported = report{loads: loads, state: placing.NewGroupState(loads, imbalance, w.pattern.worst(), w.wanting(), now)}
@@ -148,7 +148,7 @@
 }
 
 // wanting returns how many requests the entries said that wait, when they asked last.
-func (w *world) wanting() (n placing.Waiting) {
+func (w *world) wanting() (n placing.QueueCounts) {
 	for _, e := range w.entries {
 		n.InTime += e.told.InTime
 		n.Late += e.told.Late
--- a/bench/place/engine.go
+++ b/bench/place/engine.go
@@ -36,7 +36,7 @@
 	index   int
 	dc      int
 	speed   float64 // 1: normal
-	gate    *route.Gate
+	gate    *route.AdmissionQueue
 	active  []*sequence
 	waiting map[*route.Job]*sequence
 	stepped bool // a step is under way
@@ -56,7 +56,7 @@
 		index:   index,
 		dc:      index % w.dcs,
 		speed:   1,
-		gate:    route.NewGate(engineSlots, w.opts.queue),
+		gate:    route.NewAdmissionQueue(engineSlots, w.opts.queue),
 		waiting: make(map[*route.Job]*sequence),
 		cache:   make(map[uint64]*list.Element),
 		lru:     list.New(),
@@ -64,7 +64,7 @@
 }
 
 // offer is what an agent does with a request that arrives.
-func (e *engine) offer(r *request, cached float64, o route.Offer) (route.Admission, time.Duration) {
+func (e *engine) offer(r *request, cached float64, o route.AdmissionBounds) (route.Admission, time.Duration) {
 	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.prompt)-cached), Decode: e.w.expectedDecode()}}
 	j.Team, j.Weight, j.Priority = r.team, r.weight, r.priority
 	j.Peer = e.w.entries[r.entry].name
@@ -72,7 +72,7 @@
 		j.Team, j.Weight, j.Priority = "all", 1, 0
 	}
 	verdict, wait := e.gate.Offer(e.w.now, j, o)
-	if verdict != route.AdmitRun {
+	if verdict != route.Admitted {
 		return verdict, wait
 	}
 	e.waiting[j] = &sequence{req: r, job: j, prefillLeft: r.prompt, outLeft: r.output}
@@ -85,7 +85,7 @@
 	for j := e.gate.Next(e.w.now); j != nil; j = e.gate.Next(e.w.now) {
 		s := e.waiting[j]
 		delete(e.waiting, j)
-		if j.Late {
+		if j.Expired {
 			e.w.late(s.req)
 			continue
 		}
@@ -131,7 +131,7 @@
 			e.store(s.req.blocks)
 		}
 		s.outLeft--
-		e.gate.Tokens(e.w.now, s.job, 1, true)
+		e.gate.RecordTokens(e.w.now, s.job, 1, true)
 		e.w.entries[s.req.entry].token(s.req)
 		if s.outLeft == 0 {
 			e.finish(s)
@@ -147,7 +147,7 @@
 			break
 		}
 	}
-	e.gate.End(e.w.now, s.job, true)
+	e.gate.Finish(e.w.now, s.job, true)
 	e.w.finished(s.req)
 }
 
--- a/bench/place/entry.go
+++ b/bench/place/entry.go
@@ -15,7 +15,7 @@
 	made   time.Duration // when the report was made
 }
 
-// entryState is one entry; it is its own route.TargetSet.
+// entryState is one entry; it is its own route.TargetPool.
 type entryState struct {
 	w        *world
 	index    int
@@ -28,7 +28,7 @@
 	rng      *rand.Rand
 	next     int // round robin
 	decision route.Decision
-	means    route.Means
+	means    route.LoadMeans
 }
 
 const indexBlocks = 1 << 15
@@ -47,7 +47,7 @@
 		en.views = append(en.views, &targetView{target: route.Target{
 			Name:       fmt.Sprintf("engine-%02d", i),
 			DataCentre: fmt.Sprint(e.dc),
-			Linked:     true,
+			Reachable:  true,
 			EngineUp:   true,
 			Slots:      engineSlots,
 		}})
@@ -64,24 +64,24 @@
 	return en
 }
 
-// Len implements route.TargetSet.
+// Len implements route.TargetPool.
 func (en *entryState) Len() int { return len(en.order) }
 
-// Near implements route.TargetSet.
-func (en *entryState) Near() int { return en.near }
+// NearCount implements route.TargetPool.
+func (en *entryState) NearCount() int { return en.near }
 
-// Read implements route.TargetSet.
+// Read implements route.TargetPool.
 func (en *entryState) Read(i int, r *route.Request, t *route.Target) {
 	v := en.views[en.order[i]]
 	*t = v.target
-	t.Others = en.means.Aged(v.others, (en.w.now - v.made).Seconds())
-	en.means.Complete(t)
-	t.CachedTokens = en.cache.Tokens(i, r.Blocks)
+	t.Others = en.means.DiscountStale(v.others, (en.w.now - v.made).Seconds())
+	en.means.FillSpeeds(t)
+	t.CachedTokens = en.cache.CachedTokens(i, r.Blocks)
 }
 
-// Cached implements route.TargetSet.
-func (en *entryState) Cached(r *route.Request, into []int) int {
-	return en.cache.Longest(r.Blocks, r.Seed, into)
+// LongestCached implements route.TargetPool.
+func (en *entryState) LongestCached(r *route.Request, into []int) int {
+	return en.cache.LongestMatch(r.Blocks, r.Seed, into)
 }
 
 func (en *entryState) position(engine int) int {
@@ -94,7 +94,7 @@
 }
 
 // report takes an account that left the agent a while ago.
-func (en *entryState) report(engine int, a route.Account, made time.Duration) {
+func (en *entryState) report(engine int, a route.LoadReport, made time.Duration) {
 	v := en.views[engine]
 	if made < v.made {
 		return
@@ -102,15 +102,15 @@
 	v.made = made
 	t := &v.target
 	v.others, t.Slots = a.Others(), a.Slots
-	en.means.Speeds(t, len(en.views))
-	en.means.Fold(t.Own, v.others, len(en.views))
-	t.StepWait = a.StepWait
+	en.means.RecordSpeeds(t, len(en.views))
+	en.means.RecordLoad(t.Own, v.others, len(en.views))
+	t.FirstTokenBaseSec = a.FirstTokenBaseSec
 	t.PrefillPerSec, t.TokensPerSec = a.PrefillPerSec, a.TokensPerSec
 }
 
 func (en *entryState) cacheEvents(engine int, seq uint64, events []cacheEvent) {
 	at := en.position(engine)
-	if !en.cache.Batch(at, seq) {
+	if !en.cache.AcceptBatch(at, seq) {
 		return
 	}
 	for _, ev := range events {
@@ -149,25 +149,25 @@
 // deliver is the request's arrival at the agent.
 func (en *entryState) deliver(v *targetView, r *request, c choice) {
 	e := en.w.engines[c.engine]
-	offer := route.Offer{MaxWait: c.maxWait}
+	offer := route.AdmissionBounds{MaxWait: c.maxWait}
 	if !en.w.policy.fifo {
-		offer.Left = r.deadline - (en.w.now - r.at)
+		offer.TimeLeft = r.deadline - (en.w.now - r.at)
 	}
 	verdict, wait := e.offer(r, c.cached, offer)
-	if verdict == route.AdmitRun {
+	if verdict == route.Admitted {
 		return
 	}
-	if verdict == route.AdmitTooLong {
+	if verdict == route.RejectedWait {
 		r.trail.Add(v.target.Name, wait)
 	}
-	account, made := e.gate.Account(en.name), en.w.now
+	account, made := e.gate.LoadReport(en.name), en.w.now
 	en.w.after(hop, func() { en.bounced(v, r, c, account, made) })
 }
 
 const maxTries = 4
 
 // bounced is the agent's refusal back at the entry: the request did not run.
-func (en *entryState) bounced(v *targetView, r *request, c choice, a route.Account, made time.Duration) {
+func (en *entryState) bounced(v *targetView, r *request, c choice, a route.LoadReport, made time.Duration) {
 	en.finished(r)
 	en.report(c.engine, a, made)
 	if r.tries >= maxTries {
--- a/bench/place/policy.go
+++ b/bench/place/policy.go
@@ -66,7 +66,7 @@
 
 func withPlacer(name string, p *route.Placer) policy {
 	choose := func(en *entryState, r *request) choice {
-		if name, ok := r.trail.Settled(); ok {
+		if name, ok := r.trail.FinalTarget(); ok {
 			return en.settled(name, r)
 		}
 		req := route.Request{
@@ -93,7 +93,7 @@
 func (en *entryState) settled(name string, r *request) choice {
 	for i, v := range en.views {
 		if v.target.Name == name {
-			return choice{engine: i, cached: en.cache.Tokens(en.position(i), r.blocks)}
+			return choice{engine: i, cached: en.cache.CachedTokens(en.position(i), r.blocks)}
 		}
 	}
 	return choice{engine: -1}
--- a/bench/place/workload.go
+++ b/bench/place/workload.go
@@ -101,7 +101,7 @@
 	for len(text) < familyPrompt*4 {
 		text = append(text, line...)
 	}
-	r.blocks = route.Blocks(r.team, text[:familyPrompt*4], nil)
+	r.blocks = route.BlockHashes(r.team, text[:familyPrompt*4], nil)
 }
 
 // size draws a count of tokens around a mean.
--- a/bench/place/world.go
+++ b/bench/place/world.go
@@ -41,7 +41,7 @@
 	deadline time.Duration // for the whole answer, from at
 
 	cost       route.Cost // left, by the entry's books
-	trail      route.Trail
+	trail      route.RejectionHistory
 	tries      int
 	avoid      map[string]bool
 	target     int
@@ -99,7 +99,7 @@
 		if w.rng.Float64() < w.opts.lost {
 			continue
 		}
-		account, made := e.gate.Account(en.name), w.now
+		account, made := e.gate.LoadReport(en.name), w.now
 		w.after(w.opts.lag+hop, func() { en.report(e.index, account, made) })
 	}
 	w.after(reportEvery, func() { w.reports(e) })
--- a/callers/conn.go
+++ b/callers/conn.go
@@ -208,9 +208,9 @@
 // aLongTimeAgo is a deadline that ends a pending read at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// Watch calls gone if the caller closes the connection before stop is called.
+// WatchDisconnect calls gone if the caller closes the connection before stop is called.
 // stop waits until the watcher no longer touches the connection.
-func (c *Conn) Watch(gone func()) (stop func()) {
+func (c *Conn) WatchDisconnect(gone func()) (stop func()) {
 	done := make(chan struct{})
 	// A deadline left over from reading the request must not end the watch.
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
--- a/cmd/heatherrail-gateway/main.go
+++ b/cmd/heatherrail-gateway/main.go
@@ -15,17 +15,17 @@
 func main() { os.Exit(hosted.Run(serve)) }
 
 func serve(p *hosted.Process) int {
-	callers, err := tcp.Listen(p.Settings.Callers)
+	callers, err := tcp.Listen(p.Settings.CallerAddr)
 	if err != nil {
 		p.Log.Error(err, "can't listen for callers")
 		return daemon.ExitFail
 	}
 	g := gateway.Start(options(p), callers, p.Peers)
-	if err := platform.ServeDirectory(p.Settings.Directory, g.Entries); err != nil {
+	if err := platform.ServeDirectory(p.Settings.DirectoryAddr, g.Entries); err != nil {
 		p.Log.Error(err, "can't serve the directory")
 		return daemon.ExitFail
 	}
-	if err := platform.ServeReady(p.Settings.Ready, g.Ready); err != nil {
+	if err := platform.ServeReady(p.Settings.ReadyAddr, g.Ready); err != nil {
 		p.Log.Error(err, "can't serve readiness checks")
 		return daemon.ExitFail
 	}
@@ -35,23 +35,23 @@
 func options(p *hosted.Process) gateway.Options {
 	s := p.Settings
 	return gateway.Options{
-		Name:             s.Name,
-		Incarnation:      daemon.Incarnation(),
-		DataCentre:       s.DataCentre,
-		Callers:          s.Callers,
-		Peers:            p.PeersAddr,
-		Protocol:         platform.Protocol(),
-		Store:            platform.NewStore(s.Store),
-		DecodeConfig:     platform.DecodeConfigRecord,
-		DecodeEvacuation: platform.DecodeEvacuation,
-		DecodeTarget:     platform.DecodeTarget,
-		Drain:            s.Drain,
-		ConfigApply:      s.ConfigApply,
-		TargetBeat:       s.TargetBeat,
-		Grace:            s.Grace,
-		LifetimeMax:      s.LifetimeMax,
-		AddressesMax:     platform.AddressesMax,
-		Retries: gateway.RetryBounds{
+		Name:                    s.Name,
+		Incarnation:             daemon.Incarnation(),
+		DataCentre:              s.DataCentre,
+		CallerAddr:              s.CallerAddr,
+		PeerAddr:                p.PeersAddr,
+		Headers:                 platform.HeaderNames(),
+		Store:                   platform.NewStore(s.StoreAddr),
+		DecodeConfig:            platform.DecodeConfigRecord,
+		DecodeEvacuation:        platform.DecodeEvacuation,
+		DecodeTarget:            platform.DecodeTarget,
+		DrainTimeout:            s.DrainTimeout,
+		ConfigApplyTimeout:      s.ConfigApplyTimeout,
+		TargetHeartbeatInterval: s.TargetHeartbeatInterval,
+		ShutdownGrace:           s.ShutdownGrace,
+		MaxDirectoryTTL:         s.MaxDirectoryTTL,
+		MaxDirectoryAddresses:   platform.MaxDirectoryAddresses,
+		RetryBudget: gateway.RetryBudget{
 			Ratio:  s.RetryRatio,
 			Slack:  s.RetrySlack,
 			Window: s.RetryWindow,
--- a/cmd/heatherrail-rank/main.go
+++ b/cmd/heatherrail-rank/main.go
@@ -15,18 +15,18 @@
 func serve(p *hosted.Process) int {
 	s := p.Settings
 	return p.Wait(lockstep.Start(lockstep.Options{
-		Name:         s.Name,
-		Engine:       platform.NewOwnEngine(s.Engine),
-		Address:      s.Engine,
-		Service:      s.Service,
-		Peers:        p.PeersAddr,
-		Port:         p.PeersPort,
-		Store:        platform.NewStore(s.Store),
-		Remote:       func(address string) lockstep.Engine { return platform.NewEngine(address) },
-		Dial:         lockstep.DialPeer,
-		DecodeTarget: platform.DecodeTarget,
-		DecodeConfig: platform.DecodeConfigRecord,
-		Log:          p.Log,
-		Metrics:      p.Metrics,
+		VM:              s.Name,
+		Engine:          platform.NewLocalEngine(s.EngineAddr),
+		EngineAddr:      s.EngineAddr,
+		Service:         s.Service,
+		PeerAddr:        p.PeersAddr,
+		PeerPort:        p.PeersPort,
+		Store:           platform.NewStore(s.StoreAddr),
+		NewRemoteEngine: func(address string) lockstep.Engine { return platform.NewEngine(address) },
+		Dial:            lockstep.DialPeer,
+		DecodeTarget:    platform.DecodeTarget,
+		DecodeConfig:    platform.DecodeConfigRecord,
+		Log:             p.Log,
+		Metrics:         p.Metrics,
 	}, p.Peers))
 }
--- a/cmd/heatherrail/apply.go
+++ b/cmd/heatherrail/apply.go
@@ -90,7 +90,7 @@
 	if c.Base >= 0 {
 		base = uint64(c.Base)
 	}
-	if empty := config.Emptied(old, cfg); len(empty) > 0 && !c.AllowEmpty {
+	if empty := config.ServicesLosingTargets(old, cfg); len(empty) > 0 && !c.AllowEmpty {
 		return config.Outcome{}, fmt.Errorf("nothing was sent: no target would be left for %s; --allow-empty applies it all the same", strings.Join(empty, ", "))
 	}
 	if len(config.Diff(old, cfg)) == 0 && c.Base < 0 {
--- a/config/diff.go
+++ b/config/diff.go
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// Emptied returns the services that teams use and that lose their last target.
-func Emptied(old, c *Config) []string {
+// ServicesLosingTargets returns the services that teams use and that lose their last target.
+func ServicesLosingTargets(old, c *Config) []string {
 	if old == nil {
 		return nil
 	}
--- a/config/fold.go
+++ b/config/fold.go
@@ -53,12 +53,12 @@
 // Next returns the offset of the record that Apply wants.
 func (f *Fold) Next() uint64 { return f.next }
 
-// SnapshotAt returns up to which offset the latest snapshot on the log reaches.
-func (f *Fold) SnapshotAt() uint64 { return f.snapshotAt }
+// SnapshotOffset returns up to which offset the latest snapshot on the log reaches.
+func (f *Fold) SnapshotOffset() uint64 { return f.snapshotAt }
 
-// Seeking reports that records were lost and a snapshot is needed. What was known
+// NeedsSnapshot reports that records were lost and a snapshot is needed. What was known
 // before stays in force.
-func (f *Fold) Seeking() bool { return f.seeking }
+func (f *Fold) NeedsSnapshot() bool { return f.seeking }
 
 // Outcome returns what became of a change.
 func (f *Fold) Outcome(id string) (Outcome, bool) {
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// Pass steps over the record at an offset, which a peer has folded and found to
+// Skip steps over the record at an offset, which a peer has folded and found to
 // change nothing.
-func (f *Fold) Pass(offset uint64) error {
+func (f *Fold) Skip(offset uint64) error {
 	switch {
 	case f.stopped != nil:
 		return f.stopped
@@ -208,8 +208,8 @@
 	if f.current != nil {
 		version, digest, base = f.current.Version, f.current.Digest, f.current.Config
 	}
-	if ch.Base == SettleBase {
-		return f.refuse("%s", ReasonSettled)
+	if ch.Base == VoidBase {
+		return f.refuse("%s", ReasonVoided)
 	}
 	if ch.Base != version {
 		return f.refuse("base is version %d, in force is %d", ch.Base, version)
@@ -222,8 +222,8 @@
 	return Outcome{Accepted: true, Version: f.current.Version}
 }
 
-// Stopped returns why the fold stopped, nil while it runs.
-func (f *Fold) Stopped() error { return f.stopped }
+// StopError returns why the fold stopped, nil while it runs.
+func (f *Fold) StopError() error { return f.stopped }
 
 // OldestOutcome returns the id of the oldest change that is remembered, and whether
 // older ones may have been forgotten.
--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -165,7 +165,7 @@
 		}
 		late.SkipTo(first)
 		feed(t, late, log, first)
-		if late.Seeking() {
+		if late.NeedsSnapshot() {
 			if err := late.Restore(want); err != nil { // no snapshot was left: a peer helps
 				t.Fatal(err)
 			}
@@ -224,12 +224,12 @@
 	g := NewWithT(t)
 	f := NewFold()
 	late := mustRecords(changeTo("a", 0, nil, teams(1, 0)))[0]
-	settle := mustRecords(&Change{ID: "a", Base: SettleBase})[0]
+	settle := mustRecords(&Change{ID: "a", Base: VoidBase})[0]
 	g.Expect(f.Apply(0, settle)).To(Succeed())
 	g.Expect(f.Apply(1, late)).To(Succeed())
 	g.Expect(f.Current()).To(BeNil())
 	out, _ := f.Outcome("a")
-	g.Expect(out.Reason).To(Equal(ReasonSettled))
+	g.Expect(out.Reason).To(Equal(ReasonVoided))
 }
 
 func TestLargeChangeGoesInParts(t *testing.T) {
@@ -239,7 +239,7 @@
 	g.Expect(len(records)).To(BeNumerically(">", 3))
 	f := NewFold()
 	for i, raw := range records {
-		g.Expect(len(raw)).To(BeNumerically("<=", MaxRecord+256))
+		g.Expect(len(raw)).To(BeNumerically("<=", MaxRecordBytes+256))
 		g.Expect(f.Current()).To(BeNil(), "parts without their commit mean nothing")
 		g.Expect(f.Apply(uint64(i), raw)).To(Succeed())
 	}
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -59,8 +59,8 @@
 	changed := strings.NewReplacer("model = m", "model = n", "[target e1]\nfleet = e", "[target e2]\nfleet = p").Replace(goodFiles)
 	next, err := Load(map[string]string{"f.ini": changed})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(Emptied(old, next)).To(Equal([]string{"s"}))
-	g.Expect(Emptied(nil, next)).To(BeEmpty())
+	g.Expect(ServicesLosingTargets(old, next)).To(Equal([]string{"s"}))
+	g.Expect(ServicesLosingTargets(nil, next)).To(BeEmpty())
 	var out strings.Builder
 	g.Expect(WriteDiff(&out, Diff(old, next))).To(Succeed())
 	g.Expect(out.String()).To(Equal("- [target e1]\n+ [target e2]\n    fleet = p\n    data-centre = a\n~ [service s]\n    model: \"m\" -> \"n\"\n"))
--- a/config/parts.go
+++ b/config/parts.go
@@ -21,7 +21,7 @@
 
 // add keeps a part; a repeated one is ignored. The oldest set makes room for a new one.
 func (p *partSet) add(offset uint64, part Part) {
-	if part.Index < 0 || part.Index > maxPartIndex || len(part.Data) > MaxRecord {
+	if part.Index < 0 || part.Index > maxPartIndex || len(part.Data) > MaxRecordBytes {
 		return
 	}
 	i := p.find(part.ID)
--- a/config/record.go
+++ b/config/record.go
@@ -9,7 +9,7 @@
 
 //go:generate go tool -modfile=../tools/go.mod msgp -tests=false -io=false -o record_gen.go
 
-// The limit also holds for byte strings: a record's body is larger than MaxRecord.
+// The limit also holds for byte strings: a record's body is larger than MaxRecordBytes.
 //msgp:limit arrays:1048576 maps:131072
 
 // RecordSchema is the newest record schema that this build understands.
@@ -26,16 +26,16 @@
 
 // Bounds of what is on the log, in bytes and counts.
 const (
-	MaxRecord = 128 << 10 // body of one record
-	MaxParts  = 96        // of one change or snapshot: 12 MB, twice what 38,000 new teams take
+	MaxRecordBytes = 128 << 10 // body of one record
+	MaxParts       = 96        // of one change or snapshot: 12 MB, twice what 38,000 new teams take
 )
 
-// SettleBase is a base that no version ever has. A change on it settles its id: if
+// VoidBase is a base that no version ever has. A change on it settles its id: if
 // the change of that id is not on the log yet, it never takes effect.
-const SettleBase = math.MaxUint64
+const VoidBase = math.MaxUint64
 
-// ReasonSettled is the outcome's reason then.
-const ReasonSettled = "it had not reached the log, and never takes effect now"
+// ReasonVoided is the outcome's reason then.
+const ReasonVoided = "it had not reached the log, and never takes effect now"
 
 // Record is what the log holds.
 type Record struct {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode change: %w", err)
 	}
-	if len(body) <= MaxRecord {
+	if len(body) <= MaxRecordBytes {
 		raw, err := NewRecord(RecordChange, ch)
 		return [][]byte{raw}, err
 	}
@@ -176,13 +176,13 @@
 }
 
 func split(kind, id string, body []byte) ([][]byte, int, error) {
-	n := (len(body) + MaxRecord - 1) / MaxRecord
+	n := (len(body) + MaxRecordBytes - 1) / MaxRecordBytes
 	if n > MaxParts {
 		return nil, 0, fmt.Errorf("%s of %d bytes needs %d parts, at most %d are allowed", kind, len(body), n, MaxParts)
 	}
 	var records [][]byte
 	for i := range n {
-		data := body[i*MaxRecord : min((i+1)*MaxRecord, len(body))]
+		data := body[i*MaxRecordBytes : min((i+1)*MaxRecordBytes, len(body))]
 		raw, err := NewRecord(kind, &Part{ID: id, Index: i, Data: data})
 		if err != nil {
 			return nil, 0, err
--- a/config/schema.go
+++ b/config/schema.go
@@ -77,7 +77,7 @@
 	DedupKeys   int           `msg:"k" ini:"dedup-keys" default:"65536" min:"1" doc:"how many are remembered by a target at most"`
 	SkewWeight  float64       `msg:"s" ini:"skew-weight" default:"1" min:"0" doc:"price of one rank kept waiting for one minute by step-time skew"`
 	MoveWeight  float64       `msg:"m" ini:"move-weight" default:"1" min:"0" doc:"price of a gigabyte of expert weights moved"`
-	Patience    time.Duration `msg:"pa" ini:"patience" default:"30ms" min:"0s" max:"1m" doc:"how much longer than on an idle target a first token may take before the agent sends the request back to be placed again; 0s: never"`
+	WaitSlack   time.Duration `msg:"pa" ini:"patience" default:"30ms" min:"0s" max:"1m" doc:"how much longer than on an idle target a first token may take before the agent sends the request back to be placed again; 0s: never"`
 	SampleNear  int           `msg:"sn" ini:"sample-near" default:"1" min:"1" max:"4" doc:"targets of the entry's data centre that one decision rates"`
 	SampleFar   int           `msg:"sf" ini:"sample-far" default:"1" min:"0" max:"4" doc:"targets of other data centres that one decision rates"`
 	Distance    time.Duration `msg:"di" ini:"distance" default:"2ms" min:"0s" max:"10s" doc:"price of another data centre, as wait"`
--- a/config/schema_gen.go
+++ b/config/schema_gen.go
@@ -639,7 +639,7 @@
 	o = msgp.AppendFloat64(o, z.MoveWeight)
 	// string "pa"
 	o = append(o, 0xa2, 0x70, 0x61)
-	o = msgp.AppendDuration(o, z.Patience)
+	o = msgp.AppendDuration(o, z.WaitSlack)
 	// string "sn"
 	o = append(o, 0xa2, 0x73, 0x6e)
 	o = msgp.AppendInt(o, z.SampleNear)
@@ -720,9 +720,9 @@
 				return
 			}
 		case "pa":
-			z.Patience, bts, err = msgp.ReadDurationBytes(bts)
+			z.WaitSlack, bts, err = msgp.ReadDurationBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Patience")
+				err = msgp.WrapError(err, "WaitSlack")
 				return
 			}
 		case "sn":
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -116,8 +116,8 @@
 	return 1
 }
 
-// FleetOf returns the fleet of a declared target, empty for any other name.
-func (s *Snapshot) FleetOf(target string) string { return s.fleetOf[target] }
+// FleetOfTarget returns the fleet of a declared target, empty for any other name.
+func (s *Snapshot) FleetOfTarget(target string) string { return s.fleetOf[target] }
 
 // TeamByKey returns the team that a key belongs to. The look-up is by the key's
 // hash, so its timing tells nothing about the key; the comparison of the stored
--- a/control/apply.go
+++ b/control/apply.go
@@ -57,7 +57,7 @@
 			break
 		}
 	}
-	if !o.fold.Seeking() {
+	if !o.fold.NeedsSnapshot() {
 		return nil
 	}
 	if err := o.fromPeer(ctx); err != nil {
@@ -110,7 +110,7 @@
 	if oldest, full := o.fold.OldestOutcome(); full && id < oldest {
 		return config.Outcome{}, result.New(result.ChangeUnknown, "%s is too old, outcomes before %s are forgotten", id, oldest)
 	}
-	records, err := config.ChangeRecords(&config.Change{ID: id, Base: config.SettleBase})
+	records, err := config.ChangeRecords(&config.Change{ID: id, Base: config.VoidBase})
 	if err != nil {
 		return config.Outcome{}, err
 	}
--- a/control/apply_test.go
+++ b/control/apply_test.go
@@ -122,7 +122,7 @@
 	}
 	// A change that was settled by its resumption on the right base is "did not
 	// happen": it says nothing about the version.
-	if code == result.ChangeRefused && out.Reason == config.ReasonSettled {
+	if code == result.ChangeRefused && out.Reason == config.ReasonVoided {
 		return nil
 	}
 	return &porcupine.Operation{ClientId: client*1000 + i, Input: applyInput{base}, Call: call, Output: applyOutput{code, out.Version}, Return: end}
--- a/control/beat.go
+++ b/control/beat.go
@@ -69,11 +69,11 @@
 // beat sends heartbeats to the few, and, as one of the few, who is silent.
 func (n *Node) beat() {
 	last := time.Time{}
-	for round := 0; n.sleep(n.opts.Timing.Beat); round++ {
+	for round := 0; n.sleep(n.opts.Timing.HeartbeatInterval); round++ {
 		n.mu.Lock()
-		local, remote := n.topology.Local(Observers), n.topology.Remote()
+		local, remote := n.topology.Local(ObserverCount), n.topology.SummaryPeers()
 		n.mu.Unlock()
-		n.sendAll(local, wire.NoteBeat, n.beatNote())
+		n.sendAll(local, wire.NoteHeartbeat, n.beatNote())
 		n.sendSilent(round%silentEvery == 0)
 		if time.Since(last) >= n.opts.Timing.Summaries {
 			last = time.Now()
@@ -82,10 +82,10 @@
 	}
 }
 
-func (n *Node) beatNote() *wire.Beat {
+func (n *Node) beatNote() *wire.Heartbeat {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := &wire.Beat{Leaving: n.leaving.Load()}
+	b := &wire.Heartbeat{Leaving: n.leaving.Load()}
 	if s := n.fold.Current(); s != nil {
 		b.Version = s.Version
 	}
@@ -114,8 +114,8 @@
 // may be lost.
 func (n *Node) Send(name string, kind wire.Note, msg note) { n.sendAll([]string{name}, kind, msg) }
 
-// silentEvery is in how many heartbeats an empty Silent is sent; a witness that says
-// nothing for longer than Timing.Silence does not count.
+// silentEvery is in how many heartbeats an empty SilentReport is sent; a witness that says
+// nothing for longer than Timing.FailureTimeout does not count.
 const silentEvery = 3
 
 // sendSilent tells the entries that beat to this one whom it misses: at once when
@@ -123,9 +123,9 @@
 func (n *Node) sendSilent(due bool) {
 	n.mu.Lock()
 	now := time.Now()
-	var silent wire.Silent
-	for _, s := range n.members.Sightings(now) {
-		if s.Age >= n.opts.Timing.Silence || s.Leaving || s.Version == 0 {
+	var silent wire.SilentReport
+	for _, s := range n.members.Observations(now) {
+		if s.Age >= n.opts.Timing.FailureTimeout || s.Leaving || s.Version == 0 {
 			silent.Rows = append(silent.Rows, wire.SilentRow{Name: s.Name, Incarnation: s.Incarnation,
 				Version: s.Version, AgeMs: s.Age.Milliseconds(), Leaving: s.Leaving})
 		}
@@ -140,7 +140,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range conns {
-		n.duties.Go(func() { _ = c.SendNote(wire.NoteSilent, &silent) }) // a lost peer comes back by itself
+		n.duties.Go(func() { _ = c.SendNote(wire.NoteSilentReport, &silent) }) // a lost peer comes back by itself
 	}
 }
 
@@ -153,7 +153,7 @@
 		sum.Oldest, sum.Newest = s.Version, s.Version
 	}
 	for name, v := range n.members.Versions() {
-		if n.members.Down(name, now) {
+		if n.members.IsDown(name, now) {
 			sum.Down++
 			continue
 		}
@@ -169,9 +169,9 @@
 	}
 	var err error
 	switch kind {
-	case wire.NoteBeat:
+	case wire.NoteHeartbeat:
 		err = n.heardBeat(c, payload)
-	case wire.NoteSilent:
+	case wire.NoteSilentReport:
 		err = n.heardSilent(c, payload)
 	case wire.NoteSummary:
 		err = n.heardSummary(payload)
@@ -186,19 +186,19 @@
 }
 
 func (n *Node) heardBeat(c *wire.Conn, payload []byte) error {
-	var b wire.Beat
+	var b wire.Heartbeat
 	if _, err := b.UnmarshalMsg(payload); err != nil {
 		return err
 	}
 	p := c.Peer()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.members.Report(n.opts.Self.Name, Sighted{Name: p.Name, Incarnation: p.Incarnation, Version: b.Version, Leaving: b.Leaving}, time.Now())
+	n.members.Report(n.opts.Self.Name, Observation{Name: p.Name, Incarnation: p.Incarnation, Version: b.Version, Leaving: b.Leaving}, time.Now())
 	return nil
 }
 
 func (n *Node) heardSilent(c *wire.Conn, payload []byte) error {
-	var silent wire.Silent
+	var silent wire.SilentReport
 	if _, err := silent.UnmarshalMsg(payload); err != nil {
 		return err
 	}
@@ -209,10 +209,10 @@
 	missed := make(map[string]bool, len(silent.Rows))
 	for _, r := range silent.Rows {
 		missed[r.Name] = true
-		n.members.Report(witness, Sighted{Name: r.Name, Incarnation: r.Incarnation, Version: r.Version,
+		n.members.Report(witness, Observation{Name: r.Name, Incarnation: r.Incarnation, Version: r.Version,
 			Age: time.Duration(r.AgeMs) * time.Millisecond, Leaving: r.Leaving}, now)
 	}
-	n.members.HeardAgain(witness, missed, now)
+	n.members.RecordAllAlive(witness, missed, now)
 	return nil
 }
 
--- a/control/claimer.go
+++ b/control/claimer.go
@@ -8,14 +8,14 @@
 
 // LeaseTiming are the spans of leases.
 type LeaseTiming struct {
-	Span   time.Duration // how long a claim or renewal holds
-	Margin time.Duration // more than clocks drift apart within a span
-	Stride time.Duration // a claimant waits this long for each one that ranks before it
+	TTL       time.Duration // how long a claim or renewal holds
+	Margin    time.Duration // more than clocks drift apart within a span
+	RankDelay time.Duration // a claimant waits this long for each one that ranks before it
 }
 
 // DefaultLeaseTiming renews every ten seconds: with one record for all resources of
 // a holder, 34 holders append 3.4 times a second, and each node reads as much.
-var DefaultLeaseTiming = LeaseTiming{Span: 30 * time.Second, Margin: 3 * time.Second, Stride: time.Second}
+var DefaultLeaseTiming = LeaseTiming{TTL: 30 * time.Second, Margin: 3 * time.Second, RankDelay: time.Second}
 
 // renewals is how many times a holder renews within a span, so that one lost or
 // slow append does not lose the lease.
@@ -83,7 +83,7 @@
 	for resource := range c.release {
 		c.observe(t.Row(resource), resource, now)
 	}
-	maps.DeleteFunc(c.sent, func(_ uint64, at time.Time) bool { return now.Sub(at) > c.timing.Span })
+	maps.DeleteFunc(c.sent, func(_ uint64, at time.Time) bool { return now.Sub(at) > c.timing.TTL })
 }
 
 func (c *Claimer) observe(row LeaseRow, resource string, now time.Time) {
@@ -99,7 +99,7 @@
 	if _, wanted := c.want[resource]; !wanted || !known || !c.mine(s.row) {
 		return Lease{}, false
 	}
-	l := Lease{Holder: c.name, Resource: resource, Fence: s.row.Fence, Until: at.Add(c.timing.Span)}
+	l := Lease{Holder: c.name, Resource: resource, Fence: s.row.Fence, Until: at.Add(c.timing.TTL)}
 	return l, l.Valid(now)
 }
 
@@ -111,11 +111,11 @@
 // claims and renewals of the process go into one record: a renewal that falls due
 // soon joins one that is due.
 func (c *Claimer) Next(now time.Time) *LeaseBatch {
-	b := &LeaseBatch{Holder: c.name, Incarnation: c.incarnation, SpanMs: c.timing.Span.Milliseconds()}
+	b := &LeaseBatch{Holder: c.name, Incarnation: c.incarnation, TTLMs: c.timing.TTL.Milliseconds()}
 	var early []LeaseClaim
 	for _, resource := range slices.Sorted(maps.Keys(c.want)) {
 		s, read := c.seen[resource]
-		if !read || now.Sub(c.tries[resource]) < c.timing.Span/(2*renewals) {
+		if !read || now.Sub(c.tries[resource]) < c.timing.TTL/(2*renewals) {
 			continue
 		}
 		claim := LeaseClaim{Resource: resource, Fence: s.row.Fence, Term: s.row.Term}
@@ -145,7 +145,7 @@
 // gives it back.
 func (c *Claimer) renewalDue(s sighting, now time.Time) bool {
 	at, known := c.sent[s.row.Nonce]
-	return c.mine(s.row) && (!known || now.Sub(at) >= c.timing.Span/renewals)
+	return c.mine(s.row) && (!known || now.Sub(at) >= c.timing.TTL/renewals)
 }
 
 func (c *Claimer) releases() []LeaseClaim {
@@ -162,9 +162,9 @@
 
 // lapsed reports whether the holder of a row must have stopped by its own clock.
 func (c *Claimer) lapsed(s sighting, rank int, now time.Time) bool {
-	wait := time.Duration(rank) * c.timing.Stride
+	wait := time.Duration(rank) * c.timing.RankDelay
 	if s.row.Holder != "" {
-		wait += time.Duration(s.row.SpanMs)*time.Millisecond + c.timing.Margin
+		wait += time.Duration(s.row.TTLMs)*time.Millisecond + c.timing.Margin
 	}
 	return now.Sub(s.at) >= wait
 }
--- a/control/follow.go
+++ b/control/follow.go
@@ -31,7 +31,7 @@
 	pace := n.newPace()
 	for n.ctx.Err() == nil {
 		if !n.needsLog() {
-			n.sleep(n.opts.Timing.Beat)
+			n.sleep(n.opts.Timing.HeartbeatInterval)
 			continue
 		}
 		if err := n.pullLog(); err != nil {
@@ -109,13 +109,13 @@
 func (n *Node) needsLog() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.topology.Tails() || n.age() > n.opts.Timing.Fresh
+	return n.topology.ReadsLog() || n.age() > n.opts.Timing.Fresh
 }
 
 func (n *Node) needsPeers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.topology.Tails() || n.age() > n.opts.Timing.Fresh || n.fold.Seeking()
+	return !n.topology.ReadsLog() || n.age() > n.opts.Timing.Fresh || n.fold.NeedsSnapshot()
 }
 
 // sources returns the peers to pull from, best first.
@@ -123,7 +123,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	peers := n.topology.Sources()
-	few := len(n.topology.Local(Few))
+	few := len(n.topology.Local(RelayCount))
 	return peers[:min(few+fallbackPeers, len(peers))]
 }
 
@@ -188,7 +188,7 @@
 // foldOne folds a record; peers send empty ones for those that change nothing.
 func (n *Node) foldOne(offset uint64, raw []byte) error {
 	if len(raw) == 0 {
-		return n.fold.Pass(offset)
+		return n.fold.Skip(offset)
 	}
 	return n.fold.Apply(offset, raw)
 }
@@ -201,11 +201,11 @@
 	n.mu.Lock()
 	now := time.Now()
 	current, next := n.fold.Current(), n.fold.Next()
-	if n.fold.Seeking() {
+	if n.fold.NeedsSnapshot() {
 		next = 0 // records before it may be missing
 	}
 	n.claimer.Observe(n.table, now)
-	n.snapshot.observe(n.fold.SnapshotAt(), now)
+	n.snapshot.observe(n.fold.SnapshotOffset(), now)
 	moved := n.table.highest != n.fences
 	n.fences = n.table.highest
 	close(n.wake)
@@ -229,7 +229,7 @@
 		return err
 	}
 	n.mu.Lock()
-	cold := n.fold.Seeking() || (n.fold.Next() == 0 && n.fold.Current() == nil)
+	cold := n.fold.NeedsSnapshot() || (n.fold.Next() == 0 && n.fold.Current() == nil)
 	req := wire.TailRequest{From: n.fold.Next(), Cold: cold, WaitMs: n.opts.Timing.LogWait.Milliseconds()}
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(n.ctx, n.opts.Timing.LogWait+pullGrace)
--- a/control/leaser.go
+++ b/control/leaser.go
@@ -35,7 +35,7 @@
 // lease appends claims and renewals as they fall due; a process that wants nothing
 // sleeps.
 func (n *Node) lease() {
-	tick := max(n.opts.Timing.Lease.Span/60, time.Millisecond)
+	tick := max(n.opts.Timing.Lease.TTL/60, time.Millisecond)
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
 		idle := n.claimer.Idle()
--- a/control/leases.go
+++ b/control/leases.go
@@ -59,7 +59,7 @@
 		t.highest++
 		row = LeaseRow{Resource: c.Resource, Holder: b.Holder, Incarnation: b.Incarnation, Fence: t.highest}
 	}
-	row.SpanMs, row.Nonce = b.SpanMs, b.Nonce
+	row.TTLMs, row.Nonce = b.TTLMs, b.Nonce
 	t.rows[c.Resource] = row
 }
 
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -19,7 +19,7 @@
 func TestLeaseHasOneHolder(t *testing.T) {
 	const res = "group/x"
 	rapid.Check(t, func(t *rapid.T) {
-		timing := LeaseTiming{Span: 15 * time.Second, Margin: 2 * time.Second, Stride: time.Second}
+		timing := LeaseTiming{TTL: 15 * time.Second, Margin: 2 * time.Second, RankDelay: time.Second}
 		origin := time.Unix(1_000_000, 0)
 		table := NewLeaseTable()
 		var claimers []*Claimer
@@ -165,7 +165,7 @@
 		}
 		c.until(res, 10*time.Second, "")
 		c.log.SetFaults(fake.LogFaults{Down: true})
-		time.Sleep(DefaultLeaseTiming.Span)
+		time.Sleep(DefaultLeaseTiming.TTL)
 		g.Expect(c.holders(res)).To(BeEmpty())
 		c.log.SetFaults(fake.LogFaults{LoseAnswers: 3})
 		c.until(res, time.Minute, "")
--- a/control/members.go
+++ b/control/members.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Witnesses is how many must have lost a process before it counts as down, as long
+// ObserverQuorum is how many must have lost a process before it counts as down, as long
 // as there are that many to ask.
-const Witnesses = 2
+const ObserverQuorum = 2
 
-// DefaultSilence is how long a process may be silent towards a witness.
-const DefaultSilence = 4 * time.Second
+// DefaultFailureTimeout is how long a process may be silent towards a witness.
+const DefaultFailureTimeout = 4 * time.Second
 
-// Sighted is how long ago a witness last heard a process.
-type Sighted struct {
+// Observation is how long ago a witness last heard a process.
+type Observation struct {
 	Name        string
 	Incarnation uint64
 	Version     uint64 // configuration in force there
@@ -48,7 +48,7 @@
 
 // Report takes what a witness (this process itself included) says about a process.
 // A sighting of an older incarnation is dropped: it was another process.
-func (m *Members) Report(witness string, s Sighted, now time.Time) {
+func (m *Members) Report(witness string, s Observation, now time.Time) {
 	by := m.reports[s.Name]
 	if by == nil {
 		by = make(map[string]heard)
@@ -67,9 +67,9 @@
 	by[witness] = h
 }
 
-// Down reports whether a process is lost. Unknown ones are not: the VM list names
+// IsDown reports whether a process is lost. Unknown ones are not: the VM list names
 // them and nobody has missed them yet.
-func (m *Members) Down(name string, now time.Time) bool {
+func (m *Members) IsDown(name string, now time.Time) bool {
 	missing := 0
 	for witness, h := range m.reports[name] {
 		if now.Sub(h.at) < m.silence {
@@ -79,12 +79,12 @@
 			missing++ // a witness that is silent itself says nothing
 		}
 	}
-	return missing >= Witnesses
+	return missing >= ObserverQuorum
 }
 
-// Serves reports whether a process is not known to be leaving or without a
+// CanServe reports whether a process is not known to be leaving or without a
 // configuration: it would refuse what callers send.
-func (m *Members) Serves(name string) bool {
+func (m *Members) CanServe(name string) bool {
 	for _, h := range m.reports[name] {
 		if h.leaving || h.version == 0 {
 			return false
@@ -93,12 +93,12 @@
 	return true
 }
 
-// Sightings returns what this process heard itself, for its peers, sorted by name.
-func (m *Members) Sightings(now time.Time) []Sighted {
-	var out []Sighted
+// Observations returns what this process heard itself, for its peers, sorted by name.
+func (m *Members) Observations(now time.Time) []Observation {
+	var out []Observation
 	for _, name := range slices.Sorted(maps.Keys(m.reports)) {
 		if h, ok := m.reports[name][m.self]; ok {
-			out = append(out, Sighted{Name: name, Incarnation: h.incarnation, Version: h.version, Age: now.Sub(h.at), Leaving: h.leaving})
+			out = append(out, Observation{Name: name, Incarnation: h.incarnation, Version: h.version, Age: now.Sub(h.at), Leaving: h.leaving})
 		}
 	}
 	return out
@@ -130,9 +130,9 @@
 // forgetAfter is longer than the VM list lags.
 const forgetAfter = 5 * time.Minute
 
-// HeardAgain takes from a witness that it heard all processes but the missed ones,
+// RecordAllAlive takes from a witness that it heard all processes but the missed ones,
 // and that those stay and have a configuration.
-func (m *Members) HeardAgain(witness string, missed map[string]bool, now time.Time) {
+func (m *Members) RecordAllAlive(witness string, missed map[string]bool, now time.Time) {
 	for name, by := range m.reports {
 		if h, ok := by[witness]; ok && !missed[name] && witness != m.self {
 			h.at, h.told, h.leaving, h.version = now, now, false, max(h.version, 1)
--- a/control/members_test.go
+++ b/control/members_test.go
@@ -10,7 +10,7 @@
 
 func TestMembersNeedTwoWitnesses(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ago := func(d time.Duration) Sighted { return Sighted{Name: "x", Incarnation: 1, Age: d} }
+	ago := func(d time.Duration) Observation { return Observation{Name: "x", Incarnation: 1, Age: d} }
 	cases := []struct {
 		name    string
 		reports map[string]time.Duration
@@ -25,11 +25,11 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			m := NewMembers("me", DefaultSilence)
+			m := NewMembers("me", DefaultFailureTimeout)
 			for witness, age := range tc.reports {
 				m.Report(witness, ago(age), now)
 			}
-			g.Expect(m.Down("x", now)).To(Equal(tc.down))
+			g.Expect(m.IsDown("x", now)).To(Equal(tc.down))
 		})
 	}
 }
@@ -39,13 +39,13 @@
 func TestMembersIncarnations(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	m := NewMembers("me", DefaultSilence)
-	m.Report("me", Sighted{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
-	m.Report("b", Sighted{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
-	g.Expect(m.Down("x", now)).To(BeTrue())
-	m.Report("me", Sighted{Name: "x", Incarnation: 2, Version: 3}, now)
-	m.Report("b", Sighted{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
-	g.Expect(m.Down("x", now)).To(BeFalse())
+	m := NewMembers("me", DefaultFailureTimeout)
+	m.Report("me", Observation{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
+	m.Report("b", Observation{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
+	g.Expect(m.IsDown("x", now)).To(BeTrue())
+	m.Report("me", Observation{Name: "x", Incarnation: 2, Version: 3}, now)
+	m.Report("b", Observation{Name: "x", Incarnation: 1, Version: 7, Age: time.Minute}, now)
+	g.Expect(m.IsDown("x", now)).To(BeFalse())
 	g.Expect(m.Versions()).To(HaveKeyWithValue("x", uint64(3)))
 }
 
@@ -61,7 +61,7 @@
 		c.startAll()
 		c.within(inForce, c.apply(1), c.names()...)
 		time.Sleep(10 * time.Second)
-		few := c.node("a-0").topology.Ranked[:Few]
+		few := c.node("a-0").topology.Ranked[:RelayCount]
 		x := c.node("a-0").topology.Ranked[4]
 		usable := func() int {
 			n := 0
@@ -79,10 +79,10 @@
 		}
 		c.cut(x, few[0], false)
 		c.isolate(x, true)
-		time.Sleep(3 * DefaultSilence)
+		time.Sleep(3 * DefaultFailureTimeout)
 		g.Expect(usable()).To(BeZero())
 		c.isolate(x, false)
-		time.Sleep(3 * DefaultSilence)
+		time.Sleep(3 * DefaultFailureTimeout)
 		g.Expect(usable()).To(Equal(4))
 		c.node(x).SetLeaving(true)
 		time.Sleep(5 * time.Second)
@@ -107,12 +107,12 @@
 	tailers, most := 0, 0
 	for _, p := range all {
 		top := NewTopology(p, all)
-		if top.Tails() {
+		if top.ReadsLog() {
 			tailers++
 		}
-		most = max(most, len(top.Remote())+len(top.Local(Few)))
+		most = max(most, len(top.SummaryPeers())+len(top.Local(RelayCount)))
 		g.Expect(top.Sources()).To(HaveLen(len(all) - 1))
 	}
-	g.Expect(tailers).To(Equal(7 * 3 * Tailers))
-	g.Expect(most).To(BeNumerically("<=", Few+2+6))
+	g.Expect(tailers).To(Equal(7 * 3 * LogReaderCount))
+	g.Expect(most).To(BeNumerically("<=", RelayCount+2+6))
 }
--- a/control/node.go
+++ b/control/node.go
@@ -20,34 +20,34 @@
 
 // Timing holds the periods of control.
 type Timing struct {
-	Beat       time.Duration // between heartbeats
-	Silence    time.Duration // after which a witness misses a process
-	LogWait    time.Duration // long poll of the log and of peers
-	Coalesce   time.Duration // between two reads at least, so that many records cost one
-	Backoff    time.Duration // after a failed source, doubled up to MaxBackoff
-	MaxBackoff time.Duration
-	LogBackoff time.Duration // bound for the log: its return should show soon
-	Fresh      time.Duration // a source that read the log longer ago is left
-	Retry      time.Duration // how long a fallback source is kept
-	Snapshots  time.Duration // between published snapshots; a fraction of the retention
-	Summaries  time.Duration // between summaries to other data centres
-	Lease      LeaseTiming
+	HeartbeatInterval time.Duration // between heartbeats
+	FailureTimeout    time.Duration // after which a witness misses a process
+	LogWait           time.Duration // long poll of the log and of peers
+	Coalesce          time.Duration // between two reads at least, so that many records cost one
+	Backoff           time.Duration // after a failed source, doubled up to MaxBackoff
+	MaxBackoff        time.Duration
+	LogBackoff        time.Duration // bound for the log: its return should show soon
+	Fresh             time.Duration // a source that read the log longer ago is left
+	Retry             time.Duration // how long a fallback source is kept
+	Snapshots         time.Duration // between published snapshots; a fraction of the retention
+	Summaries         time.Duration // between summaries to other data centres
+	Lease             LeaseTiming
 }
 
 // DefaultTiming is what the daemons use.
 var DefaultTiming = Timing{
-	Beat:       time.Second,
-	Silence:    DefaultSilence,
-	LogWait:    5 * time.Second,
-	Coalesce:   time.Second,
-	Backoff:    200 * time.Millisecond,
-	MaxBackoff: 2 * time.Second,
-	LogBackoff: 500 * time.Millisecond,
-	Fresh:      12 * time.Second,
-	Retry:      20 * time.Second,
-	Snapshots:  30 * time.Minute,
-	Summaries:  5 * time.Second,
-	Lease:      DefaultLeaseTiming,
+	HeartbeatInterval: time.Second,
+	FailureTimeout:    DefaultFailureTimeout,
+	LogWait:           5 * time.Second,
+	Coalesce:          time.Second,
+	Backoff:           200 * time.Millisecond,
+	MaxBackoff:        2 * time.Second,
+	LogBackoff:        500 * time.Millisecond,
+	Fresh:             12 * time.Second,
+	Retry:             20 * time.Second,
+	Snapshots:         30 * time.Minute,
+	Summaries:         5 * time.Second,
+	Lease:             DefaultLeaseTiming,
 }
 
 // Options are what a Node needs.
@@ -98,7 +98,7 @@
 	members    *Members
 	topology   *Topology
 	listed     bool // a VM list was seen
-	toldSilent bool // the latest Silent named somebody
+	toldSilent bool // the latest SilentReport named somebody
 	conns      map[string]*peerConn
 	incoming   map[*wire.Conn]struct{}
 	summaries  map[string]wire.Summary // by data centre
@@ -134,7 +134,7 @@
 		changed:   make(chan struct{}, 1),
 		wake:      make(chan struct{}),
 		claimer:   NewClaimer(o.Self.Name, o.Incarnation, o.Timing.Lease),
-		members:   NewMembers(o.Self.Name, o.Timing.Silence),
+		members:   NewMembers(o.Self.Name, o.Timing.FailureTimeout),
 		topology:  NewTopology(o.Self, nil),
 		conns:     make(map[string]*peerConn),
 		incoming:  make(map[*wire.Conn]struct{}),
@@ -194,7 +194,7 @@
 func (n *Node) Usable(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.members.Serves(name) && !n.members.Down(name, time.Now())
+	return n.members.CanServe(name) && !n.members.IsDown(name, time.Now())
 }
 
 // Outcome returns what became of a change.
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -29,7 +29,7 @@
 			conn, err := wire.Client(nc, wire.Hello{Name: "x", Role: role}, silentHandler{}, wire.Options{})
 			g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
-			g.Expect(conn.SendNote(wire.NoteBeat, &wire.Beat{Version: 99})).To(Succeed())
+			g.Expect(conn.SendNote(wire.NoteHeartbeat, &wire.Heartbeat{Version: 99})).To(Succeed())
 			_, state, err := Tail(t.Context(), conn, &wire.TailRequest{Cold: true})
 			g.Expect(state != nil).To(Equal(err == nil))
 			return err
@@ -225,7 +225,7 @@
 		defer c.close()
 		c.startAll()
 		c.within(inForce, c.apply(1), c.names()...)
-		few := c.node("a-0").topology.Ranked[:Few]
+		few := c.node("a-0").topology.Ranked[:RelayCount]
 		for _, name := range few {
 			c.cut(name, theLog, true)
 		}
--- a/control/schema.go
+++ b/control/schema.go
@@ -11,7 +11,7 @@
 type LeaseBatch struct {
 	Holder      string       `msg:"h"`
 	Incarnation uint64       `msg:"i"`
-	SpanMs      int64        `msg:"s"` // how long each accepted claim holds
+	TTLMs       int64        `msg:"s"` // how long each accepted claim holds
 	Nonce       uint64       `msg:"n"` // tells the holder which of its batches was accepted
 	Claims      []LeaseClaim `msg:"c"`
 }
@@ -36,7 +36,7 @@
 	Incarnation uint64
 	Fence       uint64 // grows with each new holder
 	Term        uint64 // grows with each accepted record of this fence
-	SpanMs      int64
+	TTLMs       int64
 	Nonce       uint64
 }
 
--- a/control/schema_gen.go
+++ b/control/schema_gen.go
@@ -24,7 +24,7 @@
 	o = msgp.AppendUint64(o, z.Incarnation)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendInt64(o, z.SpanMs)
+	o = msgp.AppendInt64(o, z.TTLMs)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
 	o = msgp.AppendUint64(o, z.Nonce)
@@ -76,9 +76,9 @@
 				return
 			}
 		case "s":
-			z.SpanMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.TTLMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "SpanMs")
+				err = msgp.WrapError(err, "TTLMs")
 				return
 			}
 		case "n":
@@ -195,7 +195,7 @@
 	o = msgp.AppendUint64(o, z.Incarnation)
 	o = msgp.AppendUint64(o, z.Fence)
 	o = msgp.AppendUint64(o, z.Term)
-	o = msgp.AppendInt64(o, z.SpanMs)
+	o = msgp.AppendInt64(o, z.TTLMs)
 	o = msgp.AppendUint64(o, z.Nonce)
 	return
 }
@@ -237,9 +237,9 @@
 		err = msgp.WrapError(err, "Term")
 		return
 	}
-	z.SpanMs, bts, err = msgp.ReadInt64Bytes(bts)
+	z.TTLMs, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "SpanMs")
+		err = msgp.WrapError(err, "TTLMs")
 		return
 	}
 	z.Nonce, bts, err = msgp.ReadUint64Bytes(bts)
--- a/control/serve.go
+++ b/control/serve.go
@@ -100,7 +100,7 @@
 		reply.Records = n.relay.page(req.From)
 		return reply, nil, nil
 	}
-	if n.fold.Seeking() || next == 0 {
+	if n.fold.NeedsSnapshot() || next == 0 {
 		return nil, nil, result.New(result.NoConfig, "%s has no state to give", n.opts.Self.Name)
 	}
 	if n.saved.data == nil || n.saved.next < n.relay.first || n.saved.next <= req.From {
@@ -164,14 +164,14 @@
 		LogAgeMs:    n.age().Milliseconds(),
 		Leaving:     n.leaving.Load(),
 	}
-	if err := n.fold.Stopped(); err != nil {
+	if err := n.fold.StopError(); err != nil {
 		r.Stopped = err.Error()
 	}
 	if s := n.fold.Current(); s != nil {
 		r.Version, r.Change, r.Digest = s.Version, s.ID, s.Digest
 	}
 	for name := range n.topology.Peers {
-		if n.members.Down(name, now) {
+		if n.members.IsDown(name, now) {
 			r.Down = append(r.Down, name)
 		}
 	}
--- a/control/topology.go
+++ b/control/topology.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Few is how many entries of a data centre serve the others with records.
-const Few = 4
+// RelayCount is how many entries of a data centre serve the others with records.
+const RelayCount = 4
 
-// Observers is how many of the few hear heartbeats. Two witnesses are needed against
+// ObserverCount is how many of the few hear heartbeats. Two witnesses are needed against
 // a silent one; the third is the spare.
-const Observers = 3
+const ObserverCount = 3
 
-// Tailers is how many of the few read the log itself: the other ones and all the
+// LogReaderCount is how many of the few read the log itself: the other ones and all the
 // rest follow them.
-const Tailers = 2
+const LogReaderCount = 2
 
 // Rank orders names by rendezvous hash for a subject: all processes that know the
 // same names agree on the order, and a change of one name moves little.
@@ -75,13 +75,13 @@
 	return slices.DeleteFunc(slices.Clone(few), func(n string) bool { return n == t.Self.Name })
 }
 
-// Tails reports whether this process reads the log while all is well.
-func (t *Topology) Tails() bool { return t.Place() < Tailers }
+// ReadsLog reports whether this process reads the log while all is well.
+func (t *Topology) ReadsLog() bool { return t.Place() < LogReaderCount }
 
-// Remote returns whom this process exchanges summaries with: only the first of a
+// SummaryPeers returns whom this process exchanges summaries with: only the first of a
 // data centre does, with the first of each other data centre of its region, and the
 // region's first data centre with one of each other region.
-func (t *Topology) Remote() []string {
+func (t *Topology) SummaryPeers() []string {
 	if t.Place() != 0 {
 		return nil
 	}
@@ -118,9 +118,9 @@
 // with those that read the log: two of them that followed each other would both wait
 // for news until it is stale.
 func (t *Topology) Sources() []string {
-	sources := Rank(t.Self.Name, t.Local(Few))
-	if t.Place() < Few {
-		tailers := t.Local(Tailers)
+	sources := Rank(t.Self.Name, t.Local(RelayCount))
+	if t.Place() < RelayCount {
+		tailers := t.Local(LogReaderCount)
 		sources = append(Rank(t.Self.Name, tailers), slices.DeleteFunc(sources, func(n string) bool { return slices.Contains(tailers, n) })...)
 	}
 	var rest []string
--- a/demo/hosted/callers.go
+++ b/demo/hosted/callers.go
@@ -98,8 +98,8 @@
 	var failed []string
 	for try := range callerTries {
 		address := c.entry(failed)
-		a := standin.Send(&c.transport, address, standin.Call{Host: host, Path: "/log/entry", ID: fmt.Sprintf("%s-%d", id, try), Key: key, Left: logWait})
-		answered = a.Status == http.StatusOK && a.Whole
+		a := standin.Send(&c.transport, address, standin.Request{Host: host, Path: "/log/entry", ID: fmt.Sprintf("%s-%d", id, try), Key: key, Timeout: logWait})
+		answered = a.Status == http.StatusOK && a.Complete
 		if a.Status != 0 || answered {
 			break
 		}
@@ -205,7 +205,7 @@
 	c.sent++
 	id := "added-" + number(c.sent)
 	c.mu.Unlock()
-	a := standin.Send(&c.transport, vm.callers, standin.Call{Host: host, Path: addedPath, ID: id, Key: key, Left: logWait})
+	a := standin.Send(&c.transport, vm.callers, standin.Request{Host: host, Path: addedPath, ID: id, Key: key, Timeout: logWait})
 	return a.Status == http.StatusOK
 }
 
--- a/demo/hosted/fleet.go
+++ b/demo/hosted/fleet.go
@@ -46,9 +46,9 @@
 // plainZones are where the plain targets are, none of them near an entry.
 var plainZones = [plainVMs]string{"x", "y"}
 
-var shape = standin.GroupShape{
+var shape = standin.GroupConfig{
 	Ranks: rankVMs, Sets: 2, Experts: 24, Places: 6, Slots: 10,
-	Fixed: 20 * time.Millisecond, PerStream: 4 * time.Millisecond, Copy: 15 * time.Millisecond, Events: 16,
+	BasePass: 20 * time.Millisecond, PassPerStream: 4 * time.Millisecond, CopyTime: 15 * time.Millisecond, Events: 16,
 }
 
 // Fleet is a running system.
@@ -84,7 +84,7 @@
 	byTarget map[string]int
 }
 
-func (r *runs) note(run standin.Run) {
+func (r *runs) note(run standin.Execution) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.byID[run.Request]++
@@ -211,19 +211,19 @@
 		_, f.port, _ = net.SplitHostPort(ln.Addr().String()) // of a listener, always well formed
 	}
 	f.agents = append(f.agents, lockstep.Start(lockstep.Options{
-		Name:         fmt.Sprintf("rank-%d", n),
-		Engine:       platform.NewOwnEngine(engine),
-		Address:      engine,
-		Service:      draftService,
-		Peers:        ln.Addr().String(),
-		Port:         f.port,
-		Store:        platform.NewStore(f.address),
-		Remote:       func(address string) lockstep.Engine { return platform.NewEngine(address) },
-		Dial:         lockstep.DialPeer,
-		DecodeTarget: platform.DecodeTarget,
-		DecodeConfig: platform.DecodeConfigRecord,
-		Log:          f.log,
-		Metrics:      metrics.New(),
+		VM:              fmt.Sprintf("rank-%d", n),
+		Engine:          platform.NewLocalEngine(engine),
+		EngineAddr:      engine,
+		Service:         draftService,
+		PeerAddr:        ln.Addr().String(),
+		PeerPort:        f.port,
+		Store:           platform.NewStore(f.address),
+		NewRemoteEngine: func(address string) lockstep.Engine { return platform.NewEngine(address) },
+		Dial:            lockstep.DialPeer,
+		DecodeTarget:    platform.DecodeTarget,
+		DecodeConfig:    platform.DecodeConfigRecord,
+		Log:             f.log,
+		Metrics:         metrics.New(),
 	}, ln))
 	return nil
 }
@@ -240,25 +240,25 @@
 	}
 	vm := &entryVM{name: fmt.Sprintf("entry-%d", n), callers: callers.Addr().String()}
 	vm.gateway = gateway.Start(gateway.Options{
-		Name:             vm.name,
-		Incarnation:      uint64(time.Now().UnixNano()),
-		DataCentre:       "z",
-		Callers:          vm.callers,
-		Peers:            peers.Addr().String(),
-		Protocol:         platform.Protocol(),
-		Store:            platform.NewStore(f.address),
-		DecodeConfig:     platform.DecodeConfigRecord,
-		DecodeEvacuation: platform.DecodeEvacuation,
-		DecodeTarget:     platform.DecodeTarget,
-		Drain:            drain,
-		ConfigApply:      configApply,
-		TargetBeat:       targetBeat,
-		Grace:            grace,
-		LifetimeMax:      lifetimeMax,
-		Retries:          gateway.RetryBounds{Ratio: 0.2, Slack: 90, Window: 10 * time.Second},
-		AgentPort:        f.port,
-		Log:              f.log,
-		Metrics:          metrics.New(),
+		Name:                    vm.name,
+		Incarnation:             uint64(time.Now().UnixNano()),
+		DataCentre:              "z",
+		CallerAddr:              vm.callers,
+		PeerAddr:                peers.Addr().String(),
+		Headers:                 platform.HeaderNames(),
+		Store:                   platform.NewStore(f.address),
+		DecodeConfig:            platform.DecodeConfigRecord,
+		DecodeEvacuation:        platform.DecodeEvacuation,
+		DecodeTarget:            platform.DecodeTarget,
+		DrainTimeout:            drain,
+		ConfigApplyTimeout:      configApply,
+		TargetHeartbeatInterval: targetBeat,
+		ShutdownGrace:           grace,
+		MaxDirectoryTTL:         lifetimeMax,
+		RetryBudget:             gateway.RetryBudget{Ratio: 0.2, Slack: 90, Window: 10 * time.Second},
+		AgentPort:               f.port,
+		Log:                     f.log,
+		Metrics:                 metrics.New(),
 	}, callers, peers)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -270,7 +270,7 @@
 func (f *Fleet) config(version int) map[string]any {
 	routes := []standin.Route{
 		{Name: "draft", Host: host, Prefix: "/draft/", Kind: standin.KindStream, Service: draftService, TimeoutMS: 8000},
-		{Name: "log", Host: host, Prefix: "/log/", Kind: standin.KindOnce, Service: plainService, TimeoutMS: 4000},
+		{Name: "log", Host: host, Prefix: "/log/", Kind: standin.KindNonIdempotent, Service: plainService, TimeoutMS: 4000},
 	}
 	if version > 1 {
 		routes = append(routes, standin.Route{Name: "added", Host: host, Prefix: addedPath, Kind: standin.KindIdempotent, Service: plainService, TimeoutMS: 4000})
--- a/demo/hosted/limit_test.go
+++ b/demo/hosted/limit_test.go
@@ -45,12 +45,12 @@
 	f, c, end := startWithCallers(t)
 	time.Sleep(2 * time.Second)
 	const rate = 1.5
-	f.group.Engines()[0].SetRate(rate)
-	f.plain[0].SetRate(rate)
+	f.group.Engines()[0].SetRateLimit(rate)
+	f.plain[0].SetRateLimit(rate)
 	time.Sleep(limitSettles + limitWindow + 2*time.Second)
-	for name, rates := range map[string][]standin.NamedRate{"engine": f.group.Engines()[0].Rates(), "plain target": f.plain[0].Rates()} {
+	for name, rates := range map[string][]standin.RateLimit{"engine": f.group.Engines()[0].RateLimits(), "plain target": f.plain[0].RateLimits()} {
 		g.Expect(rates).To(HaveLen(1))
-		g.Expect(rates[0].Most(limitWindow, limitSettles)).To(And(
+		g.Expect(rates[0].MaxInWindow(limitWindow, limitSettles)).To(And(
 			BeNumerically("<=", int(rate*limitWindow.Seconds())+2), BeNumerically(">=", 2)), name)
 	}
 	end()
--- a/demo/hosted/show.go
+++ b/demo/hosted/show.go
@@ -91,7 +91,7 @@
 	c.take()
 	sleep(ctx, calmFor)
 	r.PauseCalm = c.take().LongestPause
-	f.group.Move(shape.Experts / 3)
+	f.group.ShiftDemand(shape.Experts / 3)
 	_, r.ImbalanceBefore, _, _ = f.group.State()
 	var err error
 	if r.MapFollowed, err = until(ctx, followWithin, "a map that fits what is wanted now", f.even); err != nil {
--- a/demo/ranks_test.go
+++ b/demo/ranks_test.go
@@ -88,7 +88,7 @@
 func allMaps(f *demo.Fleet) string {
 	var b strings.Builder
 	for _, e := range f.Entries {
-		_ = expert.WriteMaps(&b, e.MapLogs()) // a Builder takes everything
+		_ = expert.WriteMapStatus(&b, e.MapLogs()) // a Builder takes everything
 	}
 	return b.String()
 }
--- a/entry/book.go
+++ b/entry/book.go
@@ -128,18 +128,18 @@
 }
 
 // attest advances the book to a version and returns the statement for an agent.
-func (b *book) attest(snap *config.Snapshot, p place, fleet string) *wire.Attest {
+func (b *book) attest(snap *config.Snapshot, p place, fleet string) *wire.DispatchReport {
 	names := targetNames(snap.Targets(fleet))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.version = max(b.version, snap.Version)
 	b.sweep(time.Now())
-	at := &wire.Attest{Version: snap.Version, Targets: names}
+	at := &wire.DispatchReport{Version: snap.Version, Targets: names}
 	for homeKey, k := range b.keys {
 		if k.fleet != fleet || !k.elsewhere(p) {
 			continue
 		}
-		if home := route.Home(homeKey, names); home >= 0 && names[home] == p.target {
+		if home := route.HomeIndex(homeKey, names); home >= 0 && names[home] == p.target {
 			at.Keys = append(at.Keys, route.KeyHash(homeKey))
 		}
 	}
--- a/entry/continue.go
+++ b/entry/continue.go
@@ -118,7 +118,7 @@
 	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
-	if s.complete && route.Retryable(result.From(err).Code, true) == route.RetryBudgeted {
+	if s.complete && route.RetryRuleFor(result.From(err).Code, true) == route.RetryBudgeted {
 		return nil, io.EOF
 	}
 	return nil, err
--- a/entry/control.go
+++ b/entry/control.go
@@ -181,7 +181,7 @@
 // of returns one agent's part. Resources that nobody ever owned have no floor.
 func (a *agentConfigs) of(target string) *wire.AgentConfig {
 	c := a.base
-	c.Policies = a.policies[a.snap.FleetOf(target)]
+	c.Policies = a.policies[a.snap.FleetOfTarget(target)]
 	for _, r := range a.resources[target] {
 		if fence := a.floors[r]; fence > 0 {
 			c.Floors = append(c.Floors, wire.FenceFloor{Resource: r, Fence: fence})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -75,7 +75,7 @@
 	notices chan struct{} // agents are to be told of a version or floor
 	out     *outcomes
 	stuck   stuckRanks
-	mapLogs sync.Map // expert.GroupLog by group
+	mapLogs sync.Map // expert.PlanHistory by group
 
 	mu    sync.Mutex
 	links map[string]*link // by target
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -73,7 +73,7 @@
 }
 
 func (x *explanation) view() DecisionView {
-	v := DecisionView{At: x.at, Service: x.service, Dropped: x.decision.Dropped}
+	v := DecisionView{At: x.at, Service: x.service, Dropped: x.decision.Filtered}
 	for i := range x.decision.N {
 		c := &x.decision.Candidates[i]
 		v.Candidates = append(v.Candidates, CandidateView{
--- a/entry/fleetview.go
+++ b/entry/fleetview.go
@@ -17,7 +17,7 @@
 // configuration versions.
 type fleetState struct {
 	mu     sync.Mutex
-	means  route.Means
+	means  route.LoadMeans
 	index  *route.CacheIndex
 	slots  map[string]int // of the index, by target
 	answer float64        // mean length of answers, tokens
@@ -59,7 +59,7 @@
 	}
 	for name, at := range s.slots {
 		if !used[name] {
-			s.index.Clear(at)
+			s.index.RemoveTarget(at)
 			delete(s.slots, name)
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // fleetView is the targets of one fleet that this entry uses, under one
-// configuration version and VM list. It implements route.TargetSet.
+// configuration version and VM list. It implements route.TargetPool.
 type fleetView struct {
 	entry    *Entry
 	state    *fleetState
@@ -91,13 +91,13 @@
 	link       atomic.Pointer[link]
 }
 
-// Len implements route.TargetSet.
+// Len implements route.TargetPool.
 func (v *fleetView) Len() int { return len(v.targets) }
 
-// Near implements route.TargetSet.
-func (v *fleetView) Near() int { return v.near }
+// NearCount implements route.TargetPool.
+func (v *fleetView) NearCount() int { return v.near }
 
-// Read implements route.TargetSet.
+// Read implements route.TargetPool.
 func (v *fleetView) Read(i int, r *route.Request, t *route.Target) {
 	at := &v.targets[i]
 	*t = route.Target{Name: at.name, DataCentre: at.dataCentre}
@@ -112,17 +112,17 @@
 	reported, age := l.read(t)
 	v.state.mu.Lock()
 	defer v.state.mu.Unlock()
-	t.Others = v.state.means.Aged(reported, age.Seconds())
-	v.state.means.Complete(t)
+	t.Others = v.state.means.DiscountStale(reported, age.Seconds())
+	v.state.means.FillSpeeds(t)
 	if at.slot >= 0 && len(r.Blocks) > 0 {
-		t.CachedTokens = v.state.index.Tokens(at.slot, r.Blocks)
+		t.CachedTokens = v.state.index.CachedTokens(at.slot, r.Blocks)
 	}
 }
 
-// Cached implements route.TargetSet.
-func (v *fleetView) Cached(r *route.Request, into []int) int {
+// LongestCached implements route.TargetPool.
+func (v *fleetView) LongestCached(r *route.Request, into []int) int {
 	v.state.mu.Lock()
-	found := v.state.index.Longest(r.Blocks, r.Seed, into)
+	found := v.state.index.LongestMatch(r.Blocks, r.Seed, into)
 	v.state.mu.Unlock()
 	n := 0
 	for _, slot := range into[:found] {
@@ -219,7 +219,7 @@
 	entries := e.liveEntries()
 	var near, far []config.Target
 	for _, t := range declared {
-		if !route.Serves(route.Node{Name: self.Name, DataCentre: self.DataCentre}, entries, t.Name, t.DataCentre, len(declared)) {
+		if !route.UsesTarget(route.Node{Name: self.Name, DataCentre: self.DataCentre}, entries, t.Name, t.DataCentre, len(declared)) {
 			continue
 		}
 		if t.DataCentre == self.DataCentre {
--- a/entry/home.go
+++ b/entry/home.go
@@ -9,7 +9,7 @@
 // home returns the one target that may run a request that must not run twice.
 func home(homeKey string, declared []config.Target) (string, error) {
 	names := targetNames(declared)
-	i := route.Home(homeKey, names)
+	i := route.HomeIndex(homeKey, names)
 	if i < 0 {
 		return "", result.New(result.NoTarget, "the service has no targets")
 	}
@@ -28,11 +28,11 @@
 		if l := e.link(t.Name); l != nil {
 			l.view(&view)
 		}
-		if view.Linked && !view.Leaving && view.EngineUp && !skip[t.Name] {
+		if view.Reachable && !view.Leaving && view.EngineUp && !skip[t.Name] {
 			names = append(names, t.Name)
 		}
 	}
-	i := route.Home("isolation\x00"+c.Service, names)
+	i := route.HomeIndex("isolation\x00"+c.Service, names)
 	if i < 0 {
 		return "", result.New(result.NoTarget, "no target of %s can run a suspected request alone", c.Service)
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -252,5 +252,5 @@
 	if !ok {
 		return func() {}
 	}
-	return conn.Watch(func() { cancel(result.New(result.CallerGone, "caller closed its connection")) })
+	return conn.WatchDisconnect(func() { cancel(result.New(result.CallerGone, "caller closed its connection")) })
 }
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -20,7 +20,7 @@
 	start time.Time
 
 	mu    sync.Mutex
-	teams map[string]*route.TeamLimit
+	teams map[string]*route.TeamLimiter
 	parts map[string]teamPart
 	nodes uint64 // digest of the entries that parts was made for
 }
@@ -28,7 +28,7 @@
 // teamPart is a part that was worked out before: ranking all entries for each
 // request would cost more than placing it.
 type teamPart struct {
-	part   route.Part
+	part   route.LimitMembership
 	member bool
 }
 
@@ -38,16 +38,16 @@
 )
 
 func newLimits() *limits {
-	return &limits{start: time.Now(), teams: make(map[string]*route.TeamLimit), parts: make(map[string]teamPart)}
+	return &limits{start: time.Now(), teams: make(map[string]*route.TeamLimiter), parts: make(map[string]teamPart)}
 }
 
 func (l *limits) now() time.Duration { return time.Since(l.start) }
 
 // team returns a team's state, nil if there are too many. Called with mu.
-func (l *limits) team(name string) *route.TeamLimit {
+func (l *limits) team(name string) *route.TeamLimiter {
 	t := l.teams[name]
 	if t == nil && len(l.teams) < limitTeams {
-		t = route.NewTeamLimit()
+		t = route.NewTeamLimiter()
 		l.teams[name] = t
 	}
 	return t
@@ -57,7 +57,7 @@
 // must be called when an admitted call is over.
 func (e *Entry) admit(snap *config.Snapshot, team *config.Team, c *Call) (done func(), err error) {
 	limit := route.Limits{Requests: float64(team.Requests), Tokens: float64(team.Tokens), InFlight: team.InFlight}
-	if !limit.Any() {
+	if !limit.HasLimit() {
 		return func() {}, nil
 	}
 	svc := snap.Service(c.Service)
@@ -70,14 +70,14 @@
 	if t == nil {
 		return nil, result.New(result.LimitTracked, "%d teams with limits are seen here", limitTeams)
 	}
-	ok, wait := t.Admit(l.now(), limit, part, c.sched.cost.Price())
+	ok, wait := t.Admit(l.now(), limit, part, c.sched.cost.DecodeEquivalent())
 	if !ok {
 		return nil, limitRefusal(team.Name, member, wait)
 	}
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		t.Done(0)
+		t.Release(0)
 	}, nil
 }
 
@@ -93,7 +93,7 @@
 
 // part returns which part of a team's limits is kept here, and whether this entry
 // is one of the team's.
-func (e *Entry) part(team string) (route.Part, bool) {
+func (e *Entry) part(team string) (route.LimitMembership, bool) {
 	nodes := e.entriesDigest.Load()
 	l := e.limits
 	l.mu.Lock()
@@ -117,8 +117,8 @@
 
 func (e *Entry) makePart(team string) teamPart {
 	entries := e.liveEntries()
-	p := teamPart{part: route.Part{Self: e.opts.Settings.Name, Entries: len(entries)}}
-	for _, m := range route.Members(team, entries, route.TeamEntries) {
+	p := teamPart{part: route.LimitMembership{Self: e.opts.Settings.Name, Entries: len(entries)}}
+	for _, m := range route.TeamMembers(team, entries, route.EntriesPerTeam) {
 		p.part.Members = append(p.part.Members, m.Name)
 		p.member = p.member || m.Name == p.part.Self
 	}
@@ -140,10 +140,10 @@
 	l.mu.Lock()
 	now := l.now()
 	for name, t := range l.teams {
-		if demand, tell := t.Tick(); tell {
+		if demand, tell := t.EndPeriod(); tell {
 			told[name] = demand
 		}
-		if t.Idle(now, limitIdle) {
+		if t.IsIdle(now, limitIdle) {
 			delete(l.teams, name)
 		}
 	}
@@ -177,7 +177,7 @@
 	defer l.mu.Unlock()
 	for _, row := range d.Teams {
 		if t := l.team(row.Team); t != nil {
-			t.Heard(l.now(), from, float64(row.Requests))
+			t.RecordDemand(l.now(), from, float64(row.Requests))
 		}
 	}
 	return nil
--- a/entry/link.go
+++ b/entry/link.go
@@ -194,12 +194,12 @@
 
 // attest tells the agent which requests that must not run twice went elsewhere.
 func (l *link) attest(conn *wire.Conn, s *config.Snapshot) {
-	fleet := s.FleetOf(l.target)
+	fleet := s.FleetOfTarget(l.target)
 	if fleet == "" {
 		return
 	}
 	p := place{target: l.target, incarnation: conn.Peer().Incarnation}
-	_ = conn.SendNote(wire.NoteAttest, l.entry.out.book.attest(s, p, fleet)) // sent again with the next link
+	_ = conn.SendNote(wire.NoteDispatchReport, l.entry.out.book.attest(s, p, fleet)) // sent again with the next link
 }
 
 // ServeStream implements wire.Handler; agents open no streams.
@@ -211,13 +211,13 @@
 func (l *link) ServeNote(c *wire.Conn, n wire.Note, payload []byte) {
 	switch n {
 	case wire.NoteLoad:
-	case wire.NoteRankStuck:
+	case wire.NoteRankStalled:
 		l.entry.stuck.heard(l.target, time.Now())
 		return
 	case wire.NoteCrash:
 		l.entry.serveCrash(payload)
 		return
-	case wire.NoteGoodbye:
+	case wire.NoteShutdown:
 		l.heardGoodbye(c)
 		return
 	default:
@@ -245,7 +245,7 @@
 
 // state is view under l.mu.
 func (l *link) state(t *route.Target) {
-	t.Linked = l.conn != nil && l.hasLoad
+	t.Reachable = l.conn != nil && l.hasLoad
 	t.Leaving = l.load.Leaving || l.vmState == outside.StateLeaving
 	t.EngineUp = l.load.EngineUp
 }
@@ -284,7 +284,7 @@
 	for _, l := range e.allLinks() {
 		var t route.Target
 		l.view(&t)
-		if t.Linked {
+		if t.Reachable {
 			n++
 		}
 	}
--- a/entry/outcomes.go
+++ b/entry/outcomes.go
@@ -77,30 +77,30 @@
 func (o *outcomes) request(service string, share float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.budget(service).Request(share)
+	o.budget(service).RecordRequest(share)
 }
 
 func (o *outcomes) takeRetry(service string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.budget(service).Take()
+	return o.budget(service).TakeRetry()
 }
 
 // ended books the end of a try in the target's health.
 func (o *outcomes) ended(target string, err error) {
-	fault := err != nil && route.TargetFault(result.From(err).Code)
+	fault := err != nil && route.IsTargetFault(result.From(err).Code)
 	if err != nil && !fault {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ejector.Report(target, !fault, time.Now())
+	o.ejector.RecordResult(target, !fault, time.Now())
 }
 
 // keepOut adds the ejected targets to those that one request avoids.
 func (o *outcomes) keepOut(declared []config.Target, avoid map[string]bool) map[string]bool {
 	o.mu.Lock()
-	skip := o.ejector.Skip(targetNames(declared), time.Now(), rand.Float64)
+	skip := o.ejector.Excluded(targetNames(declared), time.Now(), rand.Float64)
 	o.mu.Unlock()
 	for name := range avoid {
 		skip[name] = true
@@ -108,11 +108,11 @@
 	return skip
 }
 
-func (o *outcomes) judge(fingerprint uint64) (route.Verdict, time.Duration) {
+func (o *outcomes) judge(fingerprint uint64) (route.QuarantineAction, time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	verdict, until := o.quarantine.Judge(fingerprint, now)
+	verdict, until := o.quarantine.Check(fingerprint, now)
 	return verdict, until.Sub(now)
 }
 
@@ -132,7 +132,7 @@
 	e.out.mu.Lock()
 	now := time.Now()
 	age := time.Duration(c.AgeMs) * time.Millisecond
-	refused := e.out.quarantine.Crash(c.ID, c.Alone, c.Suspects, now.Add(-age), now)
+	refused := e.out.quarantine.RecordCrash(c.ID, c.Alone, c.Suspects, now.Add(-age), now)
 	if age == 0 {
 		e.out.ejector.Eject(c.Target, now)
 	}
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -30,12 +30,12 @@
 	name  string
 
 	planner   expert.Planner
-	estimate  expert.Estimator
-	speeds    expert.Speeds
+	estimate  expert.LoadEstimator
+	speeds    expert.SpeedEstimator
 	live      *expert.Map
 	nextLoads time.Time
 	reports   int
-	log       expert.GroupLog
+	log       expert.PlanHistory
 }
 
 // ownGroups starts an owner for each declared group. Each runs by itself: loading
@@ -87,7 +87,7 @@
 }
 
 func (o *owner) tick(ctx context.Context, snap *config.Snapshot, g *config.Group, now time.Time) {
-	if shapeOf(g).Check() != nil {
+	if shapeOf(g).Validate() != nil {
 		return
 	}
 	lease, held := o.entry.node.Held(control.GroupResource(g.Name))
@@ -111,7 +111,7 @@
 
 // rescue brings a group on that stands still for want of a decision.
 func (o *owner) rescue(ctx context.Context, g *config.Group) {
-	s := &mapSwitch{entry: o.entry, group: g, order: wire.RankOrder{Group: g.Name, Rescue: true}}
+	s := &mapSwitch{entry: o.entry, group: g, order: wire.RankOrder{Group: g.Name, Recovery: true}}
 	err := s.run(ctx)
 	o.entry.opts.Metrics.Count("map_rescues_total", 1)
 	if err != nil {
@@ -161,7 +161,7 @@
 		}
 		seconds[rank] = r.Seconds
 	}
-	o.estimate.HalfLife = estimateShare * (g.PlanEvery / loadsPerPlan).Seconds()
+	o.estimate.HalfLifeSeconds = estimateShare * (g.PlanEvery / loadsPerPlan).Seconds()
 	o.estimate.Observe(float64(now.UnixMilli())/1000, loads)
 	o.speeds.Observe(tokens, seconds)
 	return true
@@ -170,15 +170,15 @@
 const megabyte = 1e6
 
 func (o *owner) plan(ctx context.Context, snap *config.Snapshot, g *config.Group, fence uint64, now time.Time) {
-	in := &expert.Input{
-		Map:         o.live,
-		Loads:       o.estimate.Forecast(float64(now.UnixMilli())/1000, nil),
-		Speeds:      o.speeds.Known(),
-		ExpertBytes: float64(g.ExpertMB) * megabyte,
-		StoreRate:   float64(g.StoreMB) * megabyte,
-		Life:        g.GainLife.Seconds(),
-		Weights:     weightsOf(snap, g),
-		Limits:      expert.Limits{MovesPerRank: g.Spare, Bytes: float64(g.StoreMB) * megabyte * g.PlanEvery.Seconds()},
+	in := &expert.PlanInput{
+		Map:                 o.live,
+		Loads:               o.estimate.Forecast(float64(now.UnixMilli())/1000, nil),
+		RankSpeeds:          o.speeds.RankSpeeds(),
+		ExpertBytes:         float64(g.ExpertMB) * megabyte,
+		StoreBytesPerSecond: float64(g.StoreMB) * megabyte,
+		GainLifeSeconds:     g.GainLife.Seconds(),
+		CostWeights:         weightsOf(snap, g),
+		Limits:              expert.PlanLimits{MaxMovesPerRank: g.Spare, MaxBytes: float64(g.StoreMB) * megabyte * g.PlanEvery.Seconds()},
 	}
 	plan, err := o.planner.Plan(in)
 	if err != nil {
@@ -186,7 +186,7 @@
 		return
 	}
 	o.entry.opts.Metrics.Count("map_plans_total", 1)
-	outcome := expert.OutcomeKept
+	outcome := expert.OutcomeMapKept
 	if plan.Map != nil {
 		s := &mapSwitch{entry: o.entry, group: g, want: plan.Map, order: wire.RankOrder{Group: g.Name, Fence: fence}}
 		outcome = expert.OutcomeSwitched
@@ -198,30 +198,30 @@
 			o.entry.log.Info("map switched", "group", g.Name, "moves", plan.Moves, "skew_before", plan.SkewBefore, "skew_after", plan.SkewAfter)
 		}
 	}
-	o.log.Add(g.Name, uint64(o.live.ID()), now, &plan, outcome, o.speeds.Stragglers())
+	o.log.AddPlan(g.Name, uint64(o.live.ID()), now, &plan, outcome, o.speeds.Stragglers())
 	o.entry.mapLogs.Store(g.Name, o.log.Clone())
 }
 
 // weightsOf returns the prices of the policy of the service that runs on the
 // group's fleet.
-func weightsOf(snap *config.Snapshot, g *config.Group) expert.Weights {
+func weightsOf(snap *config.Snapshot, g *config.Group) expert.CostWeights {
 	for i := range snap.Config.Services {
 		svc := &snap.Config.Services[i]
 		if svc.Fleet != g.Fleet {
 			continue
 		}
 		if p := snap.Policy(svc); p != nil {
-			return expert.Weights{Skew: p.SkewWeight, Move: p.MoveWeight}
+			return expert.CostWeights{Skew: p.SkewWeight, Move: p.MoveWeight}
 		}
 	}
-	return expert.Weights{Skew: 1, Move: 1}
+	return expert.CostWeights{Skew: 1, Move: 1}
 }
 
 // MapLogs returns what this entry knows of the groups that it owns or has owned.
-func (e *Entry) MapLogs() []expert.GroupLog {
-	var logs []expert.GroupLog
+func (e *Entry) MapLogs() []expert.PlanHistory {
+	var logs []expert.PlanHistory
 	e.mapLogs.Range(func(_, v any) bool {
-		logs = append(logs, v.(expert.GroupLog))
+		logs = append(logs, v.(expert.PlanHistory))
 		return true
 	})
 	return logs
@@ -230,7 +230,7 @@
 // mapsText is what `status maps` shows of this entry's groups.
 func (e *Entry) mapsText() string {
 	var b strings.Builder
-	if err := expert.WriteMaps(&b, e.MapLogs()); err != nil {
+	if err := expert.WriteMapStatus(&b, e.MapLogs()); err != nil {
 		return err.Error()
 	}
 	return b.String()
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -14,9 +14,9 @@
 func TestAPolicyWithoutSamplesGetsTheDefaults(t *testing.T) {
 	g := NewWithT(t)
 	placer := new(Entry).placerOf(&config.Policy{Name: "old"})
-	g.Expect(placer.Near).To(BeNumerically(">", 0))
-	g.Expect(placer.Far).To(BeNumerically(">", 0))
+	g.Expect(placer.NearSamples).To(BeNumerically(">", 0))
+	g.Expect(placer.FarSamples).To(BeNumerically(">", 0))
 	own := new(Entry).placerOf(&config.Policy{Name: "new", SampleNear: 1})
-	g.Expect(own.Near).To(Equal(1))
-	g.Expect(own.Far).To(Equal(0))
+	g.Expect(own.NearSamples).To(Equal(1))
+	g.Expect(own.FarSamples).To(Equal(0))
 }
--- a/entry/ranks.go
+++ b/entry/ranks.go
@@ -96,10 +96,10 @@
 func holdReply(r *wire.RankReply) expert.HoldReply {
 	h := expert.HoldReply{
 		Incarnation: r.Incarnation,
-		Start:       r.Start,
+		EngineRun:   r.Start,
 		Joined:      r.Entered,
-		Next:        r.Next,
-		Inside:      r.Inside,
+		NextStep:    r.Next,
+		InStep:      r.Inside,
 		Map:         expert.MapID(r.Map),
 		HoldAt:      r.HoldAt,
 		Loaded:      []expert.MapID{},
--- a/entry/sched.go
+++ b/entry/sched.go
@@ -21,7 +21,7 @@
 	weight  int
 	maxWait int64   // milliseconds, of the latest choice
 	cached  float64 // tokens, at the latest choice
-	trail   route.Trail
+	trail   route.RejectionHistory
 }
 
 // refused notes a failed try.
@@ -39,7 +39,7 @@
 	}
 	var t route.Target
 	l.view(&t)
-	return t.Linked && t.EngineUp && !t.Leaving
+	return t.Reachable && t.EngineUp && !t.Leaving
 }
 
 // bodyShape is the part of a model request that costs depend on.
@@ -79,7 +79,7 @@
 	}
 	text := b.text()
 	s.cost = route.EstimateCost(len(text), b.MaxTokens, answer)
-	s.blocks = route.Blocks(c.Team, text, nil)
+	s.blocks = route.BlockHashes(c.Team, text, nil)
 }
 
 // wire returns what the agent's queue must know.
@@ -100,7 +100,7 @@
 	svc := snap.Service(c.Service)
 	c.prepare(snap, svc, view.state.answerTokens())
 	s := &c.sched
-	if target, ok := s.trail.Settled(); ok && e.usable(target) {
+	if target, ok := s.trail.FinalTarget(); ok && e.usable(target) {
 		s.maxWait = 0
 		return target, nil
 	}
@@ -117,7 +117,7 @@
 	placer.Pick(&req, view, d)
 	e.explain.add(c, d)
 	best := d.Best()
-	if told, _, ok := s.trail.Best(); best == nil && ok && e.usable(told) {
+	if told, _, ok := s.trail.ShortestWait(); best == nil && ok && e.usable(told) {
 		s.maxWait = 0 // all others were tried, or can't be used
 		return told, nil
 	}
@@ -145,15 +145,15 @@
 // they are zero here. Symptom: no target is ever found. Enough, because a policy of
 // a build that knows them has at least one sample.
 func (e *Entry) placerOf(p *config.Policy) *route.Placer {
-	key := placerKey{p.Patience, p.Distance, p.SampleNear, p.SampleFar, p.LoadPrice}
+	key := placerKey{p.WaitSlack, p.Distance, p.SampleNear, p.SampleFar, p.LoadPrice}
 	if held, ok := e.placers.Load(key); ok {
 		return held.(*route.Placer)
 	}
 	placer := route.DefaultPlacer()
 	if p.SampleNear+p.SampleFar > 0 {
-		placer.Patience = p.Patience
-		placer.Near, placer.Far = p.SampleNear, p.SampleFar
-		placer.Scorer = route.Wait{Distance: p.Distance.Seconds(), Load: p.LoadPrice}
+		placer.WaitSlack = p.WaitSlack
+		placer.NearSamples, placer.FarSamples = p.SampleNear, p.SampleFar
+		placer.Scorer = route.WaitScorer{RemotePenaltySec: p.Distance.Seconds(), LoadPenaltySec: p.LoadPrice}
 	}
 	held, _ := e.placers.LoadOrStore(key, placer)
 	return held.(*route.Placer)
--- a/entry/switch.go
+++ b/entry/switch.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	if inUse == nil {
-		inUse = expert.NewMap(shapeOf(s.group))
+		inUse = expert.InitialMap(shapeOf(s.group))
 		if s.want == nil {
 			s.want = inUse
 		}
@@ -94,13 +94,13 @@
 }
 
 // attempt begins a ballot above all that the ranks have promised.
-func (s *mapSwitch) attempt(status []*wire.RankReply) *expert.Attempt {
+func (s *mapSwitch) attempt(status []*wire.RankReply) *expert.SwitchAttempt {
 	at, round := uint64(1), uint64(0)
 	for _, r := range status {
 		at = max(at, r.Next)
 		round = max(round, r.Round)
 	}
-	if !s.order.Rescue {
+	if !s.order.Recovery {
 		at += holdMargin
 	}
 	s.ballot = expert.Ballot{Round: round + 1, Owner: xxhash.Sum64String(fmt.Sprint(s.entry.opts.Settings.Name, s.entry.opts.Incarnation))}
@@ -109,13 +109,13 @@
 	if s.want != nil {
 		want = s.want.ID()
 	}
-	return expert.NewAttempt(s.ballot, at, want, len(s.group.Ranks))
+	return expert.NewSwitchAttempt(s.ballot, at, want, len(s.group.Ranks))
 }
 
 // decide holds all ranks, has them confirm, and sends the decision.
-func (s *mapSwitch) decide(ctx context.Context, a *expert.Attempt) error {
+func (s *mapSwitch) decide(ctx context.Context, a *expert.SwitchAttempt) error {
 	limit := holdLimit
-	if s.order.Rescue {
+	if s.order.Recovery {
 		limit = rescueLimit
 	}
 	d, err := s.collect(ctx, a, limit)
@@ -126,23 +126,23 @@
 	return s.announce(ctx, a, d)
 }
 
-func (s *mapSwitch) collect(ctx context.Context, a *expert.Attempt, limit time.Duration) (*expert.Decision, error) {
+func (s *mapSwitch) collect(ctx context.Context, a *expert.SwitchAttempt, limit time.Duration) (*expert.Decision, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, limit, result.New(result.BallotVoid, "ranks were silent for %s", limit))
 	defer cancel()
 	o := s.order
-	o.Op, o.At = wire.RankHold, a.At
+	o.Op, o.At = wire.RankHold, a.HoldAt
 	replies, errs := s.entry.askRanks(ctx, s.group.Ranks, o, nil)
 	if err := firstError(errs); err != nil {
 		return nil, err
 	}
 	for rank, r := range replies {
-		a.Reply(rank, holdReply(r))
+		a.RecordReply(rank, holdReply(r))
 	}
 	o.Op = wire.RankConfirm
 	_, errs = s.entry.askRanks(ctx, s.group.Ranks, o, s.addressed(a))
 	for rank, err := range errs {
 		if err == nil {
-			a.Confirm(rank)
+			a.RecordConfirmation(rank)
 		}
 	}
 	if err := firstError(errs); err != nil {
@@ -152,15 +152,15 @@
 }
 
 // addressed sends back to each rank whose reply the order rests on.
-func (s *mapSwitch) addressed(a *expert.Attempt) func(rank int, o *wire.RankOrder) {
+func (s *mapSwitch) addressed(a *expert.SwitchAttempt) func(rank int, o *wire.RankOrder) {
 	return func(rank int, o *wire.RankOrder) {
-		o.Incarnation, o.Start = a.Replies[rank].Incarnation, a.Replies[rank].Start
+		o.Incarnation, o.Start = a.Replies[rank].Incarnation, a.Replies[rank].EngineRun
 	}
 }
 
 // withdraw lets the ranks run on at once. It is allowed only while this ballot
-// has not decided; Attempt sees to it that it won't afterwards.
-func (s *mapSwitch) withdraw(ctx context.Context, a *expert.Attempt) {
+// has not decided; SwitchAttempt sees to it that it won't afterwards.
+func (s *mapSwitch) withdraw(ctx context.Context, a *expert.SwitchAttempt) {
 	if !a.Withdraw() {
 		return
 	}
@@ -174,11 +174,11 @@
 
 // announce tells all ranks, again and again until each has obeyed or can't: from
 // the first one that obeys, the decision is made and the others wait for it.
-func (s *mapSwitch) announce(ctx context.Context, a *expert.Attempt, d *expert.Decision) error {
+func (s *mapSwitch) announce(ctx context.Context, a *expert.SwitchAttempt, d *expert.Decision) error {
 	ctx, cancel := context.WithTimeout(ctx, decideLimit)
 	defer cancel()
 	o := s.order
-	o.Op, o.Join = wire.RankDecide, d.Join
+	o.Op, o.Join = wire.RankDecide, d.JoinStep
 	for _, seg := range d.Schedule {
 		o.Schedule = append(o.Schedule, wire.RankSegment{From: seg.From, Map: uint64(seg.Map)})
 	}
@@ -227,7 +227,7 @@
 			continue
 		}
 		m := &expert.Map{Shape: shapeOf(g), Slot: wire.DecodeSlots(reply.Slots)}
-		if m.Check() == nil && uint64(m.ID()) == reply.Map {
+		if m.Validate() == nil && uint64(m.ID()) == reply.Map {
 			return m, nil
 		}
 	}
--- a/entry/tries.go
+++ b/entry/tries.go
@@ -45,7 +45,7 @@
 		call:        c,
 		policy:      policy,
 		fingerprint: route.Fingerprint(c.Team, c.Service, c.Body),
-		homeKey:     route.HomeKey(c.Team, c.Service, c.Key),
+		homeKey:     route.DedupKey(c.Team, c.Service, c.Key),
 		avoid:       make(map[string]bool),
 	}
 }
@@ -70,17 +70,17 @@
 		return nil, "", t.unsent(ctx)
 	}
 	verdict, left := t.entry.out.judge(t.fingerprint)
-	if verdict == route.VerdictRefuse {
+	if verdict == route.QuarantineReject {
 		refusal := result.New(result.CrashSuspect, "it crashed targets and is refused for %s", left.Round(time.Second))
 		refusal.RetryAfter = left
 		return nil, "", refusal
 	}
 	t.refresh()
-	target, err = t.target(verdict == route.VerdictAlone)
+	target, err = t.target(verdict == route.QuarantineRunAlone)
 	if err != nil {
 		return nil, "", err
 	}
-	a, err = t.send(ctx, target, body, verdict == route.VerdictAlone)
+	a, err = t.send(ctx, target, body, verdict == route.QuarantineRunAlone)
 	return a, target, err
 }
 
@@ -225,7 +225,7 @@
 // again tells whether a failed request is tried once more, after its backoff.
 func (t *tries) again(ctx context.Context, target string, err error) bool {
 	code := result.From(err).Code
-	rule := route.Retryable(code, t.call.Repeatable)
+	rule := route.RetryRuleFor(code, t.call.Repeatable)
 	if rule == route.RetryNever || t.failures >= maxTries || ctx.Err() != nil {
 		return false
 	}
--- a/entry/work.go
+++ b/entry/work.go
@@ -44,7 +44,7 @@
 	if b.ended {
 		return
 	}
-	tokens, _ := route.CountTokens(chunk)
+	tokens, _ := route.EstimateTokens(chunk)
 	n := min(b.left.Decode, float64(tokens))
 	done := route.Cost{Prompt: -b.left.Prompt, Decode: -n}
 	b.left.Prompt = 0
@@ -88,12 +88,12 @@
 	l.work.others = othersOf(load)
 	if f := l.fleet.Load(); f != nil {
 		f.mu.Lock()
-		f.means.Speeds(&route.Target{
-			TokensPerSec:  float64(load.TokensPerSec),
-			PrefillPerSec: float64(load.PrefillPerSec),
-			StepWait:      float64(load.StepWait),
+		f.means.RecordSpeeds(&route.Target{
+			TokensPerSec:      float64(load.TokensPerSec),
+			PrefillPerSec:     float64(load.PrefillPerSec),
+			FirstTokenBaseSec: float64(load.FirstTokenBaseSec),
 		}, len(f.slots))
-		f.means.Fold(l.work.own, l.work.others, len(f.slots))
+		f.means.RecordLoad(l.work.own, l.work.others, len(f.slots))
 		if load.AnswerTokens > 0 {
 			f.answer = float64(load.AnswerTokens)
 		}
@@ -103,9 +103,9 @@
 
 func othersOf(l *wire.Load) route.Work {
 	return route.Work{
-		Requests: float64(max(0, l.Total.Requests-l.Mine.Requests)),
-		Prompt:   float64(max(0, l.Total.Prompt-l.Mine.Prompt)),
-		Decode:   float64(max(0, l.Total.Decode-l.Mine.Decode)),
+		Requests: float64(max(0, l.Total.Requests-l.FromReceiver.Requests)),
+		Prompt:   float64(max(0, l.Total.Prompt-l.FromReceiver.Prompt)),
+		Decode:   float64(max(0, l.Total.Decode-l.FromReceiver.Decode)),
 	}
 }
 
@@ -118,7 +118,7 @@
 	t.Slots = l.load.Slots
 	t.TokensPerSec = float64(l.load.TokensPerSec)
 	t.PrefillPerSec = float64(l.load.PrefillPerSec)
-	t.StepWait = float64(l.load.StepWait)
+	t.FirstTokenBaseSec = float64(l.load.FirstTokenBaseSec)
 	t.Own = l.work.own
 	return l.work.others, time.Since(l.work.reported)
 }
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -10,7 +10,7 @@
 )
 
 func loadOf(seq uint64, total, mine int) *wire.Load {
-	return &wire.Load{Seq: seq, EngineUp: true, Total: wire.Work{Requests: total, Decode: 100 * total}, Mine: wire.Work{Requests: mine, Decode: 100 * mine}}
+	return &wire.Load{Seq: seq, EngineUp: true, Total: wire.Work{Requests: total, Decode: 100 * total}, FromReceiver: wire.Work{Requests: mine, Decode: 100 * mine}}
 }
 
 func held(l *link) float64 {
--- a/expert/attempt.go
+++ b/expert/attempt.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Attempt is one orderer's ballot: it collects the replies of all ranks, then
+// SwitchAttempt is one orderer's ballot: it collects the replies of all ranks, then
 // their confirmations, and decides once; or it withdraws.
-type Attempt struct {
-	Ballot  Ballot
-	At      uint64 // step that the ranks are asked to hold at
-	Want    MapID  // 0: go on with the map in use
-	Replies []*HoldReply
+type SwitchAttempt struct {
+	Ballot    Ballot
+	HoldAt    uint64 // step that the ranks are asked to hold at
+	WantedMap MapID  // 0: go on with the map in use
+	Replies   []*HoldReply
 
 	complete  bool // all replies are there and stay as they are
 	confirmed []bool
@@ -22,37 +22,37 @@
 
 // Reasons why an attempt can't decide.
 var (
-	ErrUnconfirmed = errors.New("not all ranks have confirmed")
-	ErrSilent      = errors.New("not all ranks have answered")
-	ErrWithdrawn   = errors.New("the attempt was withdrawn")
-	ErrMixed       = errors.New("replies name two maps for one step")
-	ErrNotLoaded   = errors.New("a rank has not loaded a map that it needs")
-	ErrNoMap       = errors.New("no rank knows a map and none is wanted")
+	ErrUnconfirmed     = errors.New("not all ranks have confirmed")
+	ErrMissingReplies  = errors.New("not all ranks have answered")
+	ErrWithdrawn       = errors.New("the attempt was withdrawn")
+	ErrConflictingMaps = errors.New("replies name two maps for one step")
+	ErrNotLoaded       = errors.New("a rank has not loaded a map that it needs")
+	ErrNoMap           = errors.New("no rank knows a map and none is wanted")
 )
 
-// NewAttempt begins a ballot over a number of ranks.
-func NewAttempt(b Ballot, at uint64, want MapID, ranks int) *Attempt {
-	return &Attempt{Ballot: b, At: at, Want: want, Replies: make([]*HoldReply, ranks), confirmed: make([]bool, ranks)}
+// NewSwitchAttempt begins a ballot over a number of ranks.
+func NewSwitchAttempt(b Ballot, at uint64, want MapID, ranks int) *SwitchAttempt {
+	return &SwitchAttempt{Ballot: b, HoldAt: at, WantedMap: want, Replies: make([]*HoldReply, ranks), confirmed: make([]bool, ranks)}
 }
 
-// Reply books a rank's reply; a later one replaces it until all have answered.
+// RecordReply books a rank's reply; a later one replaces it until all have answered.
 // It returns true when all have: confirmations may be asked for from then on.
-func (a *Attempt) Reply(rank int, r HoldReply) bool {
+func (a *SwitchAttempt) RecordReply(rank int, r HoldReply) bool {
 	if !a.complete {
 		a.Replies[rank] = &r
-		a.complete = len(a.Missing()) == 0
+		a.complete = len(a.MissingRanks()) == 0
 	}
 	return a.complete
 }
 
-// Confirm books a rank's answer to a question that was sent after the last reply
+// RecordConfirmation books a rank's answer to a question that was sent after the last reply
 // had come.
-func (a *Attempt) Confirm(rank int) {
+func (a *SwitchAttempt) RecordConfirmation(rank int) {
 	a.confirmed[rank] = a.complete
 }
 
-// Missing returns the ranks that have not answered.
-func (a *Attempt) Missing() []int {
+// MissingRanks returns the ranks that have not answered.
+func (a *SwitchAttempt) MissingRanks() []int {
 	var ranks []int
 	for i, r := range a.Replies {
 		if r == nil {
@@ -63,7 +63,7 @@
 }
 
 // Withdraw gives the attempt up; false if it has decided.
-func (a *Attempt) Withdraw() bool {
+func (a *SwitchAttempt) Withdraw() bool {
 	if a.decided == nil {
 		a.withdrawn = true
 	}
@@ -78,14 +78,14 @@
 //   - the first step that no rank can have entered, the furthest hold, is free.
 //
 // Without a reply of every rank a silent one may be past the step already.
-func (a *Attempt) Decide() (*Decision, error) {
+func (a *SwitchAttempt) Decide() (*Decision, error) {
 	switch {
 	case a.decided != nil:
 		return a.decided, nil
 	case a.withdrawn:
 		return nil, ErrWithdrawn
-	case len(a.Missing()) > 0:
-		return nil, fmt.Errorf("%w: %v", ErrSilent, a.Missing())
+	case len(a.MissingRanks()) > 0:
+		return nil, fmt.Errorf("%w: %v", ErrMissingReplies, a.MissingRanks())
 	case slices.Contains(a.confirmed, false):
 		return nil, ErrUnconfirmed
 	}
@@ -97,18 +97,18 @@
 	return d, nil
 }
 
-func (a *Attempt) decide() (*Decision, error) {
+func (a *SwitchAttempt) decide() (*Decision, error) {
 	d := &Decision{Ballot: a.Ballot}
 	join, free, found := a.span()
 	if !found {
-		if a.Want == 0 {
+		if a.WantedMap == 0 {
 			return nil, ErrNoMap
 		}
-		d.Join = a.At
-		d.Schedule = Schedule{{From: a.At, Map: a.Want}}
+		d.JoinStep = a.HoldAt
+		d.Schedule = Schedule{{From: a.HoldAt, Map: a.WantedMap}}
 		return d, a.checkLoaded(d)
 	}
-	d.Join = join
+	d.JoinStep = join
 	inUse := MapID(0)
 	for step := join; step < free; step++ {
 		m, err := a.mapOf(step)
@@ -121,7 +121,7 @@
 	if inUse == 0 {
 		inUse = a.currentMap()
 	}
-	want := a.Want
+	want := a.WantedMap
 	if want == 0 || !a.allLoaded(want) {
 		want = inUse
 	}
@@ -138,13 +138,13 @@
 
 // span returns the first step that is not complete everywhere and the first
 // that no rank can have entered; found is false if no rank knows its step.
-func (a *Attempt) span() (join, free uint64, found bool) {
+func (a *SwitchAttempt) span() (join, free uint64, found bool) {
 	for _, r := range a.Replies {
 		if r == nil || !r.Joined {
 			continue
 		}
-		first := r.Next
-		if r.Inside {
+		first := r.NextStep
+		if r.InStep {
 			first--
 		}
 		if !found || first < join {
@@ -157,35 +157,35 @@
 }
 
 // mapOf returns the map of a step that some rank enters before its hold.
-func (a *Attempt) mapOf(step uint64) (MapID, error) {
+func (a *SwitchAttempt) mapOf(step uint64) (MapID, error) {
 	m := MapID(0)
 	for _, r := range a.Replies {
-		if r == nil || !r.Joined || step+1 < r.Next || step >= r.HoldAt {
+		if r == nil || !r.Joined || step+1 < r.NextStep || step >= r.HoldAt {
 			continue
 		}
 		if m != 0 && m != r.Map {
-			return 0, fmt.Errorf("%w: step %d", ErrMixed, step)
+			return 0, fmt.Errorf("%w: step %d", ErrConflictingMaps, step)
 		}
 		m = r.Map
 	}
 	if m == 0 {
-		return 0, fmt.Errorf("%w: nobody enters step %d", ErrSilent, step)
+		return 0, fmt.Errorf("%w: nobody enters step %d", ErrMissingReplies, step)
 	}
 	return m, nil
 }
 
 // currentMap returns the map of the rank that is furthest.
-func (a *Attempt) currentMap() MapID {
+func (a *SwitchAttempt) currentMap() MapID {
 	m, next := MapID(0), uint64(0)
 	for _, r := range a.Replies {
-		if r != nil && r.Joined && (m == 0 || r.Next > next) {
-			m, next = r.Map, r.Next
+		if r != nil && r.Joined && (m == 0 || r.NextStep > next) {
+			m, next = r.Map, r.NextStep
 		}
 	}
 	return m
 }
 
-func (a *Attempt) allLoaded(m MapID) bool {
+func (a *SwitchAttempt) allLoaded(m MapID) bool {
 	for _, r := range a.Replies {
 		if r != nil && r.Loaded != nil && !slices.Contains(r.Loaded, m) {
 			return false
@@ -195,13 +195,13 @@
 }
 
 // checkLoaded keeps a rank from being sent into a step without its weights.
-func (a *Attempt) checkLoaded(d *Decision) error {
+func (a *SwitchAttempt) checkLoaded(d *Decision) error {
 	for i, r := range a.Replies {
 		if r == nil || r.Loaded == nil {
 			continue
 		}
 		for j, seg := range d.Schedule {
-			passed := j+1 < len(d.Schedule) && r.Joined && d.Schedule[j+1].From <= r.Next
+			passed := j+1 < len(d.Schedule) && r.Joined && d.Schedule[j+1].From <= r.NextStep
 			if !passed && !slices.Contains(r.Loaded, seg.Map) {
 				return fmt.Errorf("%w: rank %d, map %016x", ErrNotLoaded, i, uint64(seg.Map))
 			}
--- a/expert/balance.go
+++ b/expert/balance.go
@@ -18,8 +18,8 @@
 	return c
 }
 
-// FirstLayout returns the layout that engines start with: the experts in turn.
-func FirstLayout(ranks, experts int) Layout {
+// InitialLayout returns the layout that engines start with: the experts in turn.
+func InitialLayout(ranks, experts int) Layout {
 	l := make(Layout, ranks)
 	for e := range experts {
 		l[e%ranks] = append(l[e%ranks], uint16(e))
@@ -27,10 +27,10 @@
 	return l
 }
 
-// Longest returns the time of the rank that takes longest, and of a rank if all
+// MaxAndMeanTime returns the time of the rank that takes longest, and of a rank if all
 // were alike. An expert's copies share its load evenly. pace is how many times as
 // long as usual each rank takes; nil: all are alike.
-func (l Layout) Longest(loads, pace []float64) (longest, mean float64) {
+func (l Layout) MaxAndMeanTime(loads, pace []float64) (longest, mean float64) {
 	copies := make([]int, len(loads))
 	for _, list := range l {
 		for _, e := range list {
@@ -58,21 +58,21 @@
 
 // BalanceLimits bound one change of a layout.
 type BalanceLimits struct {
-	Base   Layout    // what ranks hold and need not copy; nil: the layout itself
-	Places int       // experts on one rank
-	Fresh  int       // experts that a rank gets and did not hold
-	Room   []int     // the same for each rank by itself, where that is less; nil: no bound
-	Pace   []float64 // how many times as long as usual each rank takes; nil: all are alike
-	Price  float64   // that a step must gain for each expert that is copied
-	Steps  int       // of the search
+	Base           Layout    // what ranks hold and need not copy; nil: the layout itself
+	ExpertsPerRank int       // experts on one rank
+	MaxNewPerRank  int       // experts that a rank gets and did not hold
+	MaxNewByRank   []int     // the same for each rank by itself, where that is less; nil: no bound
+	Slowdown       []float64 // how many times as long as usual each rank takes; nil: all are alike
+	PricePerCopy   float64   // that a step must gain for each expert that is copied
+	MaxSteps       int       // of the search
 }
 
 // fresh returns how many new experts a rank may get.
 func (l *BalanceLimits) fresh(rank int) int {
-	if l.Room == nil {
-		return l.Fresh
+	if l.MaxNewByRank == nil {
+		return l.MaxNewPerRank
 	}
-	return min(l.Fresh, l.Room[rank])
+	return min(l.MaxNewPerRank, l.MaxNewByRank[rank])
 }
 
 // Balance changes a layout so that its busiest rank has less to do. It goes step
@@ -84,7 +84,7 @@
 // mean to outweigh sixty at the mean.
 func Balance(l Layout, loads []float64, lim BalanceLimits) Layout {
 	b := newBalance(l, loads, lim)
-	for range lim.Steps {
+	for range lim.MaxSteps {
 		if !b.step() {
 			break
 		}
@@ -179,7 +179,7 @@
 }
 
 // time returns how long a rank takes if its work changes by d.
-func (b *balance) time(r int, d float64) float64 { return (b.work[r] + d) * paceOf(b.lim.Pace, r) }
+func (b *balance) time(r int, d float64) float64 { return (b.work[r] + d) * paceOf(b.lim.Slowdown, r) }
 
 func (b *balance) weight(e int) float64 { return b.part[e] }
 
@@ -218,7 +218,7 @@
 		b.tryReturn(best, a, r, x)
 		return
 	}
-	if len(b.lists[r]) < b.lim.Places {
+	if len(b.lists[r]) < b.lim.ExpertsPerRank {
 		b.consider(best, a, trial{to: r, add: x, drop: -1, out: -1, back: -1, freshTo: freshTo})
 		b.consider(best, a, trial{to: r, add: x, drop: x, out: -1, back: -1, freshTo: freshTo})
 	}
@@ -274,7 +274,7 @@
 			b.recountWithout(t.out, t.to)
 		}
 	}
-	gain := -b.lim.Price * float64(t.freshTo+t.freshA)
+	gain := -b.lim.PricePerCopy * float64(t.freshTo+t.freshA)
 	for _, r := range b.dirty {
 		gain += b.power[r] - power(b.time(r, b.delta[r]))
 	}
--- a/expert/balance_test.go
+++ b/expert/balance_test.go
@@ -29,15 +29,15 @@
 		for seed := range uint64(5) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			loads := skewedLoads(rng, s.experts)
-			layout := expert.FirstLayout(s.ranks, s.experts)
-			start, mean := layout.Longest(loads, nil)
-			lim := expert.BalanceLimits{Places: s.places, Fresh: s.fresh, Steps: 200}
+			layout := expert.InitialLayout(s.ranks, s.experts)
+			start, mean := layout.MaxAndMeanTime(loads, nil)
+			lim := expert.BalanceLimits{ExpertsPerRank: s.places, MaxNewPerRank: s.fresh, MaxSteps: 200}
 			for range 4 {
 				next := expert.Balance(layout, loads, lim)
 				checkLayout(g, layout, next, s.experts, s.places, s.fresh)
 				layout = next
 			}
-			end, _ := layout.Longest(loads, nil)
+			end, _ := layout.MaxAndMeanTime(loads, nil)
 			t.Logf("%d ranks, seed %d: %.2f to %.2f of the mean", s.ranks, seed, start/mean, end/mean)
 			g.Expect(end/mean).To(BeNumerically("<", 1.35), "%d ranks, seed %d: from %.2f", s.ranks, seed, start/mean)
 		}
@@ -82,14 +82,14 @@
 		pace[r] = 1
 	}
 	pace[4] = 8
-	layout := expert.FirstLayout(12, 72)
-	start, mean := layout.Longest(loads, pace)
+	layout := expert.InitialLayout(12, 72)
+	start, mean := layout.MaxAndMeanTime(loads, pace)
 	for range 5 {
-		next := expert.Balance(layout, loads, expert.BalanceLimits{Places: 8, Fresh: 3, Steps: 100, Pace: pace})
+		next := expert.Balance(layout, loads, expert.BalanceLimits{ExpertsPerRank: 8, MaxNewPerRank: 3, MaxSteps: 100, Slowdown: pace})
 		checkLayout(g, layout, next, 72, 8, 3)
 		layout = next
 	}
-	end, _ := layout.Longest(loads, pace)
+	end, _ := layout.MaxAndMeanTime(loads, pace)
 	g.Expect(end/mean).To(BeNumerically("<", 1.5), "from %.2f", start/mean)
 }
 
@@ -101,16 +101,16 @@
 	for e := range loads {
 		loads[e] = 1
 	}
-	layout := expert.FirstLayout(12, 72)
-	next := expert.Balance(layout, loads, expert.BalanceLimits{Places: 8, Fresh: 3, Steps: 200, Price: 0.01})
+	layout := expert.InitialLayout(12, 72)
+	next := expert.Balance(layout, loads, expert.BalanceLimits{ExpertsPerRank: 8, MaxNewPerRank: 3, MaxSteps: 200, PricePerCopy: 0.01})
 	g.Expect(next).To(Equal(layout))
 }
 
 func BenchmarkBalance(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	loads := skewedLoads(rng, 252)
-	layout := expert.FirstLayout(63, 252)
+	layout := expert.InitialLayout(63, 252)
 	for b.Loop() {
-		expert.Balance(layout, loads, expert.BalanceLimits{Places: 5, Fresh: 2, Steps: 100})
+		expert.Balance(layout, loads, expert.BalanceLimits{ExpertsPerRank: 5, MaxNewPerRank: 2, MaxSteps: 100})
 	}
 }
--- a/expert/estimate.go
+++ b/expert/estimate.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Estimator smooths loads that arrive late, with gaps, and noisy. The weight of
-// what it knew halves with each HalfLife without a report, so that after a gap
+// LoadEstimator smooths loads that arrive late, with gaps, and noisy. The weight of
+// what it knew halves with each HalfLifeSeconds without a report, so that after a gap
 // the newest report counts for more.
-type Estimator struct {
-	HalfLife float64 // seconds
-	Trend    float64 // share of the observed slope that Forecast carries on; 0: none
+type LoadEstimator struct {
+	HalfLifeSeconds float64 // seconds
+	TrendShare      float64 // share of the observed slope that Forecast carries on; 0: none
 
 	level []float64
 	slope []float64 // a second
@@ -17,7 +17,7 @@
 
 // Observe takes loads that were measured at a time in seconds. Late ones, older
 // than what is known, are left out.
-func (e *Estimator) Observe(at float64, loads []float64) {
+func (e *LoadEstimator) Observe(at float64, loads []float64) {
 	if !e.seen || len(e.level) != len(loads) {
 		e.level = append([]float64(nil), loads...)
 		e.slope = make([]float64, len(loads))
@@ -28,12 +28,12 @@
 	if dt <= 0 {
 		return
 	}
-	gain := 1 - math.Exp2(-dt/e.HalfLife)
+	gain := 1 - math.Exp2(-dt/e.HalfLifeSeconds)
 	for i, v := range loads {
 		old := e.level[i]
-		ahead := old + e.Trend*e.slope[i]*dt
+		ahead := old + e.TrendShare*e.slope[i]*dt
 		e.level[i] = ahead + gain*(v-ahead)
-		if e.Trend > 0 {
+		if e.TrendShare > 0 {
 			e.slope[i] += gain * gain * ((e.level[i]-old)/dt - e.slope[i])
 		}
 	}
@@ -41,30 +41,30 @@
 }
 
 // Forecast returns the loads expected at a time; the slice is appended to buf.
-func (e *Estimator) Forecast(at float64, buf []float64) []float64 {
+func (e *LoadEstimator) Forecast(at float64, buf []float64) []float64 {
 	dt := max(0, at-e.at)
 	for i, v := range e.level {
-		buf = append(buf, max(0, v+e.Trend*e.slope[i]*dt))
+		buf = append(buf, max(0, v+e.TrendShare*e.slope[i]*dt))
 	}
 	return buf
 }
 
-// Known reports whether any loads have been observed.
-func (e *Estimator) Known() bool { return e.seen }
+// HasLoads reports whether any loads have been observed.
+func (e *LoadEstimator) HasLoads() bool { return e.seen }
 
-// Speeds learns how fast ranks compute, from the time that each spent computing
+// SpeedEstimator learns how fast ranks compute, from the time that each spent computing
 // before the barrier. In lock-step all ranks look equally slow from outside.
-type Speeds struct {
+type SpeedEstimator struct {
 	Gain float64 // share of a new observation; 0: defaultSpeedGain
 
 	speed []float64
-	slow  []int // consecutive observations below SlowSpeed
+	slow  []int // consecutive observations below StragglerSpeed
 }
 
 const (
 	defaultSpeedGain = 0.2
-	// SlowSpeed is the speed below which a rank counts as slow.
-	SlowSpeed = 0.9
+	// StragglerSpeed is the speed below which a rank counts as slow.
+	StragglerSpeed = 0.9
 	// slowFor is how many observations make a rank a straggler to report: a burst
 	// or a collector's pause is shorter.
 	slowFor = 5
@@ -75,7 +75,7 @@
 
 // Observe takes each rank's tokens and seconds of computing; ranks with zero of
 // either are left as they are.
-func (s *Speeds) Observe(tokens, seconds []float64) {
+func (s *SpeedEstimator) Observe(tokens, seconds []float64) {
 	if len(s.speed) != len(tokens) {
 		s.speed = make([]float64, len(tokens))
 		s.slow = make([]int, len(tokens))
@@ -103,7 +103,7 @@
 		}
 		v := min(max(tokens[r]/seconds[r]/usual, slowestSpeed), fastestSpeed)
 		s.speed[r] += gain * (v - s.speed[r])
-		if s.speed[r] < SlowSpeed {
+		if s.speed[r] < StragglerSpeed {
 			s.slow[r]++
 		} else {
 			s.slow[r] = 0
@@ -111,12 +111,12 @@
 	}
 }
 
-// Known returns the speeds, 1 being the median; nil before the first observation.
-func (s *Speeds) Known() []float64 { return s.speed }
+// RankSpeeds returns the speeds, 1 being the median; nil before the first observation.
+func (s *SpeedEstimator) RankSpeeds() []float64 { return s.speed }
 
 // Stragglers returns the ranks that have been slow for long: give them less, and
 // suggest to replace them.
-func (s *Speeds) Stragglers() []int {
+func (s *SpeedEstimator) Stragglers() []int {
 	var ranks []int
 	for r, n := range s.slow {
 		if n >= slowFor {
--- a/expert/expert.go
+++ b/expert/expert.go
@@ -28,14 +28,14 @@
 
 // Errors of shapes and maps.
 var (
-	ErrShape = errors.New("shape cannot hold its experts")
-	ErrMap   = errors.New("map does not fit its shape")
+	ErrInvalidShape = errors.New("shape cannot hold its experts")
+	ErrInvalidMap   = errors.New("map does not fit its shape")
 )
 
-// Check refuses a shape in which some expert would have no slot.
-func (s Shape) Check() error {
+// Validate refuses a shape in which some expert would have no slot.
+func (s Shape) Validate() error {
 	if s.Ranks < 1 || s.Layers < 1 || s.Experts < 1 || s.Slots() < s.Experts || s.SlotsOfRank > s.Experts {
-		return fmt.Errorf("%w: %+v", ErrShape, s)
+		return fmt.Errorf("%w: %+v", ErrInvalidShape, s)
 	}
 	return nil
 }
@@ -46,9 +46,9 @@
 	Slot  []uint16
 }
 
-// NewMap returns the map that groups start with: experts in order, and the
+// InitialMap returns the map that groups start with: experts in order, and the
 // redundant slots filled with the first ones again.
-func NewMap(s Shape) *Map {
+func InitialMap(s Shape) *Map {
 	m := &Map{Shape: s, Slot: make([]uint16, s.Layers*s.Slots())}
 	for i := range m.Slot {
 		p := i % s.Slots()
@@ -90,26 +90,26 @@
 	return 1
 }
 
-// Check refuses a map in which an expert is missing or unknown.
-func (m *Map) Check() error {
-	if err := m.Shape.Check(); err != nil {
+// Validate refuses a map in which an expert is missing or unknown.
+func (m *Map) Validate() error {
+	if err := m.Shape.Validate(); err != nil {
 		return err
 	}
 	if len(m.Slot) != m.Shape.Layers*m.Shape.Slots() {
-		return fmt.Errorf("%w: %d slots, want %d", ErrMap, len(m.Slot), m.Shape.Layers*m.Shape.Slots())
+		return fmt.Errorf("%w: %d slots, want %d", ErrInvalidMap, len(m.Slot), m.Shape.Layers*m.Shape.Slots())
 	}
 	seen := make([]bool, m.Shape.Experts)
 	for l := range m.Shape.Layers {
 		clear(seen)
 		for _, e := range m.Layer(l) {
 			if int(e) >= len(seen) {
-				return fmt.Errorf("%w: layer %d names expert %d of %d", ErrMap, l, e, len(seen))
+				return fmt.Errorf("%w: layer %d names expert %d of %d", ErrInvalidMap, l, e, len(seen))
 			}
 			seen[e] = true
 		}
 		for e, ok := range seen {
 			if !ok {
-				return fmt.Errorf("%w: layer %d has no expert %d", ErrMap, l, e)
+				return fmt.Errorf("%w: layer %d has no expert %d", ErrInvalidMap, l, e)
 			}
 		}
 	}
--- a/expert/history_test.go
+++ b/expert/history_test.go
@@ -18,17 +18,17 @@
 type largeWorld struct {
 	rng      *rand.Rand
 	engines  [largeGroup]Position
-	agents   [largeGroup]Rank
+	agents   [largeGroup]RankState
 	sent     [largeGroup]uint64 // one more than the last step whose data the others have
 	used     map[uint64]MapID
 	inStep   map[uint64]int // ranks that have entered a step and live
-	attempts []*Attempt
+	attempts []*SwitchAttempt
 	switched int
 }
 
 func (w *largeWorld) enter(r int) error {
 	step := w.engines[r].Next
-	m := w.engines[r].Enter()
+	m := w.engines[r].EnterStep()
 	if u, ok := w.used[step]; ok && u != m {
 		return fmt.Errorf("%w: step %d, rank %d uses %d, others %d", errMixedStep, step, r, m, u)
 	}
@@ -44,7 +44,7 @@
 			return false
 		}
 	}
-	w.engines[r].Complete()
+	w.engines[r].CompleteStep()
 	return true
 }
 
@@ -57,11 +57,11 @@
 			w.sent[r] = step
 		}
 	}
-	w.engines[r] = p.Restart()
+	w.engines[r] = p.AfterRestart()
 }
 
 // deliver passes one order of an attempt to one rank; the reply may be lost.
-func (w *largeWorld) deliver(a *Attempt, r int) {
+func (w *largeWorld) deliver(a *SwitchAttempt, r int) {
 	e := simEngine{&w.engines[r], whole}
 	lost := w.rng.IntN(20) == 0
 	switch {
@@ -69,17 +69,17 @@
 		_ = w.agents[r].Withdraw(e, a.Ballot) // refusals are part of the history
 	case a.decided != nil:
 		reply := a.Replies[r]
-		if w.agents[r].Decide(e, *a.decided, reply.Incarnation, reply.Start) == nil {
+		if w.agents[r].Decide(e, *a.decided, reply.Incarnation, reply.EngineRun) == nil {
 			w.switched++
 		}
 	case a.complete:
 		if w.agents[r].Confirm(a.Ballot, a.Replies[r].Incarnation) == nil && !lost {
-			a.Confirm(r)
+			a.RecordConfirmation(r)
 		}
 	default:
-		reply, err := w.agents[r].Hold(e, HoldOrder{Ballot: a.Ballot, At: a.At})
+		reply, err := w.agents[r].Hold(e, HoldRequest{Ballot: a.Ballot, HoldAt: a.HoldAt})
 		if err == nil && !lost {
-			a.Reply(r, reply)
+			a.RecordReply(r, reply)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	r := w.rng.IntN(largeGroup)
 	switch p := w.rng.IntN(10_000); {
 	case p < 2:
-		w.agents[r] = NewRank(w.agents[r].Incarnation + 1)
+		w.agents[r] = NewRankState(w.agents[r].Incarnation + 1)
 	case p < 4:
 		w.restartEngine(r)
 	case p < 8:
@@ -100,13 +100,13 @@
 		}
 		at := w.engines[r].Next + uint64(w.rng.IntN(4))
 		b := Ballot{Round: highest.Round + 1, Owner: uint64(w.rng.IntN(3))}
-		w.attempts = append(w.attempts, NewAttempt(b, at, MapID(1+w.rng.IntN(3)), largeGroup))
+		w.attempts = append(w.attempts, NewSwitchAttempt(b, at, MapID(1+w.rng.IntN(3)), largeGroup))
 	case p < 6000 && len(w.attempts) > 0:
 		a := w.attempts[max(0, len(w.attempts)-1-w.rng.IntN(3))]
 		if w.rng.IntN(4000) == 0 {
 			a.Withdraw()
 		}
-		if _, err := a.Decide(); errors.Is(err, ErrMixed) {
+		if _, err := a.Decide(); errors.Is(err, ErrConflictingMaps) {
 			return err
 		}
 		w.deliver(a, r)
@@ -120,7 +120,7 @@
 	if w.engines[r].Inside {
 		w.complete(r)
 	}
-	if w.engines[r].CanEnter() {
+	if w.engines[r].CanEnterStep() {
 		return w.enter(r)
 	}
 	return nil
@@ -128,17 +128,17 @@
 
 // finish brings the group on with one more ballot and no more faults.
 func (w *largeWorld) finish() error {
-	a := NewAttempt(Ballot{Round: 1 << 40}, 0, 1, largeGroup)
+	a := NewSwitchAttempt(Ballot{Round: 1 << 40}, 0, 1, largeGroup)
 	for r := range w.engines {
 		w.rng = rand.New(rand.NewPCG(1, 1))
-		reply, err := w.agents[r].Hold(simEngine{&w.engines[r], whole}, HoldOrder{Ballot: a.Ballot})
+		reply, err := w.agents[r].Hold(simEngine{&w.engines[r], whole}, HoldRequest{Ballot: a.Ballot})
 		if err != nil {
 			return err
 		}
-		a.Reply(r, reply)
+		a.RecordReply(r, reply)
 	}
 	for r := range w.engines {
-		a.Confirm(r)
+		a.RecordConfirmation(r)
 	}
 	if _, err := a.Decide(); err != nil {
 		return err
@@ -174,7 +174,7 @@
 		w := &largeWorld{rng: rand.New(rand.NewPCG(seed, 7)), used: map[uint64]MapID{}, inStep: map[uint64]int{}}
 		for r := range w.engines {
 			w.engines[r] = Position{Start: 1, Joined: true, Next: 1, Map: 1}
-			w.agents[r] = NewRank(1)
+			w.agents[r] = NewRankState(1)
 			w.sent[r] = 1
 		}
 		for range historyActions {
--- a/expert/measure.go
+++ b/expert/measure.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Stats are predicted step times of a map under loads, in tokens at speed 1,
+// StepTimes are predicted step times of a map under loads, in tokens at speed 1,
 // summed over the layers.
-type Stats struct {
-	Longest float64 // each layer's longest rank
-	Ideal   float64 // all ranks busy to the end
-	Bound   float64 // no map of the shape can be below
+type StepTimes struct {
+	Longest    float64 // each layer's longest rank
+	Ideal      float64 // all ranks busy to the end
+	LowerBound float64 // no map of the shape can be below
 
 	excess []float64 // of each layer's longest rank over its bound
 	bounds []float64 // of each layer
 }
 
 // Skew returns the step time over that of a perfectly even map; 1 is perfect.
-func (s Stats) Skew() float64 { return ratio(s.Longest, s.Ideal) }
+func (s StepTimes) Skew() float64 { return ratio(s.Longest, s.Ideal) }
 
-// BoundSkew returns the skew that no map can be below.
-func (s Stats) BoundSkew() float64 { return ratio(s.Bound, s.Ideal) }
+// SkewLowerBound returns the skew that no map can be below.
+func (s StepTimes) SkewLowerBound() float64 { return ratio(s.LowerBound, s.Ideal) }
 
-func (s Stats) worstFirst(order []int) []int {
+func (s StepTimes) worstFirst(order []int) []int {
 	order = order[:0]
 	for l := range s.excess {
 		order = append(order, l)
@@ -38,10 +38,10 @@
 	return a / b
 }
 
-// Measure predicts step times. The copies of an expert share its load evenly.
-func Measure(m *Map, loads, speeds []float64) Stats {
+// PredictStepTimes predicts step times. The copies of an expert share its load evenly.
+func PredictStepTimes(m *Map, loads, speeds []float64) StepTimes {
 	s := m.Shape
-	st := Stats{excess: make([]float64, s.Layers), bounds: make([]float64, s.Layers)}
+	st := StepTimes{excess: make([]float64, s.Layers), bounds: make([]float64, s.Layers)}
 	copies := make([]int, s.Experts)
 	total := sum(speeds)
 	fastest := slices.Max(speeds)
@@ -65,7 +65,7 @@
 		st.Longest += longest
 		st.Ideal += ideal
 		bound := max(ideal, b.heaviestCopy(layer, s.Slots(), s.Ranks)/fastest)
-		st.Bound += bound
+		st.LowerBound += bound
 		st.excess[l] = longest - bound
 		st.bounds[l] = bound
 	}
@@ -120,7 +120,7 @@
 // to the heaviest copies, then the heaviest copy first onto the rank that is done
 // soonest. It is what plans are measured against, and the first map of a group.
 func Recompute(s Shape, loads, speeds []float64) *Map {
-	m := NewMap(s)
+	m := InitialMap(s)
 	g := packer{shape: s, speeds: speeds}
 	for l := range s.Layers {
 		g.pack(m.Layer(l), loads[l*s.Experts:(l+1)*s.Experts])
--- a/expert/model_test.go
+++ b/expert/model_test.go
@@ -57,7 +57,7 @@
 
 type world struct {
 	engine                        [modelRanks]Position
-	agent                         [modelRanks]Rank
+	agent                         [modelRanks]RankState
 	attempt                       [modelBallots]modelAttempt
 	used                          [modelRanks][modelSteps]MapID // by this run of the engine
 	sent                          [modelRanks][modelSteps]bool  // what the others may count on in the barrier
@@ -71,7 +71,7 @@
 	v variant
 }
 
-func (e simEngine) Hold(t Token, at uint64) (before, after Position, err error) {
+func (e simEngine) Hold(t HoldToken, at uint64) (before, after Position, err error) {
 	before = *e.p
 	e.p.Hold(t, at)
 	if e.v == ignorePlanned && !before.Held {
@@ -80,14 +80,14 @@
 	return before, *e.p, nil
 }
 
-func (e simEngine) Release(t Token, start uint64, s Schedule, join uint64) error {
+func (e simEngine) Release(t HoldToken, start uint64, s Schedule, join uint64) error {
 	if e.v != whole {
 		t = e.p.Token // variants break the agents' rules, which the engines' would cover
 	}
 	return e.p.Release(t, start, s, join)
 }
 
-func (e simEngine) Lift(t Token) error { return e.p.Lift(t) }
+func (e simEngine) Lift(t HoldToken) error { return e.p.Lift(t) }
 
 type search struct {
 	bounds
@@ -108,7 +108,7 @@
 	var w world
 	for r := range w.engine {
 		w.engine[r] = Position{Start: 1, Joined: true, Map: 1}
-		w.agent[r] = NewRank(1)
+		w.agent[r] = NewRankState(1)
 	}
 	s.visit(&w)
 	return len(s.seen), s.found
@@ -179,7 +179,7 @@
 
 func (s *search) engineActions(w *world, r int) {
 	p := &w.engine[r]
-	if (p.CanEnter() || s.passes(p)) && p.Next < s.steps {
+	if (p.CanEnterStep() || s.passes(p)) && p.Next < s.steps {
 		n := s.copy(w)
 		if err := n.enter(r); err != nil {
 			s.trail = append(s.trail, action{"rank %d enters %d", []any{r, p.Next}})
@@ -198,7 +198,7 @@
 	if w.agentRestarts < s.agentRestarts {
 		n := s.copy(w)
 		n.agentRestarts++
-		n.agent[r] = NewRank(w.agent[r].Incarnation + 1)
+		n.agent[r] = NewRankState(w.agent[r].Incarnation + 1)
 		s.then(n, "agent %d restarts", r)
 		s.drop(n)
 	}
@@ -216,7 +216,7 @@
 func (s *search) restartEngine(w *world, r int) {
 	n := s.copy(w)
 	n.engineRestarts++
-	n.engine[r] = w.engine[r].Restart()
+	n.engine[r] = w.engine[r].AfterRestart()
 	n.used[r] = [modelSteps]MapID{}
 	if s.variant == joinAlone {
 		n.engine[r] = Position{Start: w.engine[r].Start + 1, Joined: true, Next: w.engine[r].Next, Inside: w.engine[r].Inside, Map: 1}
@@ -247,7 +247,7 @@
 
 func (w *world) enter(r int) error {
 	step := w.engine[r].Next
-	m := w.engine[r].Enter()
+	m := w.engine[r].EnterStep()
 	for q := range w.engine {
 		if u := w.used[q][step]; q != r && u != 0 && u != m {
 			return fmt.Errorf("%w: step %d, rank %d uses %d, rank %d %d", errMixedStep, step, r, m, q, u)
@@ -263,7 +263,7 @@
 
 func (w *world) complete(r int) {
 	step := w.engine[r].Next - 1
-	w.engine[r].Complete()
+	w.engine[r].CompleteStep()
 	w.finished[step] = w.used[r][step]
 }
 
@@ -283,7 +283,7 @@
 		if d := s.decide(a, b); d != nil {
 			n := s.copy(w)
 			n.attempt[b].decided = d
-			s.then(n, "ballot %d decides %v join %d", b+1, d.Schedule, d.Join)
+			s.then(n, "ballot %d decides %v join %d", b+1, d.Schedule, d.JoinStep)
 			s.drop(n)
 		}
 	}
@@ -300,16 +300,16 @@
 }
 
 func (s *search) decide(a *modelAttempt, b int) *Decision {
-	at := NewAttempt(ballot(b), s.at[b], s.want[b], modelRanks)
+	at := NewSwitchAttempt(ballot(b), s.at[b], s.want[b], modelRanks)
 	if s.variant == ignoreMissing {
-		at = NewAttempt(ballot(b), s.at[b], s.want[b], max(a.answered(), modelRanks-1))
+		at = NewSwitchAttempt(ballot(b), s.at[b], s.want[b], max(a.answered(), modelRanks-1))
 	}
 	n := 0
 	for r, reply := range a.replies {
 		if reply == nil {
 			continue
 		}
-		at.Reply(n, *reply)
+		at.RecordReply(n, *reply)
 		if a.confirmed[r] || s.variant == ignoreMissing || s.variant == skipConfirm {
 			at.confirmed[n] = true
 		}
@@ -317,7 +317,7 @@
 	}
 	d, err := at.Decide()
 	if err != nil {
-		if errors.Is(err, ErrMixed) {
+		if errors.Is(err, ErrConflictingMaps) {
 			s.fail(err)
 		}
 		return nil
@@ -334,7 +334,7 @@
 func (s *search) orderActions(w *world, b, r int) {
 	a := &w.attempt[b]
 	n := s.copy(w)
-	reply, err := n.agent[r].Hold(simEngine{&n.engine[r], s.variant}, HoldOrder{Ballot: ballot(b), At: s.at[b]})
+	reply, err := n.agent[r].Hold(simEngine{&n.engine[r], s.variant}, HoldRequest{Ballot: ballot(b), HoldAt: s.at[b]})
 	if err == nil {
 		old := a.replies[r]
 		if a.complete {
@@ -362,7 +362,7 @@
 	if a.withdrawn {
 		n := s.copy(w)
 		if s.variant == liftAnyHold {
-			n.agent[r].Fresh = true
+			n.agent[r].WasRunning = true
 		}
 		if n.agent[r].Withdraw(simEngine{&n.engine[r], s.variant}, ballot(b)) == nil {
 			s.then(n, "rank %d hears that ballot %d withdrew", r, b+1)
@@ -381,13 +381,13 @@
 	case ignoreIncarnation:
 		incarnation = n.agent[r].Incarnation
 	}
-	if n.agent[r].Decide(simEngine{&n.engine[r], s.variant}, *a.decided, incarnation, a.replies[r].Start) == nil {
+	if n.agent[r].Decide(simEngine{&n.engine[r], s.variant}, *a.decided, incarnation, a.replies[r].EngineRun) == nil {
 		s.then(n, "rank %d obeys ballot %d", r, b+1)
 		s.drop(n)
 	}
 }
 
 func sameReply(a, b *HoldReply) bool {
-	return a.Incarnation == b.Incarnation && a.Start == b.Start && a.Joined == b.Joined && a.Next == b.Next &&
-		a.Inside == b.Inside && a.Map == b.Map && a.HoldAt == b.HoldAt
+	return a.Incarnation == b.Incarnation && a.EngineRun == b.EngineRun && a.Joined == b.Joined && a.NextStep == b.NextStep &&
+		a.InStep == b.InStep && a.Map == b.Map && a.HoldAt == b.HoldAt
 }
--- a/expert/modelfinish_test.go
+++ b/expert/modelfinish_test.go
@@ -11,24 +11,24 @@
 // faults. It fails if the group mixes maps or can't reach two further steps.
 func (s *search) finish(w world) error {
 	last := Ballot{Round: modelBallots + 1}
-	a := NewAttempt(last, 0, 0, modelRanks)
-	a.Want = 1
+	a := NewSwitchAttempt(last, 0, 0, modelRanks)
+	a.WantedMap = 1
 	for r := range w.engine {
-		reply, err := w.agent[r].Hold(simEngine{&w.engine[r], whole}, HoldOrder{Ballot: last, At: 0})
+		reply, err := w.agent[r].Hold(simEngine{&w.engine[r], whole}, HoldRequest{Ballot: last, HoldAt: 0})
 		if err != nil {
 			return fmt.Errorf("%w: %w", errStuck, err)
 		}
-		a.Reply(r, reply)
+		a.RecordReply(r, reply)
 	}
 	for r := range w.engine {
-		a.Confirm(r)
+		a.RecordConfirmation(r)
 	}
 	d, err := a.Decide()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errStuck, err)
 	}
 	for r := range w.engine {
-		if err := w.agent[r].Decide(simEngine{&w.engine[r], whole}, *d, a.Replies[r].Incarnation, a.Replies[r].Start); err != nil {
+		if err := w.agent[r].Decide(simEngine{&w.engine[r], whole}, *d, a.Replies[r].Incarnation, a.Replies[r].EngineRun); err != nil {
 			return fmt.Errorf("%w: %w", errStuck, err)
 		}
 	}
@@ -37,7 +37,7 @@
 		moved = false
 		for r := range w.engine {
 			p := &w.engine[r]
-			if p.CanEnter() && p.Next < goal {
+			if p.CanEnterStep() && p.Next < goal {
 				if err := w.enter(r); err != nil {
 					return err
 				}
--- a/expert/modelkey_test.go
+++ b/expert/modelkey_test.go
@@ -23,7 +23,7 @@
 		a := &w.attempt[b]
 		key = append(key, bit(a.withdrawn), bit(a.complete), bit(a.decided != nil))
 		if a.decided != nil {
-			key = appendSchedule(append(key, byte(a.decided.Join)), a.decided.Schedule)
+			key = appendSchedule(append(key, byte(a.decided.JoinStep)), a.decided.Schedule)
 		}
 	}
 	s.key = key
@@ -45,7 +45,7 @@
 		key = binary.AppendUvarint(key, p.HoldAt)
 	}
 	key = appendSchedule(key, p.Plan)
-	key = append(key, byte(g.Incarnation), byte(g.Promised.Round), byte(g.HeldBy.Round), bit(g.Fresh))
+	key = append(key, byte(g.Incarnation), byte(g.Promised.Round), byte(g.HeldBy.Round), bit(g.WasRunning))
 	if n := int(g.HeldBy.Round); n > 0 && !w.attempt[n-1].complete {
 		key = appendReply(key, &g.reply) // it may be sent again
 	}
@@ -65,7 +65,7 @@
 	if a.decided == nil || reply == nil {
 		return appendReply(key, reply)
 	}
-	return append(key, 2, byte(reply.Incarnation), byte(reply.Start))
+	return append(key, 2, byte(reply.Incarnation), byte(reply.EngineRun))
 }
 
 func (w *world) stepsKey(key []byte, r int) []byte {
@@ -94,7 +94,7 @@
 	if r == nil {
 		return append(key, 0)
 	}
-	key = append(key, 1, byte(r.Incarnation), byte(r.Start), bit(r.Joined), byte(r.Next), bit(r.Inside), byte(r.Map))
+	key = append(key, 1, byte(r.Incarnation), byte(r.EngineRun), bit(r.Joined), byte(r.NextStep), bit(r.InStep), byte(r.Map))
 	return binary.AppendUvarint(key, r.HoldAt)
 }
 
--- a/expert/plan.go
+++ b/expert/plan.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// Weights are the operator's prices: one rank kept waiting for one minute, and
+// CostWeights are the operator's prices: one rank kept waiting for one minute, and
 // one gigabyte of experts moved. A group of 64 ranks that runs at a skew of 1.1
 // for a minute keeps the equal of 6.4 ranks waiting.
-type Weights struct {
+type CostWeights struct {
 	Skew float64
 	Move float64
 }
 
-// Limits bound one plan.
-type Limits struct {
-	Bytes        float64 // the store's rate times the time that loading may take; 0: none
-	MovesPerRank int     // spare slots for weights that wait for the switch; 0: no bound
+// PlanLimits bound one plan.
+type PlanLimits struct {
+	MaxBytes        float64 // the store's rate times the time that loading may take; 0: none
+	MaxMovesPerRank int     // spare slots for weights that wait for the switch; 0: no bound
 }
 
-// Input is what a plan is made from. Loads hold tokens for each layer and expert,
+// PlanInput is what a plan is made from. Loads hold tokens for each layer and expert,
 // layer by layer; only their proportions matter.
-type Input struct {
-	Map         *Map
-	Loads       []float64
-	Speeds      []float64 // of ranks; 1: as fast as the others; nil: all alike
-	ExpertBytes float64   // weights of one expert of one layer
-	StoreRate   float64   // bytes a second; 0: loading takes no time
-	Life        float64   // seconds that a gain lasts before drift has eaten it
-	Weights     Weights
-	Limits      Limits
+type PlanInput struct {
+	Map                 *Map
+	Loads               []float64
+	RankSpeeds          []float64 // of ranks; 1: as fast as the others; nil: all alike
+	ExpertBytes         float64   // weights of one expert of one layer
+	StoreBytesPerSecond float64   // bytes a second; 0: loading takes no time
+	GainLifeSeconds     float64   // seconds that a gain lasts before drift has eaten it
+	CostWeights         CostWeights
+	Limits              PlanLimits
 }
 
 // Reason says why a plan moves nothing, or not all that would pay.
@@ -38,27 +38,27 @@
 
 // Reasons of plans.
 const (
-	ReasonPays    Reason = "pays"
-	ReasonEven    Reason = "nothing to gain"
-	ReasonPrice   Reason = "the moves cost more than they gain"
-	ReasonBounded Reason = "cut to the limits of store and memory"
+	ReasonPays      Reason = "pays"
+	ReasonBalanced  Reason = "nothing to gain"
+	ReasonTooCostly Reason = "the moves cost more than they gain"
+	ReasonLimited   Reason = "cut to the limits of store and memory"
 )
 
 // Plan is a proposed map with its price and gain.
 type Plan struct {
-	Map        *Map // nil: stay
-	Moves      int
-	Bytes      float64
-	SkewBefore float64
-	SkewAfter  float64
-	Bound      float64 // lower bound of the skew for any map of this shape
-	Gain       float64 // in the unit of Weights
-	Price      float64
-	Reason     Reason
+	Map            *Map // nil: stay
+	Moves          int
+	Bytes          float64
+	SkewBefore     float64
+	SkewAfter      float64
+	SkewLowerBound float64 // lower bound of the skew for any map of this shape
+	Gain           float64 // in the unit of CostWeights
+	Price          float64
+	Reason         Reason
 }
 
-// ErrInput: the parts of an Input don't fit each other.
-var ErrInput = errors.New("planner input does not fit its map")
+// ErrInvalidInput: the parts of a PlanInput don't fit each other.
+var ErrInvalidInput = errors.New("planner input does not fit its map")
 
 // improvement is a proposal for one layer.
 type improvement struct {
@@ -81,20 +81,20 @@
 // Plan looks for moves that pay. It starts from the map in use and is
 // deterministic. The time of a step is the sum over layers of the longest rank,
 // since the exchange in each layer makes every rank wait for the slowest.
-func (p *Planner) Plan(in *Input) (Plan, error) {
+func (p *Planner) Plan(in *PlanInput) (Plan, error) {
 	s := in.Map.Shape
-	if len(in.Loads) != s.Layers*s.Experts || (in.Speeds != nil && len(in.Speeds) != s.Ranks) {
-		return Plan{}, ErrInput
+	if len(in.Loads) != s.Layers*s.Experts || (in.RankSpeeds != nil && len(in.RankSpeeds) != s.Ranks) {
+		return Plan{}, ErrInvalidInput
 	}
 	speeds := p.speeds(in)
-	stats := Measure(in.Map, in.Loads, speeds)
-	plan := Plan{SkewBefore: stats.Skew(), SkewAfter: stats.Skew(), Bound: stats.BoundSkew(), Reason: ReasonEven}
+	stats := PredictStepTimes(in.Map, in.Loads, speeds)
+	plan := Plan{SkewBefore: stats.Skew(), SkewAfter: stats.Skew(), SkewLowerBound: stats.SkewLowerBound(), Reason: ReasonBalanced}
 	if stats.Ideal == 0 {
 		return plan, nil
 	}
 	// One unit of layer time is worth this much over the life of the gain.
-	worth := in.Weights.Skew * float64(s.Ranks) * in.Life / 60 / stats.Ideal
-	price := in.Weights.Move * in.ExpertBytes / 1e9
+	worth := in.CostWeights.Skew * float64(s.Ranks) * in.GainLifeSeconds / 60 / stats.Ideal
+	price := in.CostWeights.Move * in.ExpertBytes / 1e9
 	least := leastSaving * stats.Longest / float64(s.Layers)
 	candidates := false
 	p.found = p.found[:0]
@@ -111,15 +111,15 @@
 		}
 	}
 	if candidates {
-		plan.Reason = ReasonPrice
+		plan.Reason = ReasonTooCostly
 	}
 	p.choose(in, &plan, speeds, worth)
 	return plan, nil
 }
 
-func (p *Planner) speeds(in *Input) []float64 {
-	if in.Speeds != nil {
-		return in.Speeds
+func (p *Planner) speeds(in *PlanInput) []float64 {
+	if in.RankSpeeds != nil {
+		return in.RankSpeeds
 	}
 	p.ones = slices.Grow(p.ones[:0], in.Map.Shape.Ranks)[:in.Map.Shape.Ranks]
 	for i := range p.ones {
@@ -129,7 +129,7 @@
 }
 
 // choose takes the layers that gain most for their moves until a limit is met.
-func (p *Planner) choose(in *Input, plan *Plan, speeds []float64, worth float64) {
+func (p *Planner) choose(in *PlanInput, plan *Plan, speeds []float64, worth float64) {
 	slices.SortStableFunc(p.found, func(a, b improvement) int {
 		return cmp.Compare(b.saved*float64(a.cost), a.saved*float64(b.cost))
 	})
@@ -162,33 +162,33 @@
 	}
 	plan.Moves = in.Map.Moves(next)
 	plan.Bytes = float64(plan.Moves) * in.ExpertBytes
-	plan.Price = in.Weights.Move * plan.Bytes / 1e9
-	if in.StoreRate > 0 && in.Life > 0 {
+	plan.Price = in.CostWeights.Move * plan.Bytes / 1e9
+	if in.StoreBytesPerSecond > 0 && in.GainLifeSeconds > 0 {
 		// The gain begins when the weights are there.
-		plan.Gain *= max(0, 1-plan.Bytes/in.StoreRate/in.Life)
+		plan.Gain *= max(0, 1-plan.Bytes/in.StoreBytesPerSecond/in.GainLifeSeconds)
 	}
 	if plan.Gain <= plan.Price {
-		plan.Reason, plan.Moves, plan.Bytes = ReasonPrice, 0, 0
+		plan.Reason, plan.Moves, plan.Bytes = ReasonTooCostly, 0, 0
 		return
 	}
 	plan.Map = next
-	plan.SkewAfter = Measure(next, in.Loads, speeds).Skew()
+	plan.SkewAfter = PredictStepTimes(next, in.Loads, speeds).Skew()
 	plan.Reason = ReasonPays
 	if bounded {
-		plan.Reason = ReasonBounded
+		plan.Reason = ReasonLimited
 	}
 }
 
-func (p *Planner) fits(in *Input, f *improvement, bytes float64) bool {
-	if in.Limits.Bytes > 0 && bytes+float64(f.cost)*in.ExpertBytes > in.Limits.Bytes {
+func (p *Planner) fits(in *PlanInput, f *improvement, bytes float64) bool {
+	if in.Limits.MaxBytes > 0 && bytes+float64(f.cost)*in.ExpertBytes > in.Limits.MaxBytes {
 		return false
 	}
-	if in.Limits.MovesPerRank == 0 {
+	if in.Limits.MaxMovesPerRank == 0 {
 		return true
 	}
 	k := in.Map.Shape.SlotsOfRank
 	for _, op := range f.ops {
-		if p.moves[op.slot/k]+countRank(f.ops, op.slot/k, k) > in.Limits.MovesPerRank {
+		if p.moves[op.slot/k]+countRank(f.ops, op.slot/k, k) > in.Limits.MaxMovesPerRank {
 			return false
 		}
 	}
--- a/expert/plan_test.go
+++ b/expert/plan_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawInput(t *rapid.T) *Input {
+func drawInput(t *rapid.T) *PlanInput {
 	s := Shape{
 		Ranks:       rapid.IntRange(2, 6).Draw(t, "ranks"),
 		Layers:      rapid.IntRange(1, 3).Draw(t, "layers"),
@@ -16,10 +16,10 @@
 	s.Experts = rapid.IntRange(s.SlotsOfRank, s.Slots()).Draw(t, "experts")
 	loads := rapid.SliceOfN(rapid.Float64Range(0, 100), s.Layers*s.Experts, s.Layers*s.Experts).Draw(t, "loads")
 	speeds := rapid.SliceOfN(rapid.Float64Range(0.5, 1), s.Ranks, s.Ranks).Draw(t, "speeds")
-	return &Input{
-		Map: NewMap(s), Loads: loads, Speeds: speeds, ExpertBytes: 24e6, StoreRate: 1e9, Life: 600,
-		Weights: Weights{Skew: rapid.Float64Range(0, 10).Draw(t, "skew weight"), Move: rapid.Float64Range(0, 10).Draw(t, "move weight")},
-		Limits:  Limits{Bytes: rapid.Float64Range(1e6, 1e10).Draw(t, "bytes"), MovesPerRank: rapid.IntRange(0, 3).Draw(t, "moves")},
+	return &PlanInput{
+		Map: InitialMap(s), Loads: loads, RankSpeeds: speeds, ExpertBytes: 24e6, StoreBytesPerSecond: 1e9, GainLifeSeconds: 600,
+		CostWeights: CostWeights{Skew: rapid.Float64Range(0, 10).Draw(t, "skew weight"), Move: rapid.Float64Range(0, 10).Draw(t, "move weight")},
+		Limits:      PlanLimits{MaxBytes: rapid.Float64Range(1e6, 1e10).Draw(t, "bytes"), MaxMovesPerRank: rapid.IntRange(0, 3).Draw(t, "moves")},
 	}
 }
 
@@ -37,19 +37,19 @@
 			g.Expect(plan.SkewAfter).To(Equal(plan.SkewBefore))
 			return
 		}
-		g.Expect(plan.Map.Check()).To(Succeed())
+		g.Expect(plan.Map.Validate()).To(Succeed())
 		g.Expect(plan.SkewAfter).To(BeNumerically("<", plan.SkewBefore))
-		g.Expect(plan.SkewAfter).To(BeNumerically(">=", plan.Bound*(1-1e-9)))
+		g.Expect(plan.SkewAfter).To(BeNumerically(">=", plan.SkewLowerBound*(1-1e-9)))
 		g.Expect(plan.Gain).To(BeNumerically(">", plan.Price))
-		g.Expect(plan.Bytes).To(BeNumerically("<=", in.Limits.Bytes))
+		g.Expect(plan.Bytes).To(BeNumerically("<=", in.Limits.MaxBytes))
 		g.Expect(plan.Moves).To(Equal(in.Map.Moves(plan.Map)))
-		if in.Limits.MovesPerRank > 0 {
+		if in.Limits.MaxMovesPerRank > 0 {
 			for r := range in.Map.Shape.Ranks {
 				moves := 0
 				for l := range in.Map.Shape.Layers {
 					moves += rankMoves(in.Map.RankLayer(l, r), plan.Map.RankLayer(l, r))
 				}
-				g.Expect(moves).To(BeNumerically("<=", in.Limits.MovesPerRank))
+				g.Expect(moves).To(BeNumerically("<=", in.Limits.MaxMovesPerRank))
 			}
 		}
 	})
@@ -62,11 +62,11 @@
 	cheap, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cheap.Reason).To(Equal(ReasonPays))
-	in.Weights.Move = 1e6
+	in.CostWeights.Move = 1e6
 	dear, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(dear.Map).To(BeNil())
-	g.Expect(dear.Reason).To(Equal(ReasonPrice))
+	g.Expect(dear.Reason).To(Equal(ReasonTooCostly))
 }
 
 func TestSlowRankIsFoundAndGetsLess(t *testing.T) {
@@ -74,7 +74,7 @@
 	in := unevenInput(Shape{Ranks: 8, Layers: 8, Experts: 32, SlotsOfRank: 5}, 2)
 	tokens := make([]float64, 8)
 	seconds := make([]float64, 8)
-	var speeds Speeds
+	var speeds SpeedEstimator
 	for range 30 {
 		for r := range tokens {
 			tokens[r], seconds[r] = 100, 1
@@ -83,7 +83,7 @@
 		speeds.Observe(tokens, seconds)
 	}
 	g.Expect(speeds.Stragglers()).To(Equal([]int{3}))
-	in.Speeds = speeds.Known()
+	in.RankSpeeds = speeds.RankSpeeds()
 	var p Planner
 	plan, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/expert/position.go
+++ b/expert/position.go
@@ -41,8 +41,8 @@
 	return m
 }
 
-// Token names the hold that an order belongs to: an agent's run and a ballot.
-type Token struct {
+// HoldToken names the hold that an order belongs to: an agent's run and a ballot.
+type HoldToken struct {
 	Incarnation uint64
 	Ballot      Ballot
 }
@@ -58,21 +58,21 @@
 	Map    MapID  // in use in step Next-1; 0: no step was entered since the start
 	Plan   Schedule
 	Held   bool
-	HoldAt uint64 // this step is not entered while Held
-	Token  Token  // of the newest hold
+	HoldAt uint64    // this step is not entered while Held
+	Token  HoldToken // of the newest hold
 }
 
 // Reasons why an engine refuses an order.
 var (
-	ErrStart = errors.New("engine has restarted since the order was made")
-	ErrToken = errors.New("another hold was placed since the order was made")
+	ErrEngineRestarted = errors.New("engine has restarted since the order was made")
+	ErrHoldSuperseded  = errors.New("another hold was placed since the order was made")
 )
 
 // Hold stops the engine before a step: at, or the next one if at has passed. An
 // earlier hold stays where it is. A hold never lies behind a planned change of
 // map that has not happened: whoever holds may cancel it, so it must not happen
 // between the answer to the hold and the decision.
-func (p *Position) Hold(t Token, at uint64) {
+func (p *Position) Hold(t HoldToken, at uint64) {
 	p.Token = t
 	at = max(at, p.Next)
 	if p.Held {
@@ -102,12 +102,12 @@
 // An order can lie in the buffer of a stalled engine while its agent dies and
 // the next one holds for a new ballot; taken up afterwards it would end the new
 // hold with the old ballot's map. The token excludes that.
-func (p *Position) Release(t Token, start uint64, s Schedule, join uint64) error {
+func (p *Position) Release(t HoldToken, start uint64, s Schedule, join uint64) error {
 	if start != p.Start {
-		return ErrStart
+		return ErrEngineRestarted
 	}
 	if t != p.Token {
-		return ErrToken
+		return ErrHoldSuperseded
 	}
 	if p.Map == 0 {
 		p.Next = join
@@ -119,21 +119,21 @@
 }
 
 // Lift ends a hold as if it had never been.
-func (p *Position) Lift(t Token) error {
+func (p *Position) Lift(t HoldToken) error {
 	if t != p.Token {
-		return ErrToken
+		return ErrHoldSuperseded
 	}
 	p.Held = false
 	return nil
 }
 
-// CanEnter tells whether the engine itself would enter its next step.
-func (p *Position) CanEnter() bool {
+// CanEnterStep tells whether the engine itself would enter its next step.
+func (p *Position) CanEnterStep() bool {
 	return p.Joined && !p.Inside && (!p.Held || p.Next < p.HoldAt)
 }
 
-// Enter begins the next step and returns the map in use.
-func (p *Position) Enter() MapID {
+// EnterStep begins the next step and returns the map in use.
+func (p *Position) EnterStep() MapID {
 	p.Map = p.Plan.at(p.Next, p.Map)
 	if n := len(p.Plan); n > 0 && p.Plan[n-1].From <= p.Next {
 		p.Plan = nil
@@ -143,10 +143,10 @@
 	return p.Map
 }
 
-// Complete ends the step that the engine is inside.
-func (p *Position) Complete() { p.Inside = false }
+// CompleteStep ends the step that the engine is inside.
+func (p *Position) CompleteStep() { p.Inside = false }
 
-// Restart returns the state of an engine that lost its memory.
-func (p *Position) Restart() Position {
+// AfterRestart returns the state of an engine that lost its memory.
+func (p *Position) AfterRestart() Position {
 	return Position{Start: p.Start + 1}
 }
--- a/expert/rank.go
+++ b/expert/rank.go
@@ -8,27 +8,27 @@
 // Engine takes the orders that an agent gives on behalf of an orderer.
 type Engine interface {
 	// Hold implements Position.Hold and returns the position before and after.
-	Hold(t Token, at uint64) (before, after Position, err error)
+	Hold(t HoldToken, at uint64) (before, after Position, err error)
 	// Release implements Position.Release.
-	Release(t Token, start uint64, s Schedule, join uint64) error
+	Release(t HoldToken, start uint64, s Schedule, join uint64) error
 	// Lift implements Position.Lift.
-	Lift(t Token) error
+	Lift(t HoldToken) error
 }
 
-// HoldOrder asks a rank to promise a ballot and to hold.
-type HoldOrder struct {
+// HoldRequest asks a rank to promise a ballot and to hold.
+type HoldRequest struct {
 	Ballot Ballot
-	At     uint64
+	HoldAt uint64
 }
 
 // HoldReply is a rank's promise. While it holds, the rank uses Map in every step
 // from the one it is in to the one before HoldAt, and goes no further.
 type HoldReply struct {
 	Incarnation uint64 // of the agent
-	Start       uint64 // of the engine
-	Joined      bool   // the engine has entered a step since its start; else Next and Map say nothing
-	Next        uint64
-	Inside      bool
+	EngineRun   uint64 // of the engine
+	Joined      bool   // the engine has entered a step since its start; else NextStep and Map say nothing
+	NextStep    uint64
+	InStep      bool
 	Map         MapID
 	HoldAt      uint64
 	Loaded      []MapID // maps whose weights the rank holds
@@ -38,56 +38,58 @@
 type Decision struct {
 	Ballot   Ballot
 	Schedule Schedule
-	Join     uint64 // first step of a rank that has restarted
+	JoinStep uint64 // first step of a rank that has restarted
 }
 
 // Reasons why a rank refuses an order.
 var (
-	ErrOldBallot   = errors.New("a higher ballot was promised")
-	ErrNotHeld     = errors.New("not held by this ballot")
-	ErrIncarnation = errors.New("the agent has restarted since it promised")
+	ErrBallotSuperseded = errors.New("a higher ballot was promised")
+	ErrNotHeld          = errors.New("not held by this ballot")
+	ErrAgentRestarted   = errors.New("the agent has restarted since it promised")
 )
 
-// Rank is the memory of one rank's agent. It is lost when the agent restarts.
-type Rank struct {
+// RankState is the memory of one rank's agent. It is lost when the agent restarts.
+type RankState struct {
 	Incarnation uint64
 	Promised    Ballot
 	HeldBy      Ballot // zero: no hold of a ballot that this agent remembers
-	Fresh       bool   // the engine ran freely until HeldBy came
+	WasRunning  bool   // the engine ran freely until HeldBy came
 	reply       HoldReply
 }
 
-// NewRank returns the memory of an agent that has just started.
-func NewRank(incarnation uint64) Rank { return Rank{Incarnation: incarnation} }
+// NewRankState returns the memory of an agent that has just started.
+func NewRankState(incarnation uint64) RankState { return RankState{Incarnation: incarnation} }
 
-func (r *Rank) token(b Ballot) Token { return Token{Incarnation: r.Incarnation, Ballot: b} }
+func (r *RankState) token(b Ballot) HoldToken {
+	return HoldToken{Incarnation: r.Incarnation, Ballot: b}
+}
 
 // Hold promises a ballot and holds the engine. A repeated order gets the same
 // reply, so that a lost one can be asked for again, unless the engine has
 // restarted in between.
-func (r *Rank) Hold(e Engine, o HoldOrder) (HoldReply, error) {
+func (r *RankState) Hold(e Engine, o HoldRequest) (HoldReply, error) {
 	repeated := o.Ballot == r.Promised && o.Ballot != Ballot{}
 	switch {
 	case o.Ballot.Less(r.Promised):
-		return HoldReply{}, fmt.Errorf("%w: %+v", ErrOldBallot, r.Promised)
+		return HoldReply{}, fmt.Errorf("%w: %+v", ErrBallotSuperseded, r.Promised)
 	case repeated && r.HeldBy != o.Ballot:
 		return HoldReply{}, ErrNotHeld // decided or withdrawn here: a late copy must not hold again
 	}
-	before, after, err := e.Hold(r.token(o.Ballot), o.At)
+	before, after, err := e.Hold(r.token(o.Ballot), o.HoldAt)
 	if err != nil {
 		return HoldReply{}, err
 	}
-	if repeated && after.Start == r.reply.Start {
+	if repeated && after.Start == r.reply.EngineRun {
 		return r.reply, nil
 	}
 	r.Promised, r.HeldBy = o.Ballot, o.Ballot
-	r.Fresh = !repeated && !before.Held && before.Joined
+	r.WasRunning = !repeated && !before.Held && before.Joined
 	r.reply = HoldReply{
 		Incarnation: r.Incarnation,
-		Start:       after.Start,
+		EngineRun:   after.Start,
 		Joined:      after.Map != 0,
-		Next:        after.Next,
-		Inside:      after.Inside,
+		NextStep:    after.Next,
+		InStep:      after.Inside,
 		Map:         after.Map,
 		HoldAt:      after.HoldAt,
 	}
@@ -102,10 +104,10 @@
 // reply, the low one the new. Confirmed, a ballot has an instant at which all
 // ranks were held by it and no other, and two ballots can't share one; whatever
 // the earlier one decided shows in the replies to the later.
-func (r *Rank) Confirm(b Ballot, incarnation uint64) error {
+func (r *RankState) Confirm(b Ballot, incarnation uint64) error {
 	switch {
 	case incarnation != r.Incarnation:
-		return ErrIncarnation
+		return ErrAgentRestarted
 	case r.HeldBy != b:
 		return ErrNotHeld
 	}
@@ -114,18 +116,18 @@
 
 // Decide obeys a decision if it is of the ballot that holds the engine, and was
 // made from a reply of this very agent and engine: the reply's Incarnation and
-// Start come back with it. An agent that restarted may be held by the same ballot
+// EngineRun come back with it. An agent that restarted may be held by the same ballot
 // once more, with its engine somewhere else than the decision assumes.
-func (r *Rank) Decide(e Engine, d Decision, incarnation, start uint64) error {
+func (r *RankState) Decide(e Engine, d Decision, incarnation, start uint64) error {
 	switch {
 	case incarnation != r.Incarnation:
-		return ErrIncarnation
+		return ErrAgentRestarted
 	case d.Ballot.Less(r.Promised):
-		return fmt.Errorf("%w: %+v", ErrOldBallot, r.Promised)
+		return fmt.Errorf("%w: %+v", ErrBallotSuperseded, r.Promised)
 	case r.HeldBy != d.Ballot:
 		return ErrNotHeld
 	}
-	if err := e.Release(r.token(d.Ballot), start, d.Schedule, d.Join); err != nil {
+	if err := e.Release(r.token(d.Ballot), start, d.Schedule, d.JoinStep); err != nil {
 		return err
 	}
 	r.HeldBy = Ballot{}
@@ -138,7 +140,7 @@
 // The withdrawal can overtake the order to hold. The order would then hold the
 // rank for nobody, until a rescue; so a free rank takes the ballot as promised
 // and over.
-func (r *Rank) Withdraw(e Engine, b Ballot) error {
+func (r *RankState) Withdraw(e Engine, b Ballot) error {
 	if r.HeldBy == (Ballot{}) && r.Promised.Less(b) {
 		r.Promised = b
 		return nil
@@ -146,7 +148,7 @@
 	if r.HeldBy != b || r.Promised != b {
 		return ErrNotHeld
 	}
-	if !r.Fresh {
+	if !r.WasRunning {
 		return ErrNotHeld
 	}
 	if err := e.Lift(r.token(b)); err != nil {
--- a/expert/switch_test.go
+++ b/expert/switch_test.go
@@ -74,7 +74,7 @@
 			g := NewWithT(t)
 			b.variant, b.maxStates = v, modelStates
 			states, err := explore(b)
-			g.Expect(err).To(Or(MatchError(errMixedStep), MatchError(ErrMixed), MatchError(errStuck)))
+			g.Expect(err).To(Or(MatchError(errMixedStep), MatchError(ErrConflictingMaps), MatchError(errStuck)))
 			t.Logf("%d states", states)
 		})
 	}
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -9,13 +9,13 @@
 // entries together, in every window. Each entry counts its own requests and
 // retries and has an even part of the slack, so no two need to agree.
 type retryBudget struct {
-	bounds RetryBounds
+	bounds RetryBudget
 	begun  time.Time
 	mu     sync.Mutex
 	slots  [budgetSlots]budgetSlot
 }
 
-func newRetryBudget(bounds RetryBounds, now time.Time) *retryBudget {
+func newRetryBudget(bounds RetryBudget, now time.Time) *retryBudget {
 	return &retryBudget{bounds: bounds, begun: now}
 }
 
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -20,7 +20,7 @@
 	config.Services[1].ColdRate = rate
 	store := new(memStore)
 	store.put(serving.TopicConfig, "config", config)
-	store.put(serving.TopicTargets, "i1", serving.Target{Service: "plain", Address: target.addr, DataCentre: "a", ColdLeft: 3 * time.Second})
+	store.put(serving.TopicTargets, "i1", serving.Target{Service: "plain", Address: target.addr, DataCentre: "a", ColdRemaining: 3 * time.Second})
 	f := startGateway(t, "gw", store)
 	g.Eventually(f.gw.Ready, "5s", "5ms").Should(BeTrue())
 	begun, refused := time.Now(), 0
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -22,7 +22,7 @@
 	for seed := range uint64(20) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 1))
-		bounds := RetryBounds{Ratio: 0.2, Slack: 92, Window: 10 * time.Second}
+		bounds := RetryBudget{Ratio: 0.2, Slack: 92, Window: 10 * time.Second}
 		const entries = 8
 		start := time.Now()
 		var budgets [entries]*retryBudget
@@ -61,7 +61,7 @@
 }
 
 func testKnowledge() *knowledge {
-	return newKnowledge(&Options{DecodeConfig: decodeTestConfig, DecodeEvacuation: decodeTestEvacuation, DecodeTarget: decodeTestTarget, TargetBeat: time.Second, Log: logr.Discard(), Metrics: metrics.New()})
+	return newKnowledge(&Options{DecodeConfig: decodeTestConfig, DecodeEvacuation: decodeTestEvacuation, DecodeTarget: decodeTestTarget, TargetHeartbeatInterval: time.Second, Log: logr.Discard(), Metrics: metrics.New()})
 }
 
 func targetRecord(offset uint64, key, value string) serving.Record {
@@ -103,7 +103,7 @@
 	k.changes(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", "")}, 3, now)
 	g.Expect(k.view().targets["plain"]).To(HaveLen(1))
 	k.mu.Lock()
-	changed := k.targets.Expire(now.Add(serving.ReturnWait+time.Second), false)
+	changed := k.targets.ExpireLapsed(now.Add(serving.LapsedGrace+time.Second), false)
 	k.mu.Unlock()
 	g.Expect(changed).To(BeTrue())
 }
@@ -118,7 +118,7 @@
 	k.config = serving.NewIndex(testConfig())
 	k.newest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain"}`)}, 2, now.Add(-time.Second))
 	k.storeFailed(errAway)
-	k.adopt(serving.TopicTargets, serving.News{Records: []serving.Record{targetRecord(2, "i1", "")}, From: 2, Next: 3}, now)
+	k.adopt(serving.TopicTargets, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(2, "i1", "")}, FromOffset: 2, NextOffset: 3}, now)
 	g.Expect(k.view().targets["plain"]).To(BeEmpty())
 }
 
@@ -132,7 +132,7 @@
 	k.changes(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", `{"Service":"plain","sequence":2}`)}, 3, now)
 	news := k.since(serving.TopicTargets, 2)
 	g.Expect(news.Records).To(BeEmpty())
-	g.Expect(news.Next).To(Equal(uint64(3)))
+	g.Expect(news.NextOffset).To(Equal(uint64(3)))
 	k.changes(serving.TopicTargets, []serving.Record{targetRecord(3, "i1", `{"Service":"plain","Leaving":true}`)}, 4, now)
 	news = k.since(serving.TopicTargets, 3)
 	g.Expect(news.Records).To(HaveLen(1))
@@ -150,7 +150,7 @@
 			k := testKnowledge()
 			k.newest(serving.TopicConfig, nil, 1, time.Now().Add(-time.Hour))
 			m := &mesh{g: &Gateway{knowledge: k, book: testBook()}, topics: make(map[string][]peers.TopicState)}
-			m.group = members.New(members.Options{Carrier: m})
+			m.group = members.New(members.Options{Piggyback: m})
 			entries = append(entries, m)
 		}
 		read := time.Now()
@@ -161,8 +161,8 @@
 			time.Sleep(time.Duration(n%7) * 300 * time.Microsecond)
 			answer := &peers.Heartbeat{}
 			question := &peers.Heartbeat{Topics: asks.states()}
-			asked.Asked(question, answer)
-			asks.Answered(answer, sent)
+			asked.HandleProbe(question, answer)
+			asks.HandleAck(answer, sent)
 			for _, m := range entries {
 				g.Expect(m.g.knowledge.age(serving.TopicConfig, time.Now())).To(BeNumerically(">=", time.Since(read)))
 			}
@@ -178,7 +178,7 @@
 	k := testKnowledge()
 	now := time.Now()
 	k.newest(serving.TopicConfig, []serving.Record{targetRecord(5, "config", `{"Version":9}`)}, 6, now)
-	k.adopt(serving.TopicConfig, serving.News{Records: []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, Next: 4}, now)
+	k.adopt(serving.TopicConfig, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, NextOffset: 4}, now)
 	g.Expect(k.view().index.Version).To(Equal(uint64(9)))
 	k.newest(serving.TopicConfig, []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, 4, now)
 	k.newest(serving.TopicConfig, []serving.Record{targetRecord(8, "config", `{"Version":8}`)}, 9, now)
@@ -207,7 +207,7 @@
 	g := NewWithT(t)
 	f := startGateway(t, "b", new(memStore))
 	meet := func(name string, reaches bool) {
-		f.gw.mesh.group.Take(&peers.Heartbeat{Entry: peers.Presence{Name: name, Peers: "127.0.0.1:1", Incarnation: 1, Store: reaches}})
+		f.gw.mesh.group.MergeHeartbeat(&peers.Heartbeat{Entry: peers.Presence{Name: name, PeerAddr: "127.0.0.1:1", Incarnation: 1, StoreReachable: reaches}})
 	}
 	meet("a", false)
 	meet("c", true)
@@ -226,18 +226,18 @@
 	g := NewWithT(t)
 	f := startGateway(t, "a", new(memStore))
 	m := f.gw.mesh
-	before := peers.Presence{Name: "b", Peers: "127.0.0.1:1", Callers: "old", Incarnation: 9, Ready: true}
-	after := peers.Presence{Name: "b", Peers: "127.0.0.1:2", Callers: "new", Incarnation: 4, Ready: true}
+	before := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:1", CallerAddr: "old", Incarnation: 9, Ready: true}
+	after := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:2", CallerAddr: "new", Incarnation: 4, Ready: true}
 	callers := func() []string {
 		var list []string
 		for _, p := range m.usable() {
-			list = append(list, p.Callers)
+			list = append(list, p.CallerAddr)
 		}
 		return list
 	}
-	m.group.Take(&peers.Heartbeat{Entry: before})
+	m.group.MergeHeartbeat(&peers.Heartbeat{Entry: before})
 	g.Expect(callers()).To(Equal([]string{"old"}))
-	m.group.Take(&peers.Heartbeat{Entry: after})
+	m.group.MergeHeartbeat(&peers.Heartbeat{Entry: after})
 	g.Expect(callers()).To(Equal([]string{"new"}))
 	older := before
 	older.Incarnation = 2
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -11,7 +11,7 @@
 // Directory answers tell callers which entries to use.
 type DirectoryAnswer struct {
 	Addresses []string
-	Lifetime  time.Duration
+	TTL       time.Duration
 }
 
 // answerTTL is how long callers may keep an answer. Some keep it three times as
@@ -23,19 +23,19 @@
 // of them if none is there. Callers draw one of the addresses; a list that also
 // named other data centres would send most of them the longer way.
 func (g *Gateway) Entries(dataCentre string) DirectoryAnswer {
-	answer := DirectoryAnswer{Lifetime: min(answerTTL, g.opts.LifetimeMax)}
+	answer := DirectoryAnswer{TTL: min(answerTTL, g.opts.MaxDirectoryTTL)}
 	var elsewhere []string
 	for _, p := range g.mesh.usable() {
 		if p.DataCentre == dataCentre {
-			answer.Addresses = append(answer.Addresses, p.Callers)
+			answer.Addresses = append(answer.Addresses, p.CallerAddr)
 		} else {
-			elsewhere = append(elsewhere, p.Callers)
+			elsewhere = append(elsewhere, p.CallerAddr)
 		}
 	}
 	if len(answer.Addresses) == 0 {
 		answer.Addresses = elsewhere
 	}
-	answer.Addresses = some(answer.Addresses, g.opts.AddressesMax)
+	answer.Addresses = some(answer.Addresses, g.opts.MaxDirectoryAddresses)
 	return answer
 }
 
--- a/gateway/directory_test.go
+++ b/gateway/directory_test.go
@@ -19,16 +19,16 @@
 			const most = 64
 			one, two := quietGateway("entry-x"), quietGateway("entry-y")
 			for _, gw := range []*Gateway{one, two} {
-				gw.opts.AddressesMax = most
+				gw.opts.MaxDirectoryAddresses = most
 				for n := range size {
-					p := peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, DataCentre: "a", Ready: true, Callers: fmt.Sprintf("10.0.%d.%d:80", n/200, n%200)}
-					gw.mesh.group.Take(&peers.Heartbeat{Entry: p})
+					p := peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, DataCentre: "a", Ready: true, CallerAddr: fmt.Sprintf("10.0.%d.%d:80", n/200, n%200)}
+					gw.mesh.group.MergeHeartbeat(&peers.Heartbeat{Entry: p})
 				}
 			}
 			named := one.Entries("a").Addresses
 			g.Expect(named).To(HaveLen(min(size, most)))
 			g.Expect(two.Entries("a").Addresses).To(ConsistOf(named))
-			two.mesh.group.Take(&peers.Heartbeat{Entry: peers.Presence{Name: "entry-000", Incarnation: 2, DataCentre: "a", Callers: "10.0.0.0:80"}})
+			two.mesh.group.MergeHeartbeat(&peers.Heartbeat{Entry: peers.Presence{Name: "entry-000", Incarnation: 2, DataCentre: "a", CallerAddr: "10.0.0.0:80"}})
 			others := slices.DeleteFunc(two.Entries("a").Addresses, func(a string) bool { return slices.Contains(named, a) })
 			g.Expect(len(others)).To(BeNumerically("<=", 1))
 		})
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -27,7 +27,7 @@
 // exchange is a try whose target answers.
 type exchange struct {
 	target  *serving.Target
-	account *placing.Account
+	account *placing.TargetState
 	resp    *upstream.Response
 	reading bool // no answer has come yet
 	sentAt  time.Time
@@ -45,7 +45,7 @@
 func (x *exchange) firstByte() {
 	if x.reading {
 		x.reading = false
-		x.tries.g.book.Answered(x.account, x.tries.r.wish.Size)
+		x.tries.g.book.RecordResponseStart(x.account, x.tries.r.wish.Size)
 	}
 }
 
@@ -85,7 +85,7 @@
 // target returns the target of the next try, with the try booked there, once the request may
 // go to it.
 func (t *tries) target(ctx context.Context) (*serving.Target, *result.Error) {
-	t.r.wish.AvoidLimited, t.r.wish.Again = false, false
+	t.r.wish.AvoidRateLimited, t.r.wish.Requeued = false, false
 	for asked := 1; ; asked++ {
 		target, e := t.choose(ctx)
 		switch {
@@ -97,7 +97,7 @@
 			return target, nil
 		}
 		t.giveBack(target)
-		t.r.wish.AvoidLimited, t.r.wish.Again = asked >= permitAsks, true
+		t.r.wish.AvoidRateLimited, t.r.wish.Requeued = asked >= permitAsks, true
 	}
 }
 
@@ -108,12 +108,12 @@
 		return t.wait(ctx, gt)
 	}
 	targets := t.targets()
-	if t.g.book.AllLimited(targets) {
+	if t.g.book.AllRateLimited(targets) {
 		return nil, nil
 	}
-	target := t.g.book.Place(t.g.book.Allowed(targets, &t.r.wish), t.had, time.Now())
+	target := t.g.book.Place(t.g.book.AllowedTargets(targets, &t.r.wish), t.had, time.Now())
 	if target != nil {
-		t.g.book.Begin(target, t.r.wish.Size)
+		t.g.book.StartAttempt(target, t.r.wish.Size)
 	}
 	return target, nil
 }
@@ -125,8 +125,8 @@
 
 // giveBack ends a try that was booked and not made.
 func (t *tries) giveBack(target *serving.Target) {
-	a := t.g.book.Account(target)
-	t.g.book.Answered(a, t.r.wish.Size)
+	a := t.g.book.TargetState(target)
+	t.g.book.RecordResponseStart(a, t.r.wish.Size)
 	t.g.endTry(a, t.r)
 }
 
@@ -140,26 +140,26 @@
 func (t *tries) had(target *serving.Target) bool { return t.tried[target.Run()] }
 
 // wait waits at the gate for a target; nil if all name a rate.
-func (t *tries) wait(ctx context.Context, gt *placing.Gate) (*serving.Target, *result.Error) {
-	broken, short := t.g.book.Broken(t.r.service.Name, time.Now())
-	gt.NoteBroken(broken)
-	if short > 0 && gt.Waits() { // one at a time waits all the same, to see whether engines refuse it still
+func (t *tries) wait(ctx context.Context, gt *placing.AdmissionQueue) (*serving.Target, *result.Error) {
+	broken, short := t.g.book.IsServiceDown(t.r.service.Name, time.Now())
+	gt.SetServiceDown(broken)
+	if short > 0 && gt.HasWaiting() { // one at a time waits all the same, to see whether engines refuse it still
 		e := result.New(result.NoTarget, "the group of %s lacks engines for %d ms", t.r.service.Name, short.Milliseconds())
-		e.RetryAfter = placing.ComeBack(short)
+		e.RetryAfter = placing.ShortageRetryAfter(short)
 		return nil, t.orLast(e)
 	}
-	if t.g.book.AllLimited(t.targets()) {
+	if t.g.book.AllRateLimited(t.targets()) {
 		return nil, nil
 	}
 	if allEvacuated(t.targets()) {
 		return nil, t.orLast(result.New(result.NoTarget, "all targets of %s are evacuated", t.r.service.Name))
 	}
 	if comeBack, ok := gt.CanFinish(&t.r.wish, time.Now()); !ok {
-		e := result.New(result.DeadlineUnmet, "%.0f events would not end in time", t.r.wish.Events)
+		e := result.New(result.DeadlineUnmet, "%.0f events would not end in time", t.r.wish.ExpectedEvents)
 		e.RetryAfter = comeBack
 		return nil, t.orLast(e)
 	}
-	w, comeBack, ok := gt.Enter(&t.r.wish, time.Now())
+	w, comeBack, ok := gt.Enqueue(&t.r.wish, time.Now())
 	if !ok {
 		e := result.New(result.WaitTooLong, "the wait would be %d ms", comeBack.Milliseconds())
 		e.RetryAfter = comeBack
@@ -174,7 +174,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	if !gt.Leave(w) {
+	if !gt.Remove(w) {
 		target := <-w.Granted()
 		if ctx.Err() == nil {
 			return target, nil
@@ -246,14 +246,14 @@
 // send makes one try.
 func (t *tries) send(ctx context.Context, target *serving.Target, resumeAfter string) (*exchange, *result.Error) {
 	t.count++
-	a := t.g.book.Account(target)
-	m := t.r.forTry(&t.g.opts.Protocol, target, time.Now(), resumeAfter)
+	a := t.g.book.TargetState(target)
+	m := t.r.forTry(&t.g.opts.Headers, target, time.Now(), resumeAfter)
 	heard, sentAt := t.expect(target), time.Now()
 	resp, err := t.g.pools.of(target).Send(ctx, m)
 	heard(err == nil)
 	x := &exchange{target: target, account: a, resp: resp, reading: true, sentAt: sentAt, tries: t}
 	if err != nil {
-		t.g.book.Answered(a, t.r.wish.Size)
+		t.g.book.RecordResponseStart(a, t.r.wish.Size)
 		t.g.endTry(a, t.r)
 		return nil, t.lost(ctx, target, err)
 	}
@@ -270,13 +270,13 @@
 // lost makes a result of a try without an answer.
 func (t *tries) lost(ctx context.Context, target *serving.Target, err error) *result.Error {
 	var failed *upstream.SendError
-	sent := !errors.As(err, &failed) || failed.Sent
+	sent := !errors.As(err, &failed) || failed.MayHaveRun
 	t.tried[target.Run()] = true
 	if sent {
 		t.sent++
 	}
 	if context.Cause(ctx) == nil {
-		t.g.book.Outcome(target, false, time.Now())
+		t.g.book.RecordOutcome(target, false, time.Now())
 		t.doubt(target, failed)
 	}
 	if cause := t.ended(ctx); cause != nil {
@@ -291,52 +291,52 @@
 // judge looks at the head of an answer: nil means that it is the target's own and
 // to be delivered.
 func (t *tries) judge(x *exchange) *result.Error {
-	p := &t.g.opts.Protocol
+	p := &t.g.opts.Headers
 	h := &x.resp.Header
 	status := x.resp.Status
 	notRun := len(h.Peek(p.NotRun)) > 0
 	switch {
 	case status == statusMisdirected:
-		t.g.book.Replaced(x.target)
+		t.g.book.MarkReplaced(x.target)
 		return result.New(result.TargetLeaving, "another target has the address of %s", x.target.ID)
 	case notRun:
 		e := result.New(result.TargetBusy, "%s did not run it, status %d", x.target.ID, status)
 		if fault := string(h.Peek(p.FaultAt)); fault != "" {
 			e.Code = result.RankLost
 			e.Detail += ", fault at " + fault
-			t.g.book.GroupRefused(x.target, time.Now())
+			t.g.book.RecordGroupRefusal(x.target, time.Now())
 		} else {
-			t.g.book.Outcome(x.target, false, time.Now())
+			t.g.book.RecordOutcome(x.target, false, time.Now())
 		}
 		e.RetryAfter = retryAfter(string(h.Peek("Retry-After")))
 		return e
 	}
 	t.sent++
 	if status/100 == 2 && t.g.gate(t.r.service) != nil {
-		t.g.book.GroupAnswered(x.target, time.Now())
+		t.g.book.RecordGroupResponse(x.target, time.Now())
 	}
 	switch {
 	case status/100 == 2 && len(h.Peek(p.Seal)) == 0:
-		t.g.book.Outcome(x.target, false, time.Now())
+		t.g.book.RecordOutcome(x.target, false, time.Now())
 		return result.New(result.AnswerBroken, "%s answered %d without its proof", x.target.ID, status)
 	case status/100 == 5 && t.r.route.Repeatable() && t.sent < t.r.route.MaxAttempts && t.canSpare():
-		t.g.book.Outcome(x.target, false, time.Now())
+		t.g.book.RecordOutcome(x.target, false, time.Now())
 		return result.New(result.EngineLost, "%s failed with %d", x.target.ID, status)
 	}
-	t.g.book.Outcome(x.target, status/100 != 5, time.Now())
+	t.g.book.RecordOutcome(x.target, status/100 != 5, time.Now())
 	return nil
 }
 
 // canSpare tells whether a failure of a target may be dropped for another try.
 // The failure is an answer too; without another target it is what the caller gets.
 func (t *tries) canSpare() bool {
-	sure := t.g.book.Allowed(t.targets(), &placing.Request{AvoidLimited: true})
+	sure := t.g.book.AllowedTargets(t.targets(), &placing.Request{AvoidRateLimited: true})
 	return t.g.book.Place(sure, t.had, time.Now()) != nil
 }
 
 // endTry books the end of a try, which may let another request go.
-func (g *Gateway) endTry(a *placing.Account, r *request) {
-	g.book.End(a, &r.wish, time.Now())
+func (g *Gateway) endTry(a *placing.TargetState, r *request) {
+	g.book.EndAttempt(a, &r.wish, time.Now())
 	g.roomMade(r.service.Name)
 }
 
--- a/gateway/doubt.go
+++ b/gateway/doubt.go
@@ -18,8 +18,8 @@
 
 // silentAfter returns when the target of this request is doubted.
 func (r *request) silentAfter() time.Duration {
-	if r.route.Aim > 0 {
-		return silentAims * r.route.Aim
+	if r.route.LatencyObjective > 0 {
+		return silentAims * r.route.LatencyObjective
 	}
 	return share(r.deadline.Sub(r.arrived), silentShare)
 }
@@ -28,12 +28,12 @@
 func (t *tries) expect(target *serving.Target) (heard func(answered bool)) {
 	sentAt, ranked := time.Now(), t.g.gate(t.r.service) != nil
 	timer := time.AfterFunc(t.r.silentAfter(), func() {
-		t.doubted(target, "silent", t.g.book.Silent(target, ranked, sentAt, time.Now()))
+		t.doubted(target, "silent", t.g.book.RecordTimeout(target, ranked, sentAt, time.Now()))
 	})
 	return func(answered bool) {
 		timer.Stop()
 		if answered && ranked {
-			t.g.book.Began(target, sentAt, time.Now())
+			t.g.book.RecordRankResponse(target, sentAt, time.Now())
 		}
 	}
 }
@@ -41,36 +41,36 @@
 // doubt has this entry and the others keep out a target that broke off a connection that was
 // new. One that had rested may have been closed for that, which says nothing.
 func (t *tries) doubt(target *serving.Target, failed *upstream.SendError) {
-	if failed == nil || !failed.Fresh || t.g.gate(t.r.service) != nil {
+	if failed == nil || !failed.NewConnection || t.g.gate(t.r.service) != nil {
 		return
 	}
-	t.doubted(target, "broke off", t.g.book.Broke(target, time.Now()))
+	t.doubted(target, "broke off", t.g.book.RecordBrokenConnection(target, time.Now()))
 }
 
 // doubted carries out what follows from a doubt of this entry's own.
-func (t *tries) doubted(target *serving.Target, seen string, v placing.Verdict) {
-	if v.Kept {
+func (t *tries) doubted(target *serving.Target, seen string, v placing.EjectionDecision) {
+	if v.Ejected {
 		t.g.opts.Log.Info("target kept out", "target", target.ID, "seen", seen, "request", t.r.id)
 		t.g.opts.Metrics.Count("targets_kept_out", 1)
 	}
-	if v.Tell {
+	if v.Propagate {
 		t.g.mesh.tell()
 	}
 }
 
 // doubts returns what this entry tells others of targets in doubt.
-func (m *mesh) doubts() []peers.Doubt {
+func (m *mesh) doubts() []peers.FailureReport {
 	now := time.Now()
-	var list []peers.Doubt
-	for _, o := range m.g.book.Doubts(now) {
-		list = append(list, peers.Doubt{
-			Entry:    o.Entry,
-			Target:   o.Run.ID,
-			Born:     o.Run.Born,
-			BrokenMS: agoMS(o.Broken, now),
-			HungMS:   agoMS(o.Hung, now),
-			Hung:     peers.Count(o.Unanswered),
-			WellMS:   agoMS(o.Well, now),
+	var list []peers.FailureReport
+	for _, o := range m.g.book.FailureReports(now) {
+		list = append(list, peers.FailureReport{
+			Entry:           o.Entry,
+			Target:          o.Run.ID,
+			StartedAtMS:     o.Run.StartedAtMS,
+			ConnBrokenAgeMS: agoMS(o.LastBroken, now),
+			TimeoutAgeMS:    agoMS(o.LastTimeout, now),
+			Timeouts:        peers.ClampUint16(o.ConsecutiveTimeouts),
+			SuccessAgeMS:    agoMS(o.LastSuccess, now),
 		})
 	}
 	return list
@@ -78,24 +78,24 @@
 
 // doubted takes what another entry tells of targets; it tells whether others should hear of it
 // at once.
-func (m *mesh) doubted(list []peers.Doubt) bool {
+func (m *mesh) doubted(list []peers.FailureReport) bool {
 	if len(list) == 0 {
 		return false
 	}
 	now := time.Now()
-	told := make([]placing.Doubt, 0, len(list))
+	told := make([]placing.FailureReport, 0, len(list))
 	for i := range list {
 		o := &list[i]
-		told = append(told, placing.Doubt{
-			Entry:      o.Entry,
-			Run:        serving.Run{ID: o.Target, Born: o.Born},
-			Broken:     before(now, o.BrokenMS),
-			Hung:       before(now, o.HungMS),
-			Unanswered: int(o.Hung),
-			Well:       before(now, o.WellMS),
+		told = append(told, placing.FailureReport{
+			Entry:               o.Entry,
+			Run:                 serving.Run{ID: o.Target, StartedAtMS: o.StartedAtMS},
+			LastBroken:          before(now, o.ConnBrokenAgeMS),
+			LastTimeout:         before(now, o.TimeoutAgeMS),
+			ConsecutiveTimeouts: int(o.Timeouts),
+			LastSuccess:         before(now, o.SuccessAgeMS),
 		})
 	}
-	kept, tell := m.g.book.Doubted(told, now)
+	kept, tell := m.g.book.MergeFailureReports(told, now)
 	for _, run := range kept {
 		m.g.opts.Log.Info("target kept out", "target", run.ID, "seen", "by others")
 		m.g.opts.Metrics.Count("targets_kept_out", 1)
--- a/gateway/evacuate_test.go
+++ b/gateway/evacuate_test.go
@@ -97,7 +97,7 @@
 	g := NewWithT(t)
 	target := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool { return reply(w, r, 200, sealed, "x") })
 	config := testConfig()
-	config.Services[0].Engine = &serving.EngineModel{Slots: 4, Sets: 2}
+	config.Services[0].Engine = &serving.EngineModel{Slots: 4, LayerSets: 2}
 	store := new(memStore)
 	store.put(serving.TopicConfig, "config", config)
 	store.put(serving.TopicConfig, "away-from-a", map[string]int{})
