--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,7 +27,7 @@
 	tasks     conc.WaitGroup
 	knowledge *knowledge
 	mesh      *mesh
-	book      *placing.Book
+	book      *placing.Tracker
 	pools     *pools
 	setByUs   map[string]bool // fields that callers can't set
 	http      *fasthttp.Server
@@ -39,8 +39,8 @@
 	started   time.Time
 
 	mu      sync.Mutex
-	budgets map[string]*retryBudget  // by service
-	gates   map[string]*placing.Gate // by service
+	budgets map[string]*retryBudget            // by service
+	gates   map[string]*placing.AdmissionQueue // by service
 }
 
 // Limits on callers.
@@ -56,31 +56,31 @@
 func Start(o Options, callersLn, peersLn net.Listener) *Gateway {
 	g := &Gateway{
 		opts:     o,
-		book:     placing.NewBook(o.Name, o.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		book:     placing.NewTracker(o.Name, o.DataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		pools:    newPools(),
 		budgets:  make(map[string]*retryBudget),
-		gates:    make(map[string]*placing.Gate),
+		gates:    make(map[string]*placing.AdmissionQueue),
 		listener: callersLn,
 		setByUs:  make(map[string]bool),
 	}
-	p := &o.Protocol
+	p := &o.Headers
 	for _, name := range []string{p.Deadline, p.Key, p.Team, p.Instance, p.Priority} {
 		g.setByUs[name] = true
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.started = time.Now()
-	g.book.PreferKept(g.pools.kept)
+	g.book.PreferIdleConnections(g.pools.kept)
 	g.knowledge = newKnowledge(&o)
 	g.mesh = newMesh(g)
 	g.knowledge.met = g.mesh.read
 	g.peers = peers.Serve(peersLn, map[peers.Kind]peers.Handler{
-		peers.KindHeartbeat: g.mesh.group.Answer,
-		peers.KindProbe:     g.mesh.group.AnswerProbe,
+		peers.KindHeartbeat: g.mesh.group.HandleProbe,
+		peers.KindProbe:     g.mesh.group.HandleIndirectProbe,
 		peers.KindPermit:    g.mesh.answerPermit,
 	}, g.peerFailed)
 	g.startDuties()
 	g.serveCallers()
-	o.Log.Info("started", "vm", o.Name, "data_centre", o.DataCentre, "callers", o.Callers, "peers", o.Peers, "incarnation", o.Incarnation)
+	o.Log.Info("started", "vm", o.Name, "data_centre", o.DataCentre, "callers", o.CallerAddr, "peers", o.PeerAddr, "incarnation", o.Incarnation)
 	return g
 }
 
@@ -89,15 +89,15 @@
 	paces := []pace{
 		{
 			topic:  serving.TopicConfig,
-			follow: share(o.ConfigApply, configFollow),
-			spread: share(o.ConfigApply, takeOver),
-			wait:   share(o.ConfigApply, configWait),
+			follow: share(o.ConfigApplyTimeout, configFollow),
+			spread: share(o.ConfigApplyTimeout, takeOver),
+			wait:   share(o.ConfigApplyTimeout, configWait),
 		},
 		{
 			topic:  serving.TopicTargets,
-			lead:   share(o.Drain, targetsEvery),
-			follow: share(o.Drain, targetsFollow),
-			spread: share(o.Drain, takeOver),
+			lead:   share(o.DrainTimeout, targetsEvery),
+			follow: share(o.DrainTimeout, targetsFollow),
+			spread: share(o.DrainTimeout, takeOver),
 		},
 		{topic: serving.TopicEntries, lead: entriesEvery, follow: entriesEvery, spread: entriesEvery},
 	}
@@ -187,7 +187,7 @@
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		b = newRetryBudget(g.opts.Retries, time.Now())
+		b = newRetryBudget(g.opts.RetryBudget, time.Now())
 		g.budgets[service] = b
 	}
 	return b
@@ -200,7 +200,7 @@
 func (g *Gateway) serve(c *fasthttp.RequestCtx) {
 	v := g.awaitView()
 	if v == nil {
-		g.refuseAndLog(c, &request{id: string(c.Request.Header.Peek(g.opts.Protocol.RequestID)), arrived: c.Time()},
+		g.refuseAndLog(c, &request{id: string(c.Request.Header.Peek(g.opts.Headers.RequestID)), arrived: c.Time()},
 			result.New(result.NoConfig, "no configuration yet"))
 		return
 	}
@@ -263,7 +263,7 @@
 	if !ok {
 		return func() {}
 	}
-	return conn.Watch(func() { leave(result.New(result.CallerGone, "caller closed its connection")) })
+	return conn.WatchDisconnect(func() { leave(result.New(result.CallerGone, "caller closed its connection")) })
 }
 
 // Shares of the grace after the order to stop.
@@ -289,11 +289,11 @@
 	begun := time.Now()
 	g.opts.Log.Info("stopping", "in_flight", g.inFlight.Load())
 	g.stopping.Store(true)
-	until := begun.Add(share(g.opts.Grace, takeShare))
+	until := begun.Add(share(g.opts.ShutdownGrace, takeShare))
 	g.stopAt.Store(&until)
 	g.mesh.tell()
 	quiet := begun.Add(3 * answerTTL)
-	last := begun.Add(share(g.opts.Grace, 1-lastShare))
+	last := begun.Add(share(g.opts.ShutdownGrace, 1-lastShare))
 	for time.Now().Before(last) && ctx.Err() == nil {
 		if time.Now().After(quiet) && g.inFlight.Load() == 0 {
 			break
--- a/gateway/heartbeat.go
+++ b/gateway/heartbeat.go
@@ -7,14 +7,14 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Question implements members.Carrier: it tells how far this entry knows the store's
+// PrepareProbe implements members.Piggyback: it tells how far this entry knows the store's
 // topics, and asks for what the other one knows more.
-func (m *mesh) Question(name string, q *peers.Heartbeat) (done func()) {
+func (m *mesh) PrepareProbe(name string, q *peers.Heartbeat) (done func()) {
 	q.Topics = m.states()
-	q.Wants = m.want(name)
-	q.Doubts = m.doubts()
+	q.RequestedTopics = m.want(name)
+	q.FailureReports = m.doubts()
 	q.Rates = m.rates(maxRates)
-	return func() { m.wanted(q.Wants) }
+	return func() { m.wanted(q.RequestedTopics) }
 }
 
 // want returns the topics to ask a peer for: those of which it knows more, and of
@@ -26,7 +26,7 @@
 	defer m.mu.Unlock()
 	theirs := m.topics[name]
 	var wants uint8
-	for t := range serving.Topic(serving.Topics) {
+	for t := range serving.Topic(serving.NumTopics) {
 		if m.wanting&(1<<t) != 0 || int(t) >= len(theirs) {
 			continue
 		}
@@ -53,7 +53,7 @@
 	now := time.Now()
 	k := m.g.knowledge
 	var states []peers.TopicState
-	for t := range serving.Topic(serving.Topics) {
+	for t := range serving.Topic(serving.NumTopics) {
 		next, loaded := k.position(t)
 		state := peers.TopicState{}
 		if loaded {
@@ -70,9 +70,9 @@
 	return uint32((age + time.Millisecond - 1) / time.Millisecond)
 }
 
-func (m *mesh) news(t serving.Topic, from uint64) peers.TopicNews {
+func (m *mesh) news(t serving.Topic, from uint64) peers.TopicUpdate {
 	since := m.g.knowledge.since(t, from)
-	n := peers.TopicNews{Topic: uint8(t), From: since.From, Next: since.Next, Whole: since.Whole}
+	n := peers.TopicUpdate{Topic: uint8(t), From: since.FromOffset, Next: since.NextOffset, Full: since.Full}
 	for _, r := range since.Records {
 		n.Records = append(n.Records, peers.Record{Key: r.Key, Value: r.Value, Offset: r.Offset})
 	}
@@ -82,21 +82,21 @@
 	return n
 }
 
-// Answered implements members.Carrier. What the other one knew it knew at the latest when
+// HandleAck implements members.Piggyback. What the other one knew it knew at the latest when
 // the question was sent, so how fresh it was is never overstated, however many entries
 // pass it on. A question tells no such thing: it may have waited for as long as this
 // process stood still.
-func (m *mesh) Answered(h *peers.Heartbeat, sent time.Time) {
+func (m *mesh) HandleAck(h *peers.Heartbeat, sent time.Time) {
 	m.note(h)
-	fresher := m.doubted(h.Doubts)
+	fresher := m.doubted(h.FailureReports)
 	tell, _ := m.ratesTold(h.Rates, sent)
 	fresher = fresher || tell
-	for i := range h.News {
-		m.adopt(h, &h.News[i], sent)
+	for i := range h.Updates {
+		m.adopt(h, &h.Updates[i], sent)
 		fresher = true
 	}
 	for t := range h.Topics {
-		if t < serving.Topics && h.Topics[t].Read {
+		if t < serving.NumTopics && h.Topics[t].Read {
 			fresher = m.g.knowledge.confirm(serving.Topic(t), h.Topics[t].Next, asOf(&h.Topics[t], sent)) || fresher
 		}
 	}
@@ -111,15 +111,15 @@
 }
 
 // adopt takes records that a peer has sent.
-func (m *mesh) adopt(h *peers.Heartbeat, news *peers.TopicNews, sent time.Time) {
-	if int(news.Topic) >= serving.Topics || int(news.Topic) >= len(h.Topics) {
+func (m *mesh) adopt(h *peers.Heartbeat, news *peers.TopicUpdate, sent time.Time) {
+	if int(news.Topic) >= serving.NumTopics || int(news.Topic) >= len(h.Topics) {
 		return
 	}
 	if err := news.Unpack(); err != nil {
 		m.g.opts.Log.Error(err, "news of an entry ignored", "entry", h.Entry.Name)
 		return
 	}
-	n := serving.News{From: news.From, Next: news.Next, Whole: news.Whole}
+	n := serving.ReplicaUpdate{FromOffset: news.From, NextOffset: news.Next, Full: news.Full}
 	for _, r := range news.Records {
 		n.Records = append(n.Records, serving.Record{Key: r.Key, Value: r.Value, Offset: r.Offset})
 	}
@@ -133,21 +133,21 @@
 	m.topics[h.Entry.Name] = h.Topics
 }
 
-// Asked implements members.Carrier.
-func (m *mesh) Asked(q, answer *peers.Heartbeat) (askBack bool) {
+// HandleProbe implements members.Piggyback.
+func (m *mesh) HandleProbe(q, answer *peers.Heartbeat) (askBack bool) {
 	m.note(q)
 	tell, unsure := m.ratesTold(q.Rates, time.Time{})
-	if m.doubted(q.Doubts) || tell {
+	if m.doubted(q.FailureReports) || tell {
 		m.tell()
 	}
-	answer.Topics, answer.Doubts = m.states(), m.doubts()
+	answer.Topics, answer.FailureReports = m.states(), m.doubts()
 	answer.Rates = m.rates(maxRates)
 	if q.All {
 		answer.Rates = m.rates(ratesAll)
 	}
-	for t := range serving.Topic(serving.Topics) {
-		if q.Wants&(1<<t) != 0 && int(t) < len(q.Topics) && q.Topics[t].Next < answer.Topics[t].Next {
-			answer.News = append(answer.News, m.news(t, q.Topics[t].Next))
+	for t := range serving.Topic(serving.NumTopics) {
+		if q.RequestedTopics&(1<<t) != 0 && int(t) < len(q.Topics) && q.Topics[t].Next < answer.Topics[t].Next {
+			answer.Updates = append(answer.Updates, m.news(t, q.Topics[t].Next))
 		}
 	}
 	return unsure || m.lacks(q.Topics)
@@ -158,7 +158,7 @@
 func (m *mesh) lacks(theirs []peers.TopicState) bool {
 	now := time.Now()
 	for t := range theirs {
-		if t >= serving.Topics {
+		if t >= serving.NumTopics {
 			break
 		}
 		topic := serving.Topic(t)
--- a/gateway/kit_test.go
+++ b/gateway/kit_test.go
@@ -25,7 +25,7 @@
 
 // testProtocol has field names of its own: nothing in the package may depend on
 // those of one platform.
-var testProtocol = Protocol{
+var testProtocol = HeaderNames{
 	RequestID: "Rid", Deadline: "Left", Key: "Key", Team: "Team", Instance: "Run-Id", NotRun: "Not-Run",
 	FaultAt: "Fault-At", RateLimit: "Rate", Seal: "Seal", ResumeAfter: "After", Priority: "Prio", Tokens: "Tokens", LengthHint: "Hint",
 }
@@ -33,7 +33,7 @@
 // memStore keeps topics in memory and can be away.
 type memStore struct {
 	mu     sync.Mutex
-	topics [serving.Topics][]serving.Record
+	topics [serving.NumTopics][]serving.Record
 	away   bool
 	reads  int
 }
@@ -219,12 +219,12 @@
 func testConfig() serving.Config {
 	stream := serving.Route{
 		Name: "stream", Host: "h", Prefix: "/s/", Kind: serving.KindStream, Timeout: 5 * time.Second,
-		Shares: []serving.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 3, Resumable: true, Patience: 2 * time.Second,
+		ServiceWeights: []serving.ServiceWeight{{Service: "llm", Weight: 1}}, MaxAttempts: 3, Resumable: true, FirstEventTimeout: 2 * time.Second,
 	}
 	cut := stream
 	cut.Name, cut.Prefix, cut.Resumable = "cut", "/cut/", false
 	once := stream
-	once.Name, once.Prefix, once.Kind, once.Shares = "once", "/once/", serving.KindOnce, []serving.Share{{Service: "plain", Weight: 1}}
+	once.Name, once.Prefix, once.Kind, once.ServiceWeights = "once", "/once/", serving.KindOnce, []serving.ServiceWeight{{Service: "plain", Weight: 1}}
 	idem := once
 	idem.Name, idem.Prefix, idem.Kind = "idem", "/idem/", serving.KindIdempotent
 	return serving.Config{
@@ -244,10 +244,10 @@
 
 func testOptions(name string, store serving.Store) Options {
 	return Options{
-		Name: name, Incarnation: 1, DataCentre: "a", Protocol: testProtocol, Store: store,
+		Name: name, Incarnation: 1, DataCentre: "a", Headers: testProtocol, Store: store,
 		DecodeConfig: decodeTestConfig, DecodeEvacuation: decodeTestEvacuation, DecodeTarget: decodeTestTarget,
-		Drain: 400 * time.Millisecond, ConfigApply: 400 * time.Millisecond, TargetBeat: time.Second, Grace: 2 * time.Second, LifetimeMax: 5 * time.Second,
-		Retries: RetryBounds{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, AgentPort: "1",
+		DrainTimeout: 400 * time.Millisecond, ConfigApplyTimeout: 400 * time.Millisecond, TargetHeartbeatInterval: time.Second, ShutdownGrace: 2 * time.Second, MaxDirectoryTTL: 5 * time.Second,
+		RetryBudget: RetryBudget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, AgentPort: "1",
 		Log: logr.Discard(), Metrics: metrics.New(),
 	}
 }
@@ -256,8 +256,8 @@
 	t.Helper()
 	callersLn, peersLn := listen(t), listen(t)
 	o := testOptions(name, store)
-	o.Callers, o.Peers = callersLn.Addr().String(), peersLn.Addr().String()
-	f := &fleet{t: t, store: store, addr: o.Callers}
+	o.CallerAddr, o.PeerAddr = callersLn.Addr().String(), peersLn.Addr().String()
+	f := &fleet{t: t, store: store, addr: o.CallerAddr}
 	f.gw = Start(o, callersLn, peersLn)
 	t.Cleanup(func() {
 		f.gw.cancel()
@@ -311,4 +311,4 @@
 }
 
 // testBook is the book of an entry that has sent nothing yet.
-func testBook() *placing.Book { return placing.NewBook("e", "a", rand.New(rand.NewPCG(1, 1))) }
+func testBook() *placing.Tracker { return placing.NewTracker("e", "a", rand.New(rand.NewPCG(1, 1))) }
--- a/gateway/knowledge.go
+++ b/gateway/knowledge.go
@@ -30,8 +30,8 @@
 	current          atomic.Pointer[view]
 
 	mu        sync.Mutex
-	replicas  [serving.Topics]*serving.Replica
-	fresh     [serving.Topics]time.Time // when the replica was last known to be complete
+	replicas  [serving.NumTopics]*serving.Replica
+	fresh     [serving.NumTopics]time.Time // when the replica was last known to be complete
 	config    *serving.Index
 	targets   *serving.TargetSet
 	evacuated map[string]bool           // data centres whose targets get no work
@@ -51,7 +51,7 @@
 		decodeConfig:     o.DecodeConfig,
 		decodeEvacuation: o.DecodeEvacuation,
 		decodeTarget:     o.DecodeTarget,
-		outageGap:        outageBeats * o.TargetBeat,
+		outageGap:        outageBeats * o.TargetHeartbeatInterval,
 		log:              o.Log,
 		metrics:          o.Metrics,
 		targets:          serving.NewTargetSet(),
@@ -71,7 +71,7 @@
 func (k *knowledge) sameTarget(id string, old, new []byte) bool {
 	a, errA := k.decodeTarget(id, old)
 	b, errB := k.decodeTarget(id, new)
-	return errA == nil && errB == nil && a.Same(b)
+	return errA == nil && errB == nil && a.Equivalent(b)
 }
 
 // view returns what is known now, nil before there is a configuration.
@@ -81,7 +81,7 @@
 func (k *knowledge) position(t serving.Topic) (next uint64, loaded bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.replicas[t].Next(), k.replicas[t].Loaded()
+	return k.replicas[t].NextOffset(), k.replicas[t].IsLoaded()
 }
 
 // age returns how long ago a topic was last known to be complete.
@@ -128,19 +128,19 @@
 // newest takes the newest records of all keys.
 func (k *knowledge) newest(t serving.Topic, records []serving.Record, end uint64, asOf time.Time) {
 	k.mu.Lock()
-	news := k.replicas[t].Reset(records, end)
+	news := k.replicas[t].ApplySnapshot(records, end)
 	k.noteFresh(t, asOf)
 	k.apply(t, news)
 }
 
 // adopt takes a peer's records.
-func (k *knowledge) adopt(t serving.Topic, n serving.News, asOf time.Time) {
+func (k *knowledge) adopt(t serving.Topic, n serving.ReplicaUpdate, asOf time.Time) {
 	k.mu.Lock()
-	if n.From > k.replicas[t].Next() {
+	if n.FromOffset > k.replicas[t].NextOffset() {
 		k.mu.Unlock()
 		return
 	}
-	news := k.replicas[t].Adopt(n)
+	news := k.replicas[t].ApplyUpdate(n)
 	k.noteFresh(t, asOf)
 	k.apply(t, news)
 }
@@ -171,9 +171,9 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if next == 0 {
-		k.replicas[t].Empty()
+		k.replicas[t].MarkEmpty()
 	}
-	if !k.replicas[t].Loaded() || k.replicas[t].Next() < next {
+	if !k.replicas[t].IsLoaded() || k.replicas[t].NextOffset() < next {
 		return false
 	}
 	fresher = asOf.Sub(k.fresh[t]) > fresherBy
@@ -182,10 +182,10 @@
 }
 
 // since returns what a peer lacks of a topic.
-func (k *knowledge) since(t serving.Topic, next uint64) serving.News {
+func (k *knowledge) since(t serving.Topic, next uint64) serving.ReplicaUpdate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.replicas[t].Since(next)
+	return k.replicas[t].UpdateSince(next)
 }
 
 // apply works news into the view. It is called with the lock held and releases it.
@@ -202,11 +202,11 @@
 			k.applyEntry(&news[i])
 		}
 	}
-	if k.targets.Expire(now, k.outage(now)) {
+	if k.targets.ExpireLapsed(now, k.outage(now)) {
 		changed = true
 	}
 	if changed && k.config != nil {
-		k.current.Store(&view{index: k.config, targets: serving.MarkEvacuated(k.targets.ByService(k.config.Names), k.evacuated)})
+		k.current.Store(&view{index: k.config, targets: serving.MarkEvacuated(k.targets.ByService(k.config.HasService), k.evacuated)})
 	}
 	k.mu.Unlock()
 }
@@ -253,15 +253,15 @@
 	} else {
 		delete(k.evacuated, dataCentre)
 	}
-	k.log.Info("evacuation", "data_centre", dataCentre, "ordered", ordered, "targets", k.targets.In(dataCentre), "offset", rec.Offset)
+	k.log.Info("evacuation", "data_centre", dataCentre, "ordered", ordered, "targets", k.targets.CountInDataCentre(dataCentre), "offset", rec.Offset)
 	return true
 }
 
 func (k *knowledge) applyTarget(rec *serving.Record, now time.Time) bool {
 	if len(rec.Value) == 0 {
 		believe := now
-		if now.Sub(k.regained) < serving.ReturnWait {
-			believe = k.regained.Add(serving.ReturnWait)
+		if now.Sub(k.regained) < serving.LapsedGrace {
+			believe = k.regained.Add(serving.LapsedGrace)
 		}
 		gone := k.targets.Remove(rec.Key, now, believe)
 		k.log.Info("target gone", "target", rec.Key, "believed", gone, "after_outage_ms", now.Sub(k.regained).Milliseconds())
@@ -275,13 +275,13 @@
 		k.log.Info("record of a target ignored", "target", rec.Key, "offset", rec.Offset, "error", err.Error())
 		return k.targets.Remove(rec.Key, now, now)
 	}
-	if t.ColdLeft > 0 {
-		t.ColdUntil = now.Add(t.ColdLeft)
+	if t.ColdRemaining > 0 {
+		t.ColdUntil = now.Add(t.ColdRemaining)
 	}
 	if !k.targets.Put(t, rec.Offset) {
 		return false
 	}
-	k.log.Info("target known", "target", t.ID, "service", t.Service, "address", t.Address, "leaving", t.Leaving, "born", t.Born, "cold_ms", t.ColdLeft.Milliseconds())
+	k.log.Info("target known", "target", t.ID, "service", t.Service, "address", t.Address, "leaving", t.Leaving, "born", t.StartedAtMS, "cold_ms", t.ColdRemaining.Milliseconds())
 	return true
 }
 
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -47,7 +47,7 @@
 	}
 	var loads peers.Loads
 	waiting := l.waiting()
-	q := &peers.LoadsQuery{Roster: l.roster, Entry: l.g.opts.Name, Waiting: peers.Count(waiting.InTime), Late: peers.Count(waiting.Late)}
+	q := &peers.LoadsQuery{Roster: l.roster, Entry: l.g.opts.Name, QueuedInTime: peers.ClampUint16(waiting.InTime), QueuedLate: peers.ClampUint16(waiting.Late)}
 	err := l.client.Ask(ctx, peers.KindLoads, q, &loads, loadsLimit)
 	if err != nil {
 		l.drop(err)
@@ -69,7 +69,7 @@
 	}
 	l.shared = loads.Leader == ""
 	l.take(&loads)
-	if loads.Elsewhere {
+	if loads.AskOthers {
 		l.client.Close()
 		l.client = nil
 	}
@@ -79,20 +79,20 @@
 // size notes how many ranks the group has.
 func (l *loadReader) size(loads *peers.Loads) {
 	if loads.Ranks > 0 {
-		l.g.book.GroupSize(l.service, loads.Group, int(loads.Ranks), time.Now())
+		l.g.book.SetGroupSize(l.service, loads.Group, int(loads.Ranks), time.Now())
 		l.g.roomMade(l.service)
 	}
 }
 
 // waiting returns how many requests wait here for the service.
-func (l *loadReader) waiting() placing.Waiting {
+func (l *loadReader) waiting() placing.QueueCounts {
 	l.g.mu.Lock()
 	gt := l.g.gates[l.service]
 	l.g.mu.Unlock()
 	if gt == nil {
-		return placing.Waiting{}
+		return placing.QueueCounts{}
 	}
-	return gt.Waiting(time.Now())
+	return gt.QueueCounts(time.Now())
 }
 
 func (l *loadReader) drop(err error) {
@@ -148,20 +148,20 @@
 	at := now.Add(-time.Duration(loads.AgeMS) * time.Millisecond)
 	byAddress := make(map[string]placing.RankLoad, len(l.engines))
 	for i, engine := range l.engines {
-		byAddress[engine] = placing.RankLoad{Running: int(loads.Running[i]), Waiting: int(loads.Waiting[i]), Pace: 1}
+		byAddress[engine] = placing.RankLoad{Running: int(loads.Running[i]), Waiting: int(loads.Waiting[i]), Slowdown: 1}
 	}
 	for _, slow := range loads.Slow {
 		if int(slow.Rank) < len(l.engines) {
 			engine := l.engines[slow.Rank]
 			load := byAddress[engine]
-			load.Pace = float64(slow.Pace)
+			load.Slowdown = float64(slow.Slowdown)
 			byAddress[engine] = load
 		}
 	}
 	l.f.covers(l.group, l.engines)
-	state := placing.NewGroupState(byAddress, float64(loads.Imbalance), float64(loads.Worst), placing.Waiting{InTime: int(loads.Wanting), Late: int(loads.Late)}, at)
-	state.Name, state.Open = l.group, loads.Open
-	l.g.book.Reported(l.service, l.g.knowledge.view().targets[l.service], byAddress, state)
+	state := placing.NewGroupState(byAddress, float64(loads.Imbalance), float64(loads.PeakImbalance), placing.QueueCounts{InTime: int(loads.QueuedInTime), Late: int(loads.QueuedLate)}, at)
+	state.Name, state.Complete = l.group, loads.Complete
+	l.g.book.ApplyLoadReport(l.service, l.g.knowledge.view().targets[l.service], byAddress, state)
 	l.g.roomMade(l.service)
 }
 
@@ -173,7 +173,7 @@
 	}
 	for i := range v.index.Services {
 		s := &v.index.Services[i]
-		if s.Engine == nil || s.Engine.Sets == 0 || followed[s.Name] {
+		if s.Engine == nil || s.Engine.LayerSets == 0 || followed[s.Name] {
 			continue
 		}
 		followed[s.Name] = true
@@ -182,15 +182,15 @@
 }
 
 // gate returns the gate of a service; nil if it needs none.
-func (g *Gateway) gate(s *serving.Service) *placing.Gate {
-	if s.Engine == nil || s.Engine.Sets == 0 {
+func (g *Gateway) gate(s *serving.Service) *placing.AdmissionQueue {
+	if s.Engine == nil || s.Engine.LayerSets == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	gt := g.gates[s.Name]
 	if gt == nil {
-		gt = new(placing.Gate)
+		gt = new(placing.AdmissionQueue)
 		g.gates[s.Name] = gt
 	}
 	return gt
@@ -202,7 +202,7 @@
 	g.mu.Lock()
 	gt := g.gates[service]
 	g.mu.Unlock()
-	if gt != nil && gt.Waits() {
+	if gt != nil && gt.HasWaiting() {
 		g.admitWaiting(service)
 	}
 }
@@ -221,10 +221,10 @@
 	if gt == nil {
 		return
 	}
-	placing.Admit(gt, g.book, placing.Lane{
-		Service: s,
-		GapAim:  v.index.GapAim(service),
-		Targets: v.targets[service],
-		Entries: g.mesh.entries(),
+	placing.Admit(gt, g.book, placing.TargetPool{
+		Service:           s,
+		EventGapObjective: v.index.EventGapObjective(service),
+		Targets:           v.targets[service],
+		Entries:           g.mesh.entries(),
 	}, time.Now())
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -34,9 +34,9 @@
 	if t.count == 0 {
 		t.waited = now.Sub(t.r.arrived)
 	}
-	known := t.g.book.Known(target, now)
+	known := t.g.book.Snapshot(target, now)
 	t.g.opts.Log.Info("placed", "request", t.r.id, "target", target.ID, "try", t.count+1, "wait_ms", now.Sub(t.r.arrived).Milliseconds(),
-		"load", known.Load, "report_ms", known.Age.Milliseconds(), "imbalance", logging.Round2(known.Imbalance), "pace", logging.Round2(known.Pace),
+		"load", known.Requests, "report_ms", known.ReportAge.Milliseconds(), "imbalance", logging.Round2(known.Imbalance), "pace", logging.Round2(known.MaxSlowdown),
 		"rate_limit", known.RateLimit)
 }
 
@@ -51,7 +51,7 @@
 	g.opts.Metrics.Result(result.OK)
 	took := time.Since(r.arrived)
 	late := lateNot
-	if r.route.Aim > 0 && took > r.route.Aim {
+	if r.route.LatencyObjective > 0 && took > r.route.LatencyObjective {
 		late = lateAnswer
 	}
 	g.opts.Log.Info("answered", append(r.fields(), "target", x.target.ID, "status", x.resp.Status,
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -14,8 +14,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Protocol names the header fields that callers and targets use.
-type Protocol struct {
+// HeaderNames names the header fields that callers and targets use.
+type HeaderNames struct {
 	RequestID   string // of one attempt of a caller; targets echo it
 	Deadline    string // milliseconds that are left
 	Key         string // that a team's caller shows; never passed on
@@ -36,9 +36,9 @@
 	Name        string // of the VM
 	Incarnation uint64
 	DataCentre  string
-	Callers     string // address that callers are told to connect to
-	Peers       string // address that other entries connect to
-	Protocol    Protocol
+	CallerAddr  string // address that callers are told to connect to
+	PeerAddr    string // address that other entries connect to
+	Headers     HeaderNames
 	Store       serving.Store
 	// DecodeConfig decodes a record of serving.TopicConfig; ok is false for records
 	// that are something else.
@@ -50,23 +50,23 @@
 	// DecodeTarget decodes a record of serving.TopicTargets.
 	DecodeTarget func(id string, value []byte) (serving.Target, error)
 
-	Drain        time.Duration // within it a leaving target gets no more work
-	ConfigApply  time.Duration // within it an accepted configuration is in force
-	TargetBeat   time.Duration // between two records of a target that lives
-	Grace        time.Duration // between the order to stop and the end
-	LifetimeMax  time.Duration // of an answer of the directory
-	AddressesMax int           // that an answer of the directory names; 0: any number
-	Retries      RetryBounds
-	AgentPort    string                             // on each VM with an engine; where its agent answers peers
-	Dial         func(address string) members.Asker // returns a client of another entry; nil: by TCP
+	DrainTimeout            time.Duration // within it a leaving target gets no more work
+	ConfigApplyTimeout      time.Duration // within it an accepted configuration is in force
+	TargetHeartbeatInterval time.Duration // between two records of a target that lives
+	ShutdownGrace           time.Duration // between the order to stop and the end
+	MaxDirectoryTTL         time.Duration // of an answer of the directory
+	MaxDirectoryAddresses   int           // that an answer of the directory names; 0: any number
+	RetryBudget             RetryBudget
+	AgentPort               string                                  // on each VM with an engine; where its agent answers peers
+	Dial                    func(address string) members.PeerClient // returns a client of another entry; nil: by TCP
 
 	Log     logr.Logger
 	Metrics *metrics.Set
 }
 
-// RetryBounds bound what a service gets beyond the first try of each request,
+// RetryBudget bound what a service gets beyond the first try of each request,
 // over all entries.
-type RetryBounds struct {
+type RetryBudget struct {
 	Ratio  float64 // retries for each request
 	Slack  float64 // retries beyond that in one window
 	Window time.Duration
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -75,7 +75,7 @@
 	target := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool { return reply(w, r, 200, sealed, "x") })
 	f := startFleet(t, "plain", target)
 	next := testConfig()
-	next.Version, next.Limits = 8, serving.Limits{HeaderBytes: 1000, BodyBytes: 10}
+	next.Version, next.Limits = 8, serving.Limits{MaxHeaderBytes: 1000, MaxBodyBytes: 10}
 	f.store.put(serving.TopicConfig, "config", next)
 	g.Eventually(func() uint64 { return f.gw.knowledge.view().index.Version }, "5s", "5ms").Should(Equal(uint64(8)))
 	for _, tc := range []struct {
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -36,7 +36,7 @@
 		if cause := t.ended(ctx); cause != nil {
 			return nil, cause
 		}
-		g.book.Outcome(x.target, false, time.Now())
+		g.book.RecordOutcome(x.target, false, time.Now())
 		t.last = result.New(result.AnswerBroken, "%s: %w", x.target.ID, err)
 		if !t.mayRetry(t.last) {
 			return nil, t.last
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -33,7 +33,7 @@
 	p.mu.Lock()
 	pool := p.byRun[run]
 	p.mu.Unlock()
-	return pool != nil && pool.Idle() > 0
+	return pool != nil && pool.IdleCount() > 0
 }
 
 // drop closes the connections to a target that is gone.
@@ -55,7 +55,7 @@
 	}
 	p.mu.Unlock()
 	for _, pool := range list {
-		pool.Prune(now)
+		pool.CloseExpired(now)
 	}
 }
 
@@ -67,7 +67,7 @@
 			alive[t.Run()] = true
 		}
 	}
-	for _, run := range g.book.Forget(func(run serving.Run) bool { return alive[run] }, time.Now()) {
+	for _, run := range g.book.Prune(func(run serving.Run) bool { return alive[run] }, time.Now()) {
 		g.pools.drop(run)
 	}
 	g.pools.prune(time.Now())
--- a/gateway/ratelimit.go
+++ b/gateway/ratelimit.go
@@ -14,7 +14,7 @@
 // more. Only a whole success proves the latter: what else answers at its address may leave the
 // field out.
 func (g *Gateway) noteRate(x *exchange) {
-	p := &g.opts.Protocol
+	p := &g.opts.Headers
 	h := &x.resp.Header
 	value := string(h.Peek(p.RateLimit))
 	said := placing.RateLimit{Run: x.target.Run(), Rate: placing.Unlimited}
@@ -30,7 +30,7 @@
 		return
 	}
 	now := time.Now()
-	if g.rateSaid(said, placing.Said{Earliest: x.sentAt, Latest: now}, now).Tell {
+	if g.rateSaid(said, placing.TimeBounds{Earliest: x.sentAt, Latest: now}, now).Propagate {
 		g.mesh.tell()
 	}
 }
@@ -44,9 +44,9 @@
 	return rate, true
 }
 
-func (g *Gateway) rateSaid(said placing.RateLimit, at placing.Said, now time.Time) placing.RateTaken {
-	taken := g.book.RateSaid(said, at, now)
-	if taken.Tell {
+func (g *Gateway) rateSaid(said placing.RateLimit, at placing.TimeBounds, now time.Time) placing.RateLimitUpdate {
+	taken := g.book.RecordRateLimit(said, at, now)
+	if taken.Propagate {
 		g.opts.Metrics.Count("rate_limits_changed", 1)
 		g.opts.Log.Info("rate limit of a target changed", "target", said.Run.ID, "per_second", said.Rate)
 	}
@@ -63,14 +63,14 @@
 func (m *mesh) rates(most int) []peers.Rate {
 	now := time.Now()
 	var list []peers.Rate
-	for _, o := range m.g.book.Rates(most) {
+	for _, o := range m.g.book.RateLimits(most) {
 		list = append(list, rateMessage(o, now))
 	}
 	return list
 }
 
-func rateMessage(o placing.ToldRate, now time.Time) peers.Rate {
-	return peers.Rate{Target: o.Run.ID, Born: o.Run.Born, PerSecond: o.Rate, AgeMS: agoMS(o.Said, now)}
+func rateMessage(o placing.ReportedRateLimit, now time.Time) peers.Rate {
+	return peers.Rate{Target: o.Run.ID, StartedAtMS: o.Run.StartedAtMS, PerSecond: o.Rate, AgeMS: agoMS(o.ReportedAt, now)}
 }
 
 // ratesTold takes what another entry tells of rates, in the answer to a question that was sent
@@ -80,21 +80,21 @@
 	now := time.Now()
 	for i := range list {
 		taken := m.rateTold(&list[i], sent, now)
-		tell = tell || taken.Tell
-		unsure = unsure || taken.Unsure
+		tell = tell || taken.Propagate
+		unsure = unsure || taken.OrderUnknown
 	}
 	return tell, unsure
 }
 
-func (m *mesh) rateTold(o *peers.Rate, sent, now time.Time) placing.RateTaken {
+func (m *mesh) rateTold(o *peers.Rate, sent, now time.Time) placing.RateLimitUpdate {
 	if o.Target == "" || o.AgeMS == peers.Never || math.IsNaN(o.PerSecond) {
-		return placing.RateTaken{}
+		return placing.RateLimitUpdate{}
 	}
-	said := placing.RateLimit{Run: serving.Run{ID: o.Target, Born: o.Born}, Rate: o.PerSecond}
+	said := placing.RateLimit{Run: serving.Run{ID: o.Target, StartedAtMS: o.StartedAtMS}, Rate: o.PerSecond}
 	if said.Rate < 0 {
 		said.Rate = placing.Unlimited
 	}
-	at := placing.Said{Latest: before(now, o.AgeMS)}
+	at := placing.TimeBounds{Latest: before(now, o.AgeMS)}
 	if !sent.IsZero() {
 		at.Earliest = before(sent, o.AgeMS)
 	}
--- a/gateway/ratelimit_test.go
+++ b/gateway/ratelimit_test.go
@@ -35,7 +35,7 @@
 	for _, rate := range []float64{1.5, 1.5, 0.8, placing.Unlimited} {
 		_, _, err := f.ask("POST", "/once/x", "k1", "")
 		g.Expect(err).NotTo(HaveOccurred())
-		noted, _ := f.gw.book.RateOf(known.Run())
+		noted, _ := f.gw.book.RateLimitOf(known.Run())
 		g.Expect(noted).To(Equal(rate))
 	}
 }
@@ -240,7 +240,7 @@
 	g.Eventually(func() bool {
 		for _, e := range f.entries {
 			for _, target := range targets {
-				if known, _ := e.gw.book.RateOf(serving.Run{ID: target.id}); known != placing.Unlimited {
+				if known, _ := e.gw.book.RateLimitOf(serving.Run{ID: target.id}); known != placing.Unlimited {
 					return false
 				}
 			}
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -18,7 +18,7 @@
 	g.opts.Metrics.Result(e.Code)
 	ctx.Response.Reset()
 	ctx.SetStatusCode(statusOf(e))
-	ctx.Response.Header.SetBytesV(g.opts.Protocol.RequestID, ctx.Request.Header.Peek(g.opts.Protocol.RequestID))
+	ctx.Response.Header.SetBytesV(g.opts.Headers.RequestID, ctx.Request.Header.Peek(g.opts.Headers.RequestID))
 	if wait := e.Wait(); wait > 0 && e.Run() == result.RunNot {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, formatSeconds(wait))
 	}
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -150,13 +150,13 @@
 		return false, false
 	}
 	records := g.knowledge.entryRecords()
-	if records[g.opts.Name].Peers == g.opts.Peers {
+	if records[g.opts.Name].PeerAddr == g.opts.PeerAddr {
 		return false, true
 	}
 	have, before := 0, 0
-	for _, p := range g.mesh.group.Table().Living() {
+	for _, p := range g.mesh.group.Table().Alive() {
 		switch {
-		case records[p.Name].Peers == p.Peers:
+		case records[p.Name].PeerAddr == p.PeerAddr:
 			have++
 		case p.Name < g.opts.Name:
 			before++
--- a/gateway/register_test.go
+++ b/gateway/register_test.go
@@ -18,7 +18,7 @@
 // quietGateway returns an entry that does nothing by itself.
 func quietGateway(name string) *Gateway {
 	o := testOptions(name, new(memStore))
-	o.Peers = name + ":1"
+	o.PeerAddr = name + ":1"
 	g := &Gateway{opts: o, knowledge: newKnowledge(&o), started: time.Now()}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.mesh = newMesh(g)
@@ -29,11 +29,11 @@
 func hear(g *Gateway, others, records int) {
 	var read []serving.Record
 	for n := range others {
-		p := peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, Peers: fmt.Sprintf("10.0.0.%d:1", n)}
+		p := peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, PeerAddr: fmt.Sprintf("10.0.0.%d:1", n)}
 		if p.Name == g.opts.Name {
 			continue
 		}
-		g.mesh.group.Take(&peers.Heartbeat{Entry: p})
+		g.mesh.group.MergeHeartbeat(&peers.Heartbeat{Entry: p})
 		if n < records {
 			value, _ := p.MarshalMsg(nil) // test data always encodes
 			read = append(read, serving.Record{Key: p.Name, Value: value, Offset: uint64(n + 1)})
@@ -71,7 +71,7 @@
 func TestAnEntryKeepsItsRecord(t *testing.T) {
 	g := NewWithT(t)
 	gw := quietGateway("entry-000")
-	value, err := (&peers.Presence{Name: "entry-000", Incarnation: 1, Peers: "entry-000:1"}).MarshalMsg(nil)
+	value, err := (&peers.Presence{Name: "entry-000", Incarnation: 1, PeerAddr: "entry-000:1"}).MarshalMsg(nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	gw.knowledge.newest(serving.TopicEntries, []serving.Record{{Key: "entry-000", Value: value, Offset: 1}}, 2, time.Now())
 	wanted, _ := gw.recordWanted()
@@ -99,7 +99,7 @@
 
 		told := quietGateway("entry-004")
 		time.AfterFunc(startPoll, func() {
-			told.knowledge.adopt(serving.TopicTargets, serving.News{Next: 5, Whole: true}, time.Now())
+			told.knowledge.adopt(serving.TopicTargets, serving.ReplicaUpdate{NextOffset: 5, Full: true}, time.Now())
 		})
 		told.awaitPeers(serving.TopicTargets)
 		g.Expect(time.Since(told.started)).To(BeNumerically("<=", 2*startPoll))
@@ -109,7 +109,7 @@
 	})
 }
 
-var _ members.Carrier = (*mesh)(nil)
+var _ members.Piggyback = (*mesh)(nil)
 
 // Callers connect to an entry that has just started and does not know the configuration
 // yet. It is told a moment later: their requests wait for that and are not refused. If
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -39,7 +39,7 @@
 // newRequest checks a caller's request against the configuration.
 func (g *Gateway) newRequest(ctx *fasthttp.RequestCtx, v *view) (*request, *result.Error) {
 	h := &ctx.Request.Header
-	p := &g.opts.Protocol
+	p := &g.opts.Headers
 	r := &request{
 		id:      string(h.Peek(p.RequestID)),
 		arrived: ctx.Time(),
@@ -56,13 +56,13 @@
 	if e := r.authenticate(string(h.Peek(p.Key)), v.index); e != nil {
 		return r, e
 	}
-	if limit := v.index.Limits.HeaderBytes; limit > 0 && len(h.RawHeaders()) > limit {
+	if limit := v.index.Limits.MaxHeaderBytes; limit > 0 && len(h.RawHeaders()) > limit {
 		return r, result.New(result.HeadersTooLarge, "%d bytes, limit %d", len(h.RawHeaders()), limit)
 	}
-	if limit := v.index.Limits.BodyBytes; limit > 0 && len(ctx.Request.Body()) > limit {
+	if limit := v.index.Limits.MaxBodyBytes; limit > 0 && len(ctx.Request.Body()) > limit {
 		return r, result.New(result.BodyTooLarge, "%d bytes, limit %d", len(ctx.Request.Body()), limit)
 	}
-	r.service = v.index.Service(r.route.Service(rand.Float64()))
+	r.service = v.index.Service(r.route.PickService(rand.Float64()))
 	if r.service == nil {
 		return r, result.New(result.NoTarget, "route %s names no known service", r.route.Name)
 	}
@@ -76,15 +76,15 @@
 	}
 	r.resumeAt = string(h.Peek(p.ResumeAfter))
 	r.wish = placing.Request{
-		Arrived:  r.arrived,
-		Priority: r.priority,
-		Aim:      r.route.Aim,
-		MaxWait:  r.maxWait(),
-		Deadline: r.deadline,
-		Size:     sizeOf(string(h.Peek(p.Tokens)), string(h.Peek(p.LengthHint)), r.service.Engine),
+		Arrived:          r.arrived,
+		Priority:         r.priority,
+		LatencyObjective: r.route.LatencyObjective,
+		MaxWait:          r.maxWait(),
+		Deadline:         r.deadline,
+		Size:             sizeOf(string(h.Peek(p.Tokens)), string(h.Peek(p.LengthHint)), r.service.Engine),
 	}
 	if m := r.service.Engine; m != nil {
-		r.wish.Events = r.wish.Size.Answer / float64(max(m.Stride, 1))
+		r.wish.ExpectedEvents = r.wish.Size.OutputTokens / float64(max(m.StepsPerPass, 1))
 	}
 	r.message = g.message(ctx, r)
 	return r, nil
@@ -99,7 +99,7 @@
 	if r.team == nil {
 		return result.New(result.Unauthorized, "the key belongs to no team, version %d", index.Version)
 	}
-	if r.team.HasOwn {
+	if r.team.OverridesPriority {
 		r.priority = r.team.Priority
 	}
 	return nil
@@ -112,16 +112,16 @@
 	if model == nil {
 		return s
 	}
-	s = placing.Size{Prompt: model.UsualPrompt, Answer: model.UsualAnswer}
+	s = placing.Size{PromptTokens: model.MeanPromptTokens, OutputTokens: model.MeanOutputTokens}
 	prompt, most, ok := strings.Cut(tokens, ",")
 	if n, err := strconv.ParseFloat(strings.TrimSpace(prompt), 64); err == nil && ok {
-		s.Prompt = n
+		s.PromptTokens = n
 	}
 	if n, err := strconv.ParseFloat(hint, 64); err == nil {
-		s.Answer = n
+		s.OutputTokens = n
 	}
 	if n, err := strconv.ParseFloat(strings.TrimSpace(most), 64); err == nil && ok {
-		s.Answer = min(s.Answer, n)
+		s.OutputTokens = min(s.OutputTokens, n)
 	}
 	return s
 }
@@ -129,15 +129,15 @@
 // message builds what targets get, but for what differs from try to try.
 func (g *Gateway) message(ctx *fasthttp.RequestCtx, r *request) upstream.Request {
 	h := &ctx.Request.Header
-	p := &g.opts.Protocol
+	p := &g.opts.Headers
 	m := upstream.Request{
-		Method:    string(h.Method()),
-		URI:       string(h.RequestURI()),
-		Host:      string(h.Host()),
-		Body:      bytes.Clone(ctx.Request.Body()), // the library uses its buffer again
-		Sized:     len(h.Peek(fasthttp.HeaderContentLength)) > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0,
-		EchoField: p.RequestID,
-		Echo:      r.id,
+		Method:            string(h.Method()),
+		URI:               string(h.RequestURI()),
+		Host:              string(h.Host()),
+		Body:              bytes.Clone(ctx.Request.Body()), // the library uses its buffer again
+		SendContentLength: len(h.Peek(fasthttp.HeaderContentLength)) > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0,
+		EchoHeader:        p.RequestID,
+		EchoValue:         r.id,
 	}
 	named := namedByConnection(string(h.Peek(fasthttp.HeaderConnection)))
 	for k, v := range h.All() {
@@ -171,7 +171,7 @@
 }
 
 // forTry completes the message for one try.
-func (r *request) forTry(p *Protocol, t *serving.Target, now time.Time, resumeAfter string) *upstream.Request {
+func (r *request) forTry(p *HeaderNames, t *serving.Target, now time.Time, resumeAfter string) *upstream.Request {
 	m := r.message
 	m.Fields = append(make([]upstream.Field, 0, len(r.message.Fields)+3), r.message.Fields...)
 	left := max(r.deadline.Sub(now).Milliseconds(), 1)
@@ -192,8 +192,8 @@
 // event does not come.
 func (r *request) maxWait() time.Duration {
 	left := r.deadline.Sub(r.arrived)
-	if r.route.Patience > 0 {
-		left = min(left, r.route.Patience)
+	if r.route.FirstEventTimeout > 0 {
+		left = min(left, r.route.FirstEventTimeout)
 	}
 	return share(left, 1-firstEventShare)
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -104,18 +104,18 @@
 func (f *scaleFleet) add(n int, seed uint64) {
 	o := testOptions(fmt.Sprintf("entry-%d", n), f.store)
 	o.DataCentre = string(rune('a' + n%scaleCentres))
-	o.Peers = fmt.Sprintf("10.0.%d.%d:1", n/200, n%200)
-	o.Callers = o.Peers
-	o.Drain, o.ConfigApply, o.TargetBeat = 5*time.Second, 5*time.Second, scaleBeat
+	o.PeerAddr = fmt.Sprintf("10.0.%d.%d:1", n/200, n%200)
+	o.CallerAddr = o.PeerAddr
+	o.DrainTimeout, o.ConfigApplyTimeout, o.TargetHeartbeatInterval = 5*time.Second, 5*time.Second, scaleBeat
 	e := &scaleEntry{f: f}
-	o.Dial = func(to string) members.Asker { return &scaleAsker{f: f, from: e, to: to} }
+	o.Dial = func(to string) members.PeerClient { return &scaleAsker{f: f, from: e, to: to} }
 	e.gw = &Gateway{
-		opts: o, knowledge: newKnowledge(&o), pools: newPools(), gates: make(map[string]*placing.Gate),
-		book: placing.NewBook(o.Name, o.DataCentre, rand.New(rand.NewPCG(seed, 2))),
+		opts: o, knowledge: newKnowledge(&o), pools: newPools(), gates: make(map[string]*placing.AdmissionQueue),
+		book: placing.NewTracker(o.Name, o.DataCentre, rand.New(rand.NewPCG(seed, 2))),
 	}
 	e.gw.ctx, e.gw.cancel = context.WithCancel(f.ctx)
-	f.entries[o.Peers] = e
-	f.names = append(f.names, o.Peers)
+	f.entries[o.PeerAddr] = e
+	f.names = append(f.names, o.PeerAddr)
 }
 
 // start starts all entries nearly at once, as after a loss of power; the configuration and the targets come after
@@ -166,14 +166,14 @@
 	linked atomic.Bool
 }
 
-// Close implements members.Asker.
+// Close implements members.PeerClient.
 func (a *scaleAsker) Close() {
 	a.linked.Store(false)
 }
 
 var errNoEntry = errors.New("no answer")
 
-// Ask implements members.Asker.
+// Ask implements members.PeerClient.
 func (a *scaleAsker) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
 	to := a.f.entries[a.to]
 	payload, err := question.MarshalMsg(nil)
@@ -192,9 +192,9 @@
 		way = farLink
 	}
 	time.Sleep(way)
-	handler := to.gw.mesh.group.Answer
+	handler := to.gw.mesh.group.HandleProbe
 	if kind == peers.KindProbe {
-		handler = to.gw.mesh.group.AnswerProbe
+		handler = to.gw.mesh.group.HandleIndirectProbe
 	}
 	m, err := handler(payload)
 	if err != nil {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -127,7 +127,7 @@
 		pause := now.Sub(b.latest)
 		b.gap = max(b.gap, pause)
 		if gt := b.g.gate(b.t.r.service); gt != nil {
-			gt.Paused(pause, now)
+			gt.RecordEventGap(pause, now)
 		}
 	}
 	b.latest = now
@@ -148,9 +148,9 @@
 	switch {
 	case b.first.IsZero():
 		return lateNot
-	case route.Aim > 0 && b.first.Sub(b.t.r.arrived) > route.Aim:
+	case route.LatencyObjective > 0 && b.first.Sub(b.t.r.arrived) > route.LatencyObjective:
 		return lateFirst
-	case route.GapAim > 0 && b.gap > route.GapAim:
+	case route.EventGapObjective > 0 && b.gap > route.EventGapObjective:
 		return latePause
 	}
 	return lateNot
@@ -164,7 +164,7 @@
 	b.events.restart()
 	b.reason = b.t.ended(b.ctx)
 	if b.reason == nil {
-		b.g.book.Outcome(lost.target, false, time.Now())
+		b.g.book.RecordOutcome(lost.target, false, time.Now())
 		b.reason = result.New(result.AnswerBroken, "%s: %w", lost.target.ID, err)
 		b.t.last = b.reason
 		if b.t.mayRetry(b.reason) && !ablate.Off(ablate.Resume) {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -235,14 +235,14 @@
 	}
 	if err := e.waitDelay(ctx); err != nil {
 		cancel()
-		return nil, &outside.SendError{Sent: true, Err: err}
+		return nil, &outside.SendError{MayHaveRun: true, Err: err}
 	}
 	e.mu.Lock()
 	kill := e.kill
 	if e.down {
 		e.mu.Unlock()
 		cancel()
-		return nil, &outside.SendError{Sent: false, Err: errEngineDown}
+		return nil, &outside.SendError{MayHaveRun: false, Err: errEngineDown}
 	}
 	e.requests = append(e.requests, g)
 	e.runs = append(e.runs, g.run)
--- a/internal/fake/lockstep.go
+++ b/internal/fake/lockstep.go
@@ -47,7 +47,7 @@
 		stop:        make(chan struct{}),
 		done:        make(chan struct{}),
 	}
-	first := expert.NewMap(s)
+	first := expert.InitialMap(s)
 	for i := range g.loads {
 		g.loads[i] = 1
 	}
@@ -112,11 +112,11 @@
 func (g *LockStep) enter(r *Rank) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.pos.CanEnter() {
+	if !r.pos.CanEnterStep() {
 		return
 	}
 	step := r.pos.Next
-	m := r.pos.Enter()
+	m := r.pos.EnterStep()
 	if r.find(m) == nil && g.mixed == nil {
 		g.mixed = fmt.Errorf("step %d: rank %d has not loaded map %016x", step, r.index, uint64(m))
 	}
@@ -143,7 +143,7 @@
 	for _, r := range live {
 		r.mu.Lock()
 		if r.pos.Inside && r.pos.Next <= least {
-			r.pos.Complete()
+			r.pos.CompleteStep()
 			ended = true
 		}
 		r.mu.Unlock()
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -73,12 +73,12 @@
 	down := p.down
 	p.mu.Unlock()
 	if down {
-		return nil, &outside.SendError{Sent: false, Err: errEngineDown}
+		return nil, &outside.SendError{MayHaveRun: false, Err: errEngineDown}
 	}
 	p.set(func() { p.active++ })
 	defer p.set(func() { p.active-- })
 	if err := p.wait(ctx); err != nil {
-		return nil, &outside.SendError{Sent: true, Err: err}
+		return nil, &outside.SendError{MayHaveRun: true, Err: err}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/rank.go
+++ b/internal/fake/rank.go
@@ -57,7 +57,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.pos.Start != start {
-		return expert.ErrStart
+		return expert.ErrEngineRestarted
 	}
 	r.keep(m)
 	return nil
@@ -75,7 +75,7 @@
 }
 
 // Hold implements outside.Rank.
-func (r *Rank) Hold(ctx context.Context, t expert.Token, at uint64) (before, after expert.Position, err error) {
+func (r *Rank) Hold(ctx context.Context, t expert.HoldToken, at uint64) (before, after expert.Position, err error) {
 	if r.engine.isDown() {
 		return before, after, errEngineDown
 	}
@@ -87,7 +87,7 @@
 }
 
 // Release implements outside.Rank.
-func (r *Rank) Release(_ context.Context, t expert.Token, start uint64, s expert.Schedule, join uint64) error {
+func (r *Rank) Release(_ context.Context, t expert.HoldToken, start uint64, s expert.Schedule, join uint64) error {
 	if r.engine.isDown() {
 		return errEngineDown
 	}
@@ -97,7 +97,7 @@
 }
 
 // Lift implements outside.Rank.
-func (r *Rank) Lift(_ context.Context, t expert.Token) error {
+func (r *Rank) Lift(_ context.Context, t expert.HoldToken) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pos.Lift(t)
@@ -146,7 +146,7 @@
 func (r *Rank) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pos = r.pos.Restart()
+	r.pos = r.pos.AfterRestart()
 	r.maps = nil
 }
 
--- a/internal/fake/targets.go
+++ b/internal/fake/targets.go
@@ -62,7 +62,7 @@
 		t.crashes.Add(1)
 		t.Kill()
 		time.AfterFunc(crashRestart, func() { _ = t.Restart() }) // a port that is taken shows as a target that stays away
-		return nil, &outside.SendError{Sent: true, Err: errEngineDown}
+		return nil, &outside.SendError{MayHaveRun: true, Err: errEngineDown}
 	}
 	return t.back.Run(ctx, call)
 }
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -42,7 +42,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitSettings
 	}
-	debug.SetMemoryLimit(s.Memory / memoryShare)
+	debug.SetMemoryLimit(s.MemoryBytes / memoryShare)
 	out := logging.NewAsync(os.Stdout)
 	defer out.Close()
 	p := &Process{Settings: s, Log: logging.New(out, 0), Metrics: metrics.New(), PeersPort: strconv.Itoa(s.PeerPort)}
@@ -59,5 +59,5 @@
 
 // Wait waits for the order to stop.
 func (p *Process) Wait(s daemon.Service) int {
-	return daemon.WaitAndReload(s, p.Settings.Grace, func() { platform.LogReload(p.Log, p.Settings) })
+	return daemon.WaitAndReload(s, p.Settings.ShutdownGrace, func() { platform.LogSettingsChange(p.Log, p.Settings) })
 }
--- a/lockstep/agent.go
+++ b/lockstep/agent.go
@@ -23,11 +23,11 @@
 type Engine interface {
 	// State returns the engine's state as a rank.
 	State(ctx context.Context) (peers.RankState, error)
-	// Choices returns how often each expert was chosen.
-	Choices(ctx context.Context) (Choices, error)
-	// Lists returns the experts of this rank in the map in use, set by set, and the
+	// ExpertCounts returns how often each expert was chosen.
+	ExpertCounts(ctx context.Context) (ExpertCounts, error)
+	// RankExperts returns the experts of this rank in the map in use, set by set, and the
 	// map's version.
-	Lists(ctx context.Context) ([][]uint16, uint64, error)
+	RankExperts(ctx context.Context) ([][]uint16, uint64, error)
 	// Order gives an order. An error leaves open whether it takes effect, now or
 	// seconds later.
 	Order(ctx context.Context, o *peers.RankOrder) (peers.OrderResult, error)
@@ -37,18 +37,18 @@
 // all engines of a group do, and an engine may start again under its old name: what was
 // counted, given and fenced before concerns no later run.
 type EngineRun struct {
-	Born  int64 // Unix milliseconds of the engine's start; 0: not told
-	Epoch uint64
+	StartedAtMS int64 // Unix milliseconds of the engine's start; 0: not told
+	Epoch       uint64
 }
 
-// Choices are how often an engine's requests have chosen each expert.
-type Choices struct {
+// ExpertCounts are how often an engine's requests have chosen each expert.
+type ExpertCounts struct {
 	Run    EngineRun
 	Counts []uint64 // since the engine started, set by set
 }
 
-// Asker asks another agent; *peers.Client is one.
-type Asker interface {
+// PeerClient asks another agent; *peers.Client is one.
+type PeerClient interface {
 	// Ask sends a question and decodes the answer, both within limit.
 	Ask(ctx context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error
 	// Close ends the connection.
@@ -56,21 +56,21 @@
 }
 
 // DialPeer is the usual Dial.
-func DialPeer(address string) Asker { return peers.NewClient(address) }
+func DialPeer(address string) PeerClient { return peers.NewClient(address) }
 
 // Options are what an agent is started with.
 type Options struct {
-	Name    string // of the VM
-	Engine  Engine
-	Address string // of the engine
-	Service string // that the engine serves
-	Peers   string // address that other agents and entries connect to
-	Port    string // on which every agent listens
-	Store   serving.Store
-	// Remote returns a client of an engine on another VM.
-	Remote func(address string) Engine
+	VM         string // of the VM
+	Engine     Engine
+	EngineAddr string // of the engine
+	Service    string // that the engine serves
+	PeerAddr   string // address that other agents and entries connect to
+	PeerPort   string // on which every agent listens
+	Store      serving.Store
+	// NewRemoteEngine returns a client of an engine on another VM.
+	NewRemoteEngine func(address string) Engine
 	// Dial returns a client of the agent at an address.
-	Dial         func(address string) Asker
+	Dial         func(address string) PeerClient
 	DecodeTarget func(id string, value []byte) (serving.Target, error)
 	DecodeConfig func(key string, value []byte) (c serving.Config, ok bool, err error)
 	Log          logr.Logger
@@ -86,14 +86,14 @@
 	server *peers.Server
 
 	mu     sync.Mutex
-	last   Choices // at the latest question for them
-	born   int64   // of the engine, by its latest report
-	group  string  // of the engine, by its latest report
-	ranks  int     // of that group
-	leader string  // address of the agent that leads
+	last   ExpertCounts // at the latest question for them
+	born   int64        // of the engine, by its latest report
+	group  string       // of the engine, by its latest report
+	ranks  int          // of that group
+	leader string       // address of the agent that leads
 	loads  toldLoads
 	waits  waits
-	other  peers.OtherArm
+	other  peers.ProxyArm
 
 	arming chan struct{} // holds one token, taken while an arm is given, so that a fence comes before or after it
 	fence  fence         // guarded by arming
@@ -110,7 +110,7 @@
 		o.Log.Info("peer connection failed", "remote", remote, "error", err.Error())
 	})
 	a.tasks.Go(a.run)
-	o.Log.Info("started", "vm", o.Name, "engine", o.Address, "peers", o.Peers)
+	o.Log.Info("started", "vm", o.VM, "engine", o.EngineAddr, "peers", o.PeerAddr)
 	return a
 }
 
--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -15,15 +15,15 @@
 		ranks int
 		model serving.EngineModel
 	}{
-		"12":  {12, serving.EngineModel{Sets: 4, Experts: 72, Places: 8, Spare: 3, ExpertBytes: 2.2e9, LinkRate: 2.25e10}},
-		"129": {129, serving.EngineModel{Sets: 16, Experts: 258, Places: 3, Spare: 2, ExpertBytes: 1.5e8, LinkRate: 2.25e10}},
-		"63":  {63, serving.EngineModel{Sets: 8, Experts: 252, Places: 5, Spare: 2, ExpertBytes: 3.2e8, LinkRate: 2.25e10}},
+		"12":  {12, serving.EngineModel{LayerSets: 4, Experts: 72, ExpertsPerRank: 8, SpareExperts: 3, ExpertBytes: 2.2e9, CopyRate: 2.25e10}},
+		"129": {129, serving.EngineModel{LayerSets: 16, Experts: 258, ExpertsPerRank: 3, SpareExperts: 2, ExpertBytes: 1.5e8, CopyRate: 2.25e10}},
+		"63":  {63, serving.EngineModel{LayerSets: 8, Experts: 252, ExpertsPerRank: 5, SpareExperts: 2, ExpertBytes: 3.2e8, CopyRate: 2.25e10}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			draw := func() []float64 {
-				loads := make([]float64, 0, m.model.Sets*m.model.Experts)
-				for range m.model.Sets {
+				loads := make([]float64, 0, m.model.LayerSets*m.model.Experts)
+				for range m.model.LayerSets {
 					own := make([]float64, m.model.Experts)
 					for i, e := range rng.Perm(m.model.Experts) {
 						own[e] = 1 / float64(i+1)
@@ -33,8 +33,8 @@
 				return loads
 			}
 			var layouts []expert.Layout
-			for range m.model.Sets {
-				layouts = append(layouts, expert.FirstLayout(m.ranks, m.model.Experts))
+			for range m.model.LayerSets {
+				layouts = append(layouts, expert.InitialLayout(m.ranks, m.model.Experts))
 			}
 			pl := planner{model: &m.model, urgency: 0.8, costs: newSwitchMeter(), streams: fullStreams}
 			p := pl.best(layouts, draw())
--- a/lockstep/changes_test.go
+++ b/lockstep/changes_test.go
@@ -46,18 +46,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := gatherFleet()
-		base := expert.FirstLayout(gatherTestRanks, f.group.experts)
+		base := expert.InitialLayout(gatherTestRanks, f.group.experts)
 		other := base.Clone()
 		other[3] = append(other[3], 9)
 		sent := &peers.RankOrder{
 			Kind: peers.OrderPrepare, Epoch: 1, Version: 5,
-			Changes: packChanges(changesOf([]expert.Layout{base}, []expert.Layout{other})),
-			First:   peers.FirstMap{Sets: 1, Ranks: gatherTestRanks, Experts: uint16(f.group.experts)},
+			Changes:    packChanges(changesOf([]expert.Layout{base}, []expert.Layout{other})),
+			InitialMap: peers.InitialMap{Sets: 1, Ranks: gatherTestRanks, Experts: uint16(f.group.experts)},
 		}
 		for r := range f.agents {
 			result, err := f.agents[r].order(sent)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(result.Taken).To(BeTrue())
+			g.Expect(result.Accepted).To(BeTrue())
 		}
 		time.Sleep(2 * simCopy)
 		f.group.mu.Lock()
--- a/lockstep/collect.go
+++ b/lockstep/collect.go
@@ -17,11 +17,11 @@
 		a.opts.Metrics.Count("engine_failures", 1)
 		return peers.RankState{}
 	}
-	a.noteRun(state.Born)
+	a.noteRun(state.StartedAtMS)
 	a.mu.Lock()
-	state.Other = a.other
+	state.ProxyArm = a.other
 	a.mu.Unlock()
-	state.Given = a.maps.newest(state.Epoch)
+	state.HighestMapReceived = a.maps.newest(state.Epoch)
 	if q.Lists {
 		a.tellLists(&state)
 	}
@@ -34,7 +34,7 @@
 
 // tellLists puts the experts of this rank into a state, if they are of the map that it names.
 func (a *Agent) tellLists(s *peers.RankState) {
-	lists, version, err := a.opts.Engine.Lists(a.ctx)
+	lists, version, err := a.opts.Engine.RankExperts(a.ctx)
 	switch {
 	case err != nil:
 		a.opts.Metrics.Count("engine_failures", 1)
@@ -53,7 +53,7 @@
 
 // collectAll is collect for this rank and those below it.
 func (a *Agent) collectAll(q *peers.Collect) peers.RankState {
-	if len(q.Below) == 0 {
+	if len(q.Subtree) == 0 {
 		state := a.collect(q)
 		if q.LimitMS > 0 && len(state.Bands) > 0 {
 			// It is added to the choices of many others.
@@ -62,14 +62,14 @@
 		return state
 	}
 	ask := *q
-	ask.Below = nil
+	ask.Subtree = nil
 	below := make(chan []peers.RankState, 1)
-	go func() { below <- a.collectBelow(q.Below, &ask, limitBelow(q.LimitMS)) }()
+	go func() { below <- a.collectBelow(q.Subtree, &ask, limitBelow(q.LimitMS)) }()
 	state := a.collect(&ask)
-	state.Below = <-below
+	state.Subtree = <-below
 	sum := addChoices(nil, &state)
-	for i := range state.Below {
-		sum = addChoices(sum, &state.Below[i])
+	for i := range state.Subtree {
+		sum = addChoices(sum, &state.Subtree[i])
 	}
 	tell(&state, sum)
 	return state
@@ -101,7 +101,7 @@
 // chosen returns how often each expert was chosen since the last time; nil if that
 // is not known.
 func (a *Agent) chosen() []float64 {
-	choices, err := a.opts.Engine.Choices(a.ctx)
+	choices, err := a.opts.Engine.ExpertCounts(a.ctx)
 	if err != nil {
 		a.opts.Metrics.Count("engine_failures", 1)
 		return nil
@@ -139,7 +139,7 @@
 	default:
 		a.maps.clear()
 	}
-	a.opts.Log.Info("engine runs", "engine", a.opts.Address, "born", born, "before", known)
+	a.opts.Log.Info("engine runs", "engine", a.opts.EngineAddr, "born", born, "before", known)
 }
 
 func difference(now, before []uint64) []float64 {
@@ -156,14 +156,14 @@
 // those below.
 func (a *Agent) tellWaiting(s *peers.RankState) {
 	inTime, late := a.waiting()
-	s.Wanting, s.Late = uint32(inTime), uint32(late)
-	s.NoEngines = a.lacksEngines()
-	for i := range s.Below {
-		below := &s.Below[i]
-		s.Wanting += below.Wanting
-		s.Late += below.Late
-		s.NoEngines = s.NoEngines || below.NoEngines
-		below.Wanting, below.Late = 0, 0
+	s.QueuedInTime, s.QueuedLate = uint32(inTime), uint32(late)
+	s.EnginesUnknown = a.lacksEngines()
+	for i := range s.Subtree {
+		below := &s.Subtree[i]
+		s.QueuedInTime += below.QueuedInTime
+		s.QueuedLate += below.QueuedLate
+		s.EnginesUnknown = s.EnginesUnknown || below.EnginesUnknown
+		below.QueuedInTime, below.QueuedLate = 0, 0
 	}
 }
 
--- a/lockstep/contact.go
+++ b/lockstep/contact.go
@@ -12,7 +12,7 @@
 
 // contact is another agent as this one reaches it.
 type contact struct {
-	client Asker
+	client PeerClient
 
 	mu     sync.Mutex
 	lostAt time.Time
@@ -68,7 +68,7 @@
 	byAddress map[string]*contact
 }
 
-func (n *contacts) get(address string, dial func(string) Asker) *contact {
+func (n *contacts) get(address string, dial func(string) PeerClient) *contact {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.byAddress == nil {
--- a/lockstep/gather_test.go
+++ b/lockstep/gather_test.go
@@ -105,7 +105,7 @@
 	l.epoch, l.newest = 1, 1
 	l.pending = &pending{version: 5}
 	for range f.group.sets {
-		l.pending.layouts = append(l.pending.layouts, expert.FirstLayout(len(f.group.ranks), f.group.experts))
+		l.pending.layouts = append(l.pending.layouts, expert.InitialLayout(len(f.group.ranks), f.group.experts))
 	}
 	l.layouts = l.pending.layouts
 	l.prepare(ranks)
--- a/lockstep/group.go
+++ b/lockstep/group.go
@@ -98,7 +98,7 @@
 			m.missing = time.Time{}
 		case m.missing.IsZero():
 			m.missing = now
-		case now.Sub(m.missing) > serving.ReturnWait:
+		case now.Sub(m.missing) > serving.LapsedGrace:
 			g.a.contacts.drop(m.peers)
 			delete(g.members, address)
 		}
@@ -109,11 +109,11 @@
 	if g.members[address] != nil {
 		return
 	}
-	m := &member{engine: address, direct: g.a.opts.Remote(address), rank: noRank}
+	m := &member{engine: address, direct: g.a.opts.NewRemoteEngine(address), rank: noRank}
 	if host, _, err := net.SplitHostPort(address); err == nil {
-		m.peers = net.JoinHostPort(host, g.a.opts.Port)
+		m.peers = net.JoinHostPort(host, g.a.opts.PeerPort)
 	}
-	if address == g.a.opts.Address {
+	if address == g.a.opts.EngineAddr {
 		m.own, m.direct = g.a, g.a.opts.Engine
 	} else if m.peers != "" {
 		m.agent = g.a.contacts.get(m.peers, g.a.opts.Dial)
@@ -136,7 +136,7 @@
 		}
 		index := serving.NewIndex(c)
 		if s := index.Service(g.a.opts.Service); s != nil {
-			g.model, g.gapAim = s.Engine, index.GapAim(g.a.opts.Service)
+			g.model, g.gapAim = s.Engine, index.EventGapObjective(g.a.opts.Service)
 		}
 	}
 	return nil
@@ -250,7 +250,7 @@
 			continue
 		}
 		wait.Go(func() {
-			if below[k].Lost {
+			if below[k].Unreachable {
 				states[i] = members[i].collectDirectly(g.a, q)
 			} else {
 				states[i] = ask(members[i], g.a, &peers.Collect{Lists: q.Lists, Leader: q.Leader, Fence: q.Fence, Epoch: q.Epoch, Loads: q.Loads})
@@ -263,7 +263,7 @@
 func isComplete(ranks []rank) bool {
 	for i := range ranks {
 		s, first := &ranks[i].state, &ranks[0].state
-		if s.Rank != i || s.Epoch != first.Epoch || s.Ranks != len(ranks) || !s.Open {
+		if s.Rank != i || s.Epoch != first.Epoch || s.Ranks != len(ranks) || !s.Complete {
 			return false
 		}
 	}
--- a/lockstep/known_test.go
+++ b/lockstep/known_test.go
@@ -44,7 +44,7 @@
 		l := newLeader(f.agents[0])
 		l.group.reread()
 		l.group.add(engineAddress(0))
-		l.epoch, l.layouts, l.demand = 1, []expert.Layout{expert.FirstLayout(gatherTestRanks, gatherTestRanks)}, newDemand(gatherTestRanks)
+		l.epoch, l.layouts, l.demand = 1, []expert.Layout{expert.InitialLayout(gatherTestRanks, gatherTestRanks)}, newDemand(gatherTestRanks)
 		ranks, complete := l.group.collect("g", plain)
 		g.Expect(complete).To(BeTrue())
 		l.observe(ranks)
@@ -58,7 +58,7 @@
 	g := NewWithT(t)
 	f := newFleet(newSimGroup(4, 1, 8, 1))
 	l := newLeader(f.agents[0])
-	layouts := []expert.Layout{expert.FirstLayout(4, 8)}
+	layouts := []expert.Layout{expert.InitialLayout(4, 8)}
 	l.given = []pending{{version: 7}, {version: 9, layouts: layouts}}
 	g.Expect(l.recall(8)).To(BeFalse())
 	g.Expect(l.recall(9)).To(BeTrue())
@@ -85,7 +85,7 @@
 		begun := time.Now()
 		g.Expect(l.readBack(ranks, 3)).To(BeTrue())
 		g.Expect(time.Since(begun)).To(BeNumerically("<", 50*time.Millisecond))
-		g.Expect(l.layouts).To(Equal([]expert.Layout{expert.FirstLayout(gatherTestRanks, gatherTestRanks)}))
+		g.Expect(l.layouts).To(Equal([]expert.Layout{expert.InitialLayout(gatherTestRanks, gatherTestRanks)}))
 	})
 }
 
@@ -108,7 +108,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		f.done.Go(func() { group.run(ctx) })
 		holder := ranks[holderRank(len(ranks))].member
-		busy := &busyAsker{until: time.Now().Add(time.Second), Asker: holder.agent.client}
+		busy := &busyAsker{until: time.Now().Add(time.Second), PeerClient: holder.agent.client}
 		holder.agent = &contact{client: busy}
 		begun := time.Now()
 		at, held := hold(f.agents[0], holder, 1)
@@ -128,17 +128,17 @@
 
 // busyAsker gets no answer until a time.
 type busyAsker struct {
-	Asker
+	PeerClient
 	until time.Time
 }
 
-// Ask implements Asker.
+// Ask implements PeerClient.
 func (b *busyAsker) Ask(ctx context.Context, kind peers.Kind, q msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
 	if time.Now().Before(b.until) {
 		time.Sleep(limit)
 		return errNoAnswer
 	}
-	return b.Asker.Ask(ctx, kind, q, answer, limit)
+	return b.PeerClient.Ask(ctx, kind, q, answer, limit)
 }
 
 // A fleet was made smaller: 21 ranks of five places each can't hold 252 experts. The engines
@@ -188,7 +188,7 @@
 		f.start()
 		time.Sleep(100 * time.Millisecond)
 		f.late.Store(false)
-		time.Sleep(serving.ReturnWait)
+		time.Sleep(serving.LapsedGrace)
 		a := f.agents[0]
 		a.mu.Lock()
 		told := len(a.loads.loads.Running)
--- a/lockstep/leader.go
+++ b/lockstep/leader.go
@@ -81,21 +81,21 @@
 	if len(l.group.members) < own.Ranks || l.group.model == nil {
 		l.group.reread()
 	}
-	l.group.add(l.a.opts.Address)
+	l.group.add(l.a.opts.EngineAddr)
 	ranks, complete := l.group.collect(own.Group, &peers.Collect{
 		Counts: l.wantsCounts(),
-		Leader: l.a.opts.Peers,
+		Leader: l.a.opts.PeerAddr,
 		Loads:  l.loadsFor(own.Ranks),
 	})
 	l.a.publish(l.loads(ranks, own))
-	l.noEngines = slices.ContainsFunc(ranks, func(r rank) bool { return r.state.NoEngines })
+	l.noEngines = slices.ContainsFunc(ranks, func(r rank) bool { return r.state.EnginesUnknown })
 	if len(ranks) < own.Ranks {
 		l.group.reread()
 	}
-	if !complete || l.group.model == nil || l.group.model.Sets == 0 {
+	if !complete || l.group.model == nil || l.group.model.LayerSets == 0 {
 		return
 	}
-	if ranks[0].state.Epoch != l.epoch || ranks[0].state.Born != l.born || l.layouts == nil {
+	if ranks[0].state.Epoch != l.epoch || ranks[0].state.StartedAtMS != l.born || l.layouts == nil {
 		l.reset(ranks)
 	}
 	l.observe(ranks)
@@ -124,21 +124,21 @@
 // reset begins anew after the group was formed: it uses the map that engines
 // start with.
 func (l *leader) reset(ranks []rank) {
-	l.epoch, l.born = ranks[0].state.Epoch, ranks[0].state.Born
+	l.epoch, l.born = ranks[0].state.Epoch, ranks[0].state.StartedAtMS
 	l.pending, l.armed = nil, nil
 	l.layouts, l.given = nil, nil
 	m := l.group.model
-	for range m.Sets {
-		l.layouts = append(l.layouts, expert.FirstLayout(len(ranks), m.Experts))
+	for range m.LayerSets {
+		l.layouts = append(l.layouts, expert.InitialLayout(len(ranks), m.Experts))
 	}
 	l.version = 0
 	// What was wanted before a rank restarted is wanted after it.
-	if l.demand == nil || len(l.demand.steady.loads) != m.Sets*m.Experts {
-		l.demand = newDemand(m.Sets * m.Experts)
+	if l.demand == nil || len(l.demand.steady.loads) != m.LayerSets*m.Experts {
+		l.demand = newDemand(m.LayerSets * m.Experts)
 	}
 	l.fixed = !holdsAll(m, len(ranks))
 	if l.fixed {
-		l.a.opts.Log.Info("map of the group can't be changed", "ranks", len(ranks), "places", m.Places, "experts", m.Experts)
+		l.a.opts.Log.Info("map of the group can't be changed", "ranks", len(ranks), "places", m.ExpertsPerRank, "experts", m.Experts)
 		l.a.opts.Metrics.Count("groups_with_a_fixed_map", 1)
 	}
 	l.a.opts.Log.Info("group led", "group", ranks[0].state.Group, "epoch", l.epoch, "ranks", len(ranks), "map", ranks[0].state.Map)
@@ -146,10 +146,10 @@
 
 func (l *leader) observe(ranks []rank) {
 	now := time.Now()
-	sum := make([]float64, l.group.model.Sets*l.group.model.Experts)
+	sum := make([]float64, l.group.model.LayerSets*l.group.model.Experts)
 	for i := range ranks {
 		s := &ranks[i].state
-		l.newest = max(l.newest, s.Map, s.Prepared, s.Armed, s.Given)
+		l.newest = max(l.newest, s.Map, s.Prepared, s.Armed, s.HighestMapReceived)
 		addChoices(sum, s)
 	}
 	l.demand.observe(now, sum)
@@ -224,7 +224,7 @@
 // readBack reads the map in use from all ranks, through their agents.
 func (l *leader) readBack(ranks []rank, version uint64) bool {
 	m := l.group.model
-	layouts := make([]expert.Layout, m.Sets)
+	layouts := make([]expert.Layout, m.LayerSets)
 	for s := range layouts {
 		layouts[s] = make(expert.Layout, len(ranks))
 	}
@@ -232,7 +232,7 @@
 	missing := len(ranks)
 	for i := range told {
 		s := &told[i].state
-		if s.Rank >= len(ranks) || s.Map != version || len(s.Lists) != m.Sets {
+		if s.Rank >= len(ranks) || s.Map != version || len(s.Lists) != m.LayerSets {
 			continue
 		}
 		for set := range layouts {
@@ -286,7 +286,7 @@
 func paces(ranks []rank) []float64 {
 	pace := make([]float64, len(ranks))
 	for i := range ranks {
-		pace[i] = ranks[i].state.Pace
+		pace[i] = ranks[i].state.Slowdown
 	}
 	return pace
 }
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -28,7 +28,7 @@
 func (a *Agent) publish(loads peers.Loads) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.loads, a.leader = toldLoads{loads: loads, asOf: time.Now(), own: true}, a.opts.Peers
+	a.loads, a.leader = toldLoads{loads: loads, asOf: time.Now(), own: true}, a.opts.PeerAddr
 }
 
 // noteGroup keeps which group this VM's engine is of, and how many ranks that has.
@@ -71,14 +71,14 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waits.note(q.Entry, int(q.Waiting), int(q.Late), time.Now())
+	a.waits.note(q.Entry, int(q.QueuedInTime), int(q.QueuedLate), time.Now())
 	loads := a.loads.loads
 	if !loads.Known || len(loads.Engines) == 0 {
-		return &peers.Loads{Leader: a.leader, Group: a.group, Ranks: peers.Count(a.ranks)}, nil
+		return &peers.Loads{Leader: a.leader, Group: a.group, Ranks: peers.ClampUint16(a.ranks)}, nil
 	}
-	loads.Elsewhere = a.loads.own && len(loads.Engines) > directRanks
+	loads.AskOthers = a.loads.own && len(loads.Engines) > directRanks
 	loads.AgeMS = uint32(min(time.Since(a.loads.asOf), time.Hour).Milliseconds())
-	if a.loads.own && !loads.Elsewhere {
+	if a.loads.own && !loads.AskOthers {
 		loads.Leader = a.leader
 	}
 	if q.Roster == loads.Roster {
@@ -90,13 +90,13 @@
 // loads returns what entries want to know of the ranks.
 func (l *leader) loads(ranks []rank, own peers.RankState) peers.Loads {
 	loads := peers.Loads{
-		Known:     true,
-		Open:      own.Open,
-		PassMS:    float32(l.passes.mean.Seconds() * 1e3),
-		Imbalance: float32(l.worst.now),
-		Worst:     float32(l.worst.most),
-		Group:     own.Group,
-		Ranks:     peers.Count(own.Ranks),
+		Known:         true,
+		Complete:      own.Complete,
+		PassMS:        float32(l.passes.mean.Seconds() * 1e3),
+		Imbalance:     float32(l.worst.now),
+		PeakImbalance: float32(l.worst.most),
+		Group:         own.Group,
+		Ranks:         peers.ClampUint16(own.Ranks),
 	}
 	inTime, late := l.a.waiting()
 	roster := fnv.New64a()
@@ -104,15 +104,15 @@
 		s := &ranks[i].state
 		_, _ = roster.Write([]byte(ranks[i].engine + "\n")) // never fails
 		loads.Engines = append(loads.Engines, ranks[i].engine)
-		loads.Running = append(loads.Running, peers.Small(s.Running))
-		loads.Waiting = append(loads.Waiting, peers.Small(s.Waiting))
-		if s.Pace > 1 {
-			loads.Slow = append(loads.Slow, peers.SlowRank{Rank: uint16(i), Pace: float32(s.Pace)})
+		loads.Running = append(loads.Running, peers.ClampUint8(s.Running))
+		loads.Waiting = append(loads.Waiting, peers.ClampUint8(s.Waiting))
+		if s.Slowdown > 1 {
+			loads.Slow = append(loads.Slow, peers.SlowRank{Rank: uint16(i), Slowdown: float32(s.Slowdown)})
 		}
-		inTime += int(s.Wanting)
-		late += int(s.Late)
+		inTime += int(s.QueuedInTime)
+		late += int(s.QueuedLate)
 	}
-	loads.Wanting, loads.Late = peers.Count(inTime), peers.Count(late)
+	loads.QueuedInTime, loads.QueuedLate = peers.ClampUint16(inTime), peers.ClampUint16(late)
 	loads.Roster = roster.Sum64()
 	return loads
 }
--- a/lockstep/loads_test.go
+++ b/lockstep/loads_test.go
@@ -40,7 +40,7 @@
 				g.Expect(loads.Known).To(BeTrue(), "rank %d", rank)
 				g.Expect(loads.Engines).To(HaveLen(smallRanks))
 				g.Expect(loads.Running).To(HaveEach(BeEquivalentTo(4)))
-				g.Expect(loads.Elsewhere).To(Equal(rank == 0), "entries are sent away from the leader")
+				g.Expect(loads.AskOthers).To(Equal(rank == 0), "entries are sent away from the leader")
 				if time.Duration(loads.AgeMS)*time.Millisecond > 250*time.Millisecond {
 					old++
 				}
@@ -62,13 +62,13 @@
 		time.Sleep(time.Second)
 		for range 8 {
 			for rank := range f.agents {
-				askLoads(t, f, rank, &peers.LoadsQuery{Entry: engineAddress(rank), Waiting: 2, Late: 1})
+				askLoads(t, f, rank, &peers.LoadsQuery{Entry: engineAddress(rank), QueuedInTime: 2, QueuedLate: 1})
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		loads := askLoads(t, f, 5, &peers.LoadsQuery{})
 		f.stop()
-		g.Expect(loads.Wanting).To(BeEquivalentTo(2 * gatherTestRanks))
-		g.Expect(loads.Late).To(BeEquivalentTo(gatherTestRanks))
+		g.Expect(loads.QueuedInTime).To(BeEquivalentTo(2 * gatherTestRanks))
+		g.Expect(loads.QueuedLate).To(BeEquivalentTo(gatherTestRanks))
 	})
 }
--- a/lockstep/maps.go
+++ b/lockstep/maps.go
@@ -85,10 +85,10 @@
 }
 
 // firstMap returns the map that engines start with.
-func firstMap(f *peers.FirstMap) [][][]uint16 {
+func firstMap(f *peers.InitialMap) [][][]uint16 {
 	sets := make([][][]uint16, f.Sets)
 	for s := range sets {
-		sets[s] = expert.FirstLayout(int(f.Ranks), int(f.Experts))
+		sets[s] = expert.InitialLayout(int(f.Ranks), int(f.Experts))
 	}
 	return sets
 }
@@ -99,7 +99,7 @@
 	if len(o.Changes) > 0 {
 		sets, ok := a.changed(o)
 		if !ok {
-			return peers.OrderResult{NoBase: true}, nil
+			return peers.OrderResult{UnknownBase: true}, nil
 		}
 		whole.Map, whole.Changes = sets, nil
 	}
@@ -115,7 +115,7 @@
 		return nil, false
 	}
 	if o.Base == 0 {
-		return applyChanges(firstMap(&o.First), changes)
+		return applyChanges(firstMap(&o.InitialMap), changes)
 	}
 	return a.maps.apply(o.Epoch, o.Base, changes)
 }
@@ -128,11 +128,11 @@
 	sort := func(some []rank, results []peers.OrderResult) {
 		for i, r := range some {
 			switch {
-			case results[i].NoBase:
+			case results[i].UnknownBase:
 				again = append(again, r)
 			case results[i].Refused:
 				refused++
-			case !results[i].Taken:
+			case !results[i].Accepted:
 				open = append(open, r)
 			}
 		}
--- a/lockstep/member.go
+++ b/lockstep/member.go
@@ -82,7 +82,7 @@
 
 // listDirectly asks the engine itself for its experts.
 func (m *member) listDirectly(a *Agent, s *peers.RankState) {
-	lists, version, err := m.direct.Lists(a.ctx)
+	lists, version, err := m.direct.RankExperts(a.ctx)
 	switch {
 	case err != nil:
 		a.opts.Log.Info("experts of an engine not read", "engine", m.engine, "error", err.Error())
@@ -149,7 +149,7 @@
 		}
 	}
 	if len(o.Changes) > 0 {
-		return peers.OrderResult{NoBase: true} // the engine itself takes whole maps only
+		return peers.OrderResult{UnknownBase: true} // the engine itself takes whole maps only
 	}
 	result, err := m.direct.Order(a.ctx, o)
 	if err != nil {
--- a/lockstep/order_test.go
+++ b/lockstep/order_test.go
@@ -24,7 +24,7 @@
 	if e.given <= e.mute {
 		return peers.OrderResult{}, errNoAnswer
 	}
-	return peers.OrderResult{Taken: true}, nil
+	return peers.OrderResult{Accepted: true}, nil
 }
 
 // An engine leaves an arm unanswered while its group is held. The agent beside it
@@ -36,7 +36,7 @@
 		e := &muteEngine{mute: mute}
 		a := newAgent(Options{Engine: e, Log: logr.Discard(), Metrics: metrics.New()})
 		result, err := a.order(&peers.RankOrder{Kind: peers.OrderArm, Epoch: 1, Version: 5, Step: 9})
-		g.Expect(result.Taken).To(Equal(taken), "%d unanswered", mute)
+		g.Expect(result.Accepted).To(Equal(taken), "%d unanswered", mute)
 		g.Expect(err == nil).To(Equal(taken))
 		g.Expect(e.given).To(Equal(min(mute+1, ownTries)), "no more than needed")
 		a.cancel()
--- a/lockstep/orders.go
+++ b/lockstep/orders.go
@@ -49,7 +49,7 @@
 // stops tells whether an arm must not be given any more.
 func (f fence) stops(o *peers.RankOrder, born int64) bool {
 	same := f.born == 0 || f.born == born
-	return !o.Resolve && same && o.Epoch == f.epoch && o.Step <= f.step
+	return !o.Recovery && same && o.Epoch == f.epoch && o.Step <= f.step
 }
 
 // order gives an order to this agent's engine, or to the one that it names.
@@ -68,10 +68,10 @@
 	if o.Engine == "" {
 		return a.orderOwn(o)
 	}
-	a.setOther(peers.OtherArm{Epoch: o.Epoch, Step: o.Step})
+	a.setOther(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step})
 	result, err := a.remote(o.Engine).Order(a.ctx, o)
-	if err == nil && result.Taken {
-		a.setOther(peers.OtherArm{Epoch: o.Epoch, Step: o.Step, Taken: true})
+	if err == nil && result.Accepted {
+		a.setOther(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step, Accepted: true})
 	}
 	return result, err
 }
@@ -97,10 +97,10 @@
 	return result, err
 }
 
-func (a *Agent) setOther(o peers.OtherArm) {
+func (a *Agent) setOther(o peers.ProxyArm) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.other.Taken && a.other.Epoch == o.Epoch && a.other.Step == o.Step {
+	if a.other.Accepted && a.other.Epoch == o.Epoch && a.other.Step == o.Step {
 		return // a later try changes nothing
 	}
 	a.other = o
@@ -112,7 +112,7 @@
 		a.remotes = make(map[string]Engine)
 	}
 	if a.remotes[address] == nil {
-		a.remotes[address] = a.opts.Remote(address)
+		a.remotes[address] = a.opts.NewRemoteEngine(address)
 	}
 	return a.remotes[address]
 }
@@ -122,14 +122,14 @@
 	if _, err := o.UnmarshalMsg(payload); err != nil {
 		return nil, err
 	}
-	addresses, limit := o.Below, limitBelow(o.LimitMS)
-	o.Below = nil
+	addresses, limit := o.Subtree, limitBelow(o.LimitMS)
+	o.Subtree = nil
 	below := make(chan []peers.OrderResult, 1)
 	go func() { below <- a.orderBelow(addresses, &o, limit) }()
 	result, err := a.order(&o)
 	if err != nil {
 		a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "version", o.Version, "step", o.Step, "error", err.Error())
 	}
-	result.Below = <-below
+	result.Subtree = <-below
 	return &result, nil
 }
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -125,7 +125,7 @@
 // they run on the map that they start with, and refuse any other. Symptom: a map is planned,
 // sent to all ranks and refused again without an end.
 func holdsAll(m *serving.EngineModel, ranks int) bool {
-	return m.Places == 0 || m.Places*ranks >= m.Experts
+	return m.ExpertsPerRank == 0 || m.ExpertsPerRank*ranks >= m.Experts
 }
 
 // planner chooses among plans that copy more or less.
@@ -208,7 +208,7 @@
 func imbalance(layouts []expert.Layout, loads, pace []float64, m *serving.EngineModel) float64 {
 	var longest, mean float64
 	for s, layout := range layouts {
-		most, even := layout.Longest(loads[s*m.Experts:(s+1)*m.Experts], pace)
+		most, even := layout.MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], pace)
 		longest += most
 		mean += even
 	}
@@ -272,7 +272,7 @@
 			room[r] += n
 		}
 		lim := expert.BalanceLimits{
-			Base: layouts[s], Places: m.Places, Fresh: m.Spare, Room: room, Pace: pl.pace, Price: copyPrice, Steps: balanceSteps,
+			Base: layouts[s], ExpertsPerRank: m.ExpertsPerRank, MaxNewPerRank: m.SpareExperts, MaxNewByRank: room, Slowdown: pl.pace, PricePerCopy: copyPrice, MaxSteps: balanceSteps,
 		}
 		p.layouts[s] = expert.Balance(from[s], loads[s*m.Experts:(s+1)*m.Experts], lim)
 		for r, n := range freshOf(layouts[s], p.layouts[s]) {
@@ -295,7 +295,7 @@
 	longest := make([]float64, len(layouts))
 	for s := range layouts {
 		order[s] = s
-		longest[s], _ = layouts[s].Longest(loads[s*m.Experts:(s+1)*m.Experts], pace)
+		longest[s], _ = layouts[s].MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], pace)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(longest[b], longest[a]) })
 	return order
@@ -336,8 +336,8 @@
 
 // copyTime returns how long a rank takes for some copies.
 func (pl *planner) copyTime(copies int) time.Duration {
-	if pl.model.LinkRate <= 0 {
+	if pl.model.CopyRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(copies) * pl.model.ExpertBytes / pl.model.LinkRate * float64(time.Second))
+	return time.Duration(float64(copies) * pl.model.ExpertBytes / pl.model.CopyRate * float64(time.Second))
 }
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -15,18 +15,18 @@
 const fullStreams = 8
 
 func planModel() *serving.EngineModel {
-	return &serving.EngineModel{Sets: 4, Experts: 72, Places: 8, Spare: 3, ExpertBytes: 3.2e8, LinkRate: 2.25e10}
+	return &serving.EngineModel{LayerSets: 4, Experts: 72, ExpertsPerRank: 8, SpareExperts: 3, ExpertBytes: 3.2e8, CopyRate: 2.25e10}
 }
 
 // spreadLoads draws how much each expert is wanted, and returns the first map of 12 ranks.
 func spreadLoads(m *serving.EngineModel, rng *rand.Rand) (loads []float64, layouts []expert.Layout) {
-	for range m.Sets {
+	for range m.LayerSets {
 		own := make([]float64, m.Experts)
 		for i, e := range rng.Perm(m.Experts) {
 			own[e] = 1 / float64(i+8)
 		}
 		loads = append(loads, own...)
-		layouts = append(layouts, expert.FirstLayout(12, m.Experts))
+		layouts = append(layouts, expert.InitialLayout(12, m.Experts))
 	}
 	return loads, layouts
 }
--- a/lockstep/preparing.go
+++ b/lockstep/preparing.go
@@ -74,7 +74,7 @@
 	short.Changes = packChanges(changesOf(l.layouts, l.pending.layouts))
 	if l.version == 0 {
 		m := l.group.model
-		short.First = peers.FirstMap{Sets: uint16(m.Sets), Ranks: uint16(len(l.layouts[0])), Experts: uint16(m.Experts)}
+		short.InitialMap = peers.InitialMap{Sets: uint16(m.LayerSets), Ranks: uint16(len(l.layouts[0])), Experts: uint16(m.Experts)}
 	}
 	// An order without an answer may take effect seconds later or never; given again
 	// it is taken now, or refused because the first one was.
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -200,20 +200,20 @@
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	return peers.RankState{
-		Known: true, Born: r.born, Group: "g", Epoch: r.group.epoch, Rank: r.index, Ranks: len(r.group.ranks), Open: true,
-		Step: r.group.step, Map: r.version, Prepared: r.prepared, Armed: r.armed, Held: r.heldAt, Running: 4, Pace: 1,
+		Known: true, StartedAtMS: r.born, Group: "g", Epoch: r.group.epoch, Rank: r.index, Ranks: len(r.group.ranks), Complete: true,
+		Step: r.group.step, Map: r.version, Prepared: r.prepared, Armed: r.armed, Held: r.heldAt, Running: 4, Slowdown: 1,
 	}, nil
 }
 
-// Choices implements Engine.
-func (r *simRank) Choices(context.Context) (Choices, error) {
+// ExpertCounts implements Engine.
+func (r *simRank) ExpertCounts(context.Context) (ExpertCounts, error) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
-	return Choices{Run: EngineRun{Born: r.born, Epoch: r.group.epoch}, Counts: append([]uint64(nil), r.counts...)}, nil
+	return ExpertCounts{Run: EngineRun{StartedAtMS: r.born, Epoch: r.group.epoch}, Counts: append([]uint64(nil), r.counts...)}, nil
 }
 
-// Lists implements Engine.
-func (r *simRank) Lists(context.Context) ([][]uint16, uint64, error) {
+// RankExperts implements Engine.
+func (r *simRank) RankExperts(context.Context) ([][]uint16, uint64, error) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	return r.lists, r.version, nil
@@ -240,7 +240,7 @@
 		return peers.OrderResult{}, errNoAnswer
 	}
 	ok := r.apply(o)
-	return peers.OrderResult{Taken: ok, Refused: !ok}, nil
+	return peers.OrderResult{Accepted: ok, Refused: !ok}, nil
 }
 
 // apply carries out an order as engines do.
@@ -274,7 +274,7 @@
 			return false
 		}
 		r.heldAt = o.Step
-	case peers.OrderGo:
+	case peers.OrderRelease:
 		if r.heldAt == o.Step {
 			r.heldAt = 0
 		}
--- a/lockstep/simfleet_test.go
+++ b/lockstep/simfleet_test.go
@@ -57,7 +57,7 @@
 	from *simVM
 }
 
-// Ask implements Asker.
+// Ask implements PeerClient.
 func (s *simAsker) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
 	s.from.run()
 	if kind == peers.KindOrder && s.from == s.f.group.ranks[0].vm {
@@ -114,7 +114,7 @@
 	time.Sleep(simTravel)
 }
 
-// Close implements Asker.
+// Close implements PeerClient.
 func (s *simAsker) Close() {}
 
 // simFleet is a group with its agents.
@@ -165,17 +165,17 @@
 	for r, rank := range g.ranks {
 		vm := rank.vm
 		a := newAgent(Options{
-			Name:    fmt.Sprintf("vm-%d", r),
-			Engine:  &simEngine{simRank: rank, from: vm},
-			Address: engineAddress(r),
-			Service: "s",
-			Peers:   net.JoinHostPort(fmt.Sprintf("10.0.0.%d", r+1), simPort),
-			Port:    simPort,
-			Store:   simStore{ranks: len(g.ranks), down: &f.down, slow: &f.slow, late: &f.late},
-			Remote: func(address string) Engine {
+			VM:         fmt.Sprintf("vm-%d", r),
+			Engine:     &simEngine{simRank: rank, from: vm},
+			EngineAddr: engineAddress(r),
+			Service:    "s",
+			PeerAddr:   net.JoinHostPort(fmt.Sprintf("10.0.0.%d", r+1), simPort),
+			PeerPort:   simPort,
+			Store:      simStore{ranks: len(g.ranks), down: &f.down, slow: &f.slow, late: &f.late},
+			NewRemoteEngine: func(address string) Engine {
 				return &simEngine{simRank: g.ranks[rankOf(address)], from: vm}
 			},
-			Dial: func(address string) Asker { return &simAsker{f: f, rank: rankOf(address), from: vm} },
+			Dial: func(address string) PeerClient { return &simAsker{f: f, rank: rankOf(address), from: vm} },
 			DecodeTarget: func(id string, value []byte) (serving.Target, error) {
 				return serving.Target{ID: id, Service: "s", Address: string(value)}, nil
 			},
@@ -202,8 +202,8 @@
 		places = g.experts/len(g.ranks) + 2
 	}
 	return serving.Config{Version: 1, Services: []serving.Service{{Name: "s", Engine: &serving.EngineModel{
-		Slots: 12, Stride: 4, Sets: g.sets, Experts: g.experts, Places: places, Spare: 3,
-		ExpertBytes: 1e9, LinkRate: 2e10, ExpertShare: 0.85,
+		Slots: 12, StepsPerPass: 4, LayerSets: g.sets, Experts: g.experts, ExpertsPerRank: places, SpareExperts: 3,
+		ExpertBytes: 1e9, CopyRate: 2e10, ExpertShare: 0.85,
 	}}}}
 }
 
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -72,7 +72,7 @@
 	unanswered := uint64(0) // pass of a hold that may have been taken
 	for range holdTries {
 		state, err := a.opts.Engine.State(a.ctx)
-		if err != nil || !state.Known || state.Epoch != epoch || !state.Open {
+		if err != nil || !state.Known || state.Epoch != epoch || !state.Complete {
 			return 0, false
 		}
 		if unanswered != 0 {
@@ -83,7 +83,7 @@
 		}
 		at := state.Step + stepsAhead
 		result, err := holder.direct.Order(a.ctx, &peers.RankOrder{Kind: peers.OrderHold, Epoch: epoch, Step: at})
-		if err == nil && result.Taken {
+		if err == nil && result.Accepted {
 			return at, true
 		}
 		if err != nil {
@@ -100,7 +100,7 @@
 	epoch := ranks[0].state.Epoch
 	begun := time.Now()
 	name := ranks[0].state.Group
-	order := &peers.RankOrder{Kind: peers.OrderArm, Epoch: epoch, Version: version, Step: at, Resolve: resolving}
+	order := &peers.RankOrder{Kind: peers.OrderArm, Epoch: epoch, Version: version, Step: at, Recovery: resolving}
 	if !armAll(a, holder, ranks[1:], order) || !armLeader(a, holder, ranks, order) {
 		return false
 	}
@@ -151,7 +151,7 @@
 func (a *Agent) notArmed(ranks []rank, results []peers.OrderResult, version uint64) []rank {
 	var left []rank
 	for i, r := range ranks {
-		if results[i].Taken {
+		if results[i].Accepted {
 			continue
 		}
 		state := r.collect(a, plain)
@@ -170,7 +170,7 @@
 	if !state.Known {
 		return false, false
 	}
-	if state.Epoch != epoch || !state.Open {
+	if state.Epoch != epoch || !state.Complete {
 		return true, true
 	}
 	return state.Step >= at, false
@@ -180,11 +180,11 @@
 // may be lost, and a late copy of the hold may strike again.
 func release(a *Agent, holder *member, epoch, at uint64) bool {
 	for a.ctx.Err() == nil {
-		letGo(a, holder, &peers.RankOrder{Kind: peers.OrderGo, Epoch: epoch, Step: at})
+		letGo(a, holder, &peers.RankOrder{Kind: peers.OrderRelease, Epoch: epoch, Step: at})
 		state := holder.collect(a, plain)
 		switch {
 		case !state.Known:
-		case state.Epoch != epoch || !state.Open:
+		case state.Epoch != epoch || !state.Complete:
 			return false
 		case state.Held != at || state.Step >= at:
 			return true
@@ -209,7 +209,7 @@
 // switch nobody carries out.
 func resolve(a *Agent, g *group, holder *member, name string, seen time.Time) {
 	first := holder.collect(a, plain)
-	if !first.Known || first.Held == 0 || !first.Open {
+	if !first.Known || first.Held == 0 || !first.Complete {
 		return
 	}
 	q := &peers.Collect{Fence: first.Held, Epoch: first.Epoch}
@@ -266,10 +266,10 @@
 		a.opts.Log.Info("group held, not all ranks seen", "group", name, "step", first.Held, "ranks", len(ranks))
 		return
 	}
-	other := ranks[proxyRank-1].state.Other
+	other := ranks[proxyRank-1].state.ProxyArm
 	given := other.Epoch == first.Epoch && other.Step == first.Held
 	switch {
-	case given && !other.Taken:
+	case given && !other.Accepted:
 		a.opts.Log.Info("group held, leader's rank may be armed", "group", name, "step", first.Held)
 		return
 	case !given && !disarmAll(a, ranks):
@@ -288,7 +288,7 @@
 	}
 	for i := range ranks {
 		s := &ranks[i].state
-		if s.Rank != i+1 || s.Epoch != first.Epoch || !s.Open || !s.Fenced {
+		if s.Rank != i+1 || s.Epoch != first.Epoch || !s.Complete || !s.Fenced {
 			return false
 		}
 	}
--- a/lockstep/switch_test.go
+++ b/lockstep/switch_test.go
@@ -196,15 +196,15 @@
 		a := f.agents[1]
 		members := newGroup(a)
 		members.reread()
-		members.add(a.opts.Address)
+		members.add(a.opts.EngineAddr)
 		slow := f.agents[3]
 		slow.arming <- struct{}{} // an arm is being given there
 		seen := time.Now()
-		resolve(a, members, members.members[a.opts.Address], "g", seen)
+		resolve(a, members, members.members[a.opts.EngineAddr], "g", seen)
 		g.Expect(rank.heldAt).To(BeEquivalentTo(1))
 		<-slow.arming
 		time.Sleep(heldEvery)
-		resolve(a, members, members.members[a.opts.Address], "g", seen)
+		resolve(a, members, members.members[a.opts.EngineAddr], "g", seen)
 		g.Expect(rank.heldAt).To(BeZero())
 		time.Sleep(time.Second)
 	})
@@ -230,7 +230,7 @@
 		arm.Step = 6
 		result, err = a.order(arm)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(result.Taken).To(BeTrue())
+		g.Expect(result.Accepted).To(BeTrue())
 	})
 }
 
@@ -257,8 +257,8 @@
 // no move. Then it does move, and is seen within two looks.
 func TestAMoveOfDemandIsToldFromChance(t *testing.T) {
 	g := NewWithT(t)
-	m := &serving.EngineModel{Sets: 1, Experts: 12}
-	layouts := []expert.Layout{expert.FirstLayout(4, 12)}
+	m := &serving.EngineModel{LayerSets: 1, Experts: 12}
+	layouts := []expert.Layout{expert.InitialLayout(4, 12)}
 	rng := rand.New(rand.NewPCG(4, 4))
 	d := newDemand(12)
 	now := time.Now()
@@ -275,7 +275,7 @@
 	for range 50 {
 		g.Expect(look(0)).To(BeFalse())
 	}
-	layouts[0] = expert.Balance(layouts[0], d.loads(), expert.BalanceLimits{Places: 4, Fresh: 3, Steps: 50})
+	layouts[0] = expert.Balance(layouts[0], d.loads(), expert.BalanceLimits{ExpertsPerRank: 4, MaxNewPerRank: 3, MaxSteps: 50})
 	for range 50 {
 		g.Expect(look(0)).To(BeFalse())
 	}
--- a/lockstep/tree.go
+++ b/lockstep/tree.go
@@ -104,13 +104,13 @@
 // collectBelow asks agents along a tree for the states of their ranks. The choices of a
 // whole branch come with the state of one of its ranks.
 func (a *Agent) collectBelow(addresses []string, q *peers.Collect, limit time.Duration) []peers.RankState {
-	return spread(a, addresses, limit, peers.RankState{Lost: true}, func(head *contact, below []string, limit time.Duration) (peers.RankState, []peers.RankState, error) {
+	return spread(a, addresses, limit, peers.RankState{Unreachable: true}, func(head *contact, below []string, limit time.Duration) (peers.RankState, []peers.RankState, error) {
 		ask := *q
-		ask.Below, ask.LimitMS = below, uint32(limit.Milliseconds())
+		ask.Subtree, ask.LimitMS = below, uint32(limit.Milliseconds())
 		var state peers.RankState
 		err := head.ask(a.ctx, peers.KindCollect, &ask, &state, limit)
-		others := state.Below
-		state.Below = nil
+		others := state.Subtree
+		state.Subtree = nil
 		return state, others, err
 	})
 }
@@ -119,11 +119,11 @@
 func (a *Agent) orderBelow(addresses []string, o *peers.RankOrder, limit time.Duration) []peers.OrderResult {
 	return spread(a, addresses, limit, peers.OrderResult{}, func(head *contact, below []string, limit time.Duration) (peers.OrderResult, []peers.OrderResult, error) {
 		order := *o
-		order.Below, order.LimitMS = below, uint32(limit.Milliseconds())
+		order.Subtree, order.LimitMS = below, uint32(limit.Milliseconds())
 		var result peers.OrderResult
 		err := head.ask(a.ctx, peers.KindOrder, &order, &result, limit)
-		others := result.Below
-		result.Below = nil
+		others := result.Subtree
+		result.Subtree = nil
 		return result, others, err
 	})
 }
--- a/lockstep/watch.go
+++ b/lockstep/watch.go
@@ -60,11 +60,11 @@
 	w.meet(s)
 	if w.leftHeld(s, now) {
 		w.a.opts.Log.Info("this rank is left held", "group", s.Group, "step", s.Held)
-		w.group.add(w.a.opts.Address)
-		resolve(w.a, w.group, w.group.members[w.a.opts.Address], s.Group, w.held.first)
+		w.group.add(w.a.opts.EngineAddr)
+		resolve(w.a, w.group, w.group.members[w.a.opts.EngineAddr], s.Group, w.held.first)
 		return
 	}
-	busy := s.Open && s.Running+s.Waiting > 0
+	busy := s.Complete && s.Running+s.Waiting > 0
 	if !busy || s.Step != w.step || s.Epoch != w.epoch {
 		w.step, w.epoch, w.since = s.Step, s.Epoch, now
 		return
@@ -89,12 +89,12 @@
 // meet asks the members of a large group once for their ranks, before it is ever held. Which
 // of them leads decides how the group is asked then.
 func (w *watch) meet(s peers.RankState) {
-	run := EngineRun{Born: s.Born, Epoch: s.Epoch}
+	run := EngineRun{StartedAtMS: s.StartedAtMS, Epoch: s.Epoch}
 	if s.Rank != holderRank(s.Ranks) || s.Held != 0 || w.met == run || s.Ranks <= directRanks || len(w.group.members) < s.Ranks {
 		return
 	}
 	w.met = run
-	w.group.add(w.a.opts.Address)
+	w.group.add(w.a.opts.EngineAddr)
 	w.group.collect(s.Group, plain)
 }
 
--- a/members/bench_test.go
+++ b/members/bench_test.go
@@ -13,23 +13,23 @@
 
 // tableOf returns the table of an entry in a fleet of a size.
 func tableOf(size int) *Table {
-	t := NewTable(peers.Presence{Name: "entry-000", Ready: true, Store: true}, rand.New(rand.NewPCG(1, 1)))
+	t := NewTable(peers.Presence{Name: "entry-000", Ready: true, StoreReachable: true}, rand.New(rand.NewPCG(1, 1)))
 	for n := 1; n < size; n++ {
-		t.Heard(peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, Ready: true, Store: n%3 > 0}, time.Unix(1000, 0))
+		t.MergeOwnPresence(peers.Presence{Name: fmt.Sprintf("entry-%03d", n), Incarnation: 1, Ready: true, StoreReachable: n%3 > 0}, time.Unix(1000, 0))
 	}
 	return t
 }
 
 // questions are what an entry asks its table in calm, several times a second each.
 var questions = map[string]func(t *Table){
-	"Position": func(t *Table) { t.Position(true) },
+	"Position": func(t *Table) { t.PositionAmongAlive(true) },
 	"Digest":   func(t *Table) { t.Digest() },
 	"Owner":    func(t *Table) { t.Owner("i-1") },
-	"Count":    func(t *Table) { t.Count() },
-	"Draw":     func(t *Table) { t.Draw(fanOut, "") },
-	"Next":     func(t *Table) { t.Next() },
-	"Doubtful": func(t *Table) { t.Doubtful() },
-	"News":     func(t *Table) { t.News(time.Unix(2000, 0)) },
+	"Count":    func(t *Table) { t.Counts() },
+	"Draw":     func(t *Table) { t.RandomAlive(fanOut, "") },
+	"Next":     func(t *Table) { t.NextToProbe() },
+	"Doubtful": func(t *Table) { t.Suspects() },
+	"News":     func(t *Table) { t.RecentUpdates(time.Unix(2000, 0)) },
 }
 
 func BenchmarkTable(b *testing.B) {
--- a/members/clients.go
+++ b/members/clients.go
@@ -12,12 +12,12 @@
 
 type client struct {
 	address string
-	asker   Asker
+	asker   PeerClient
 	used    time.Time
 }
 
 // client returns a client of an entry; nil if it is not known.
-func (g *Group) client(name string) Asker {
+func (g *Membership) client(name string) PeerClient {
 	address, ok := g.table.Address(name)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,7 +38,7 @@
 	return c.asker
 }
 
-func (g *Group) closeIdle() {
+func (g *Membership) closeIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, c := range g.clients {
@@ -49,14 +49,14 @@
 	}
 }
 
-// ErrUnknown: no entry of that name is known.
-var ErrUnknown = errors.New("entry is not known")
+// ErrUnknownEntry: no entry of that name is known.
+var ErrUnknownEntry = errors.New("entry is not known")
 
 // Ask asks an entry something else, on the connection for questions.
-func (g *Group) Ask(ctx context.Context, name string, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
+func (g *Membership) Ask(ctx context.Context, name string, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
 	asker := g.client(name)
 	if asker == nil {
-		return ErrUnknown
+		return ErrUnknownEntry
 	}
 	return asker.Ask(ctx, kind, question, answer, limit)
 }
--- a/members/fleet_test.go
+++ b/members/fleet_test.go
@@ -36,7 +36,7 @@
 	f       *fleet
 	name    string
 	address string
-	group   *Group
+	group   *Membership
 	cancel  context.CancelFunc
 
 	mu    sync.Mutex
@@ -69,12 +69,12 @@
 func (f *fleet) add(n int, incarnation uint64) *entry {
 	e := &entry{f: f, name: fmt.Sprintf("entry-%03d", n), address: address(n), ready: true}
 	e.group = New(Options{
-		Self:    peers.Presence{Name: e.name, Incarnation: incarnation, DataCentre: dataCentre(n), Peers: e.address, Callers: e.address},
-		Carrier: e,
-		Dial:    func(to string) Asker { return f.dial(e, to) },
-		Rand:    rand.New(rand.NewPCG(f.rng.Uint64(), 3)),
-		Log:     logr.Discard(),
-		Count:   func(string) {},
+		Self:             peers.Presence{Name: e.name, Incarnation: incarnation, DataCentre: dataCentre(n), PeerAddr: e.address, CallerAddr: e.address},
+		Piggyback:        e,
+		Dial:             func(to string) PeerClient { return f.dial(e, to) },
+		Rand:             rand.New(rand.NewPCG(f.rng.Uint64(), 3)),
+		Log:              logr.Discard(),
+		IncrementCounter: func(string) {},
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +88,7 @@
 	e.cancel = cancel
 	e.f.done.Go(func() { e.group.Run(ctx) })
 	for n, o := range known {
-		e.group.Recorded(peers.Presence{Name: o.name, Incarnation: 1, DataCentre: dataCentre(n), Peers: o.address, Callers: o.address})
+		e.group.AddFromRecord(peers.Presence{Name: o.name, Incarnation: 1, DataCentre: dataCentre(n), PeerAddr: o.address, CallerAddr: o.address})
 	}
 }
 
@@ -117,21 +117,21 @@
 	time.Sleep(5 * time.Second)
 }
 
-// State implements Carrier.
-func (e *entry) State() (ready, store bool) {
+// LocalState implements Piggyback.
+func (e *entry) LocalState() (ready, store bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ready, true
 }
 
-// Question implements Carrier.
-func (e *entry) Question(string, *peers.Heartbeat) func() { return func() {} }
+// PrepareProbe implements Piggyback.
+func (e *entry) PrepareProbe(string, *peers.Heartbeat) func() { return func() {} }
 
-// Answered implements Carrier.
-func (e *entry) Answered(*peers.Heartbeat, time.Time) {}
+// HandleAck implements Piggyback.
+func (e *entry) HandleAck(*peers.Heartbeat, time.Time) {}
 
-// Asked implements Carrier.
-func (e *entry) Asked(_, _ *peers.Heartbeat) bool { return false }
+// HandleProbe implements Piggyback.
+func (e *entry) HandleProbe(_, _ *peers.Heartbeat) bool { return false }
 
 func (e *entry) isAway() bool {
 	e.mu.Lock()
@@ -152,7 +152,7 @@
 	to   string
 }
 
-func (f *fleet) dial(from *entry, to string) Asker {
+func (f *fleet) dial(from *entry, to string) PeerClient {
 	from.mu.Lock()
 	defer from.mu.Unlock()
 	from.links++
@@ -160,14 +160,14 @@
 	return &asker{f: f, from: from, to: to}
 }
 
-// Close implements Asker.
+// Close implements PeerClient.
 func (a *asker) Close() {
 	a.from.mu.Lock()
 	defer a.from.mu.Unlock()
 	a.from.links--
 }
 
-// Ask implements Asker.
+// Ask implements PeerClient.
 func (a *asker) Ask(ctx context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
 	a.f.mu.Lock()
 	to := a.f.entries[a.to]
@@ -182,9 +182,9 @@
 	}
 	begun := time.Now()
 	time.Sleep(linkTime)
-	handler := to.group.Answer
+	handler := to.group.HandleProbe
 	if kind == peers.KindProbe {
-		handler = to.group.AnswerProbe
+		handler = to.group.HandleIndirectProbe
 	}
 	m, err := handler(payload)
 	if err != nil {
@@ -213,7 +213,7 @@
 // ready returns how many of some entries an entry tells callers to use.
 func (e *entry) readyOf(some []*entry) int {
 	living := make(map[string]bool)
-	for _, p := range e.group.Table().Living() {
+	for _, p := range e.group.Table().Alive() {
 		living[p.Name] = p.Ready
 	}
 	count := 0
--- a/members/group.go
+++ b/members/group.go
@@ -13,39 +13,39 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// Asker asks one entry; *peers.Client is one.
-type Asker interface {
+// PeerClient asks one entry; *peers.Client is one.
+type PeerClient interface {
 	// Ask sends a question and decodes the answer, both within limit.
 	Ask(ctx context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error
 	// Close ends the connection.
 	Close()
 }
 
-// Carrier is what rides on questions and answers beside the entries themselves.
-type Carrier interface {
-	// State tells whether this entry takes requests, and reaches the store.
-	State() (ready, store bool)
-	// Question completes a question to an entry; done is called once it is over.
-	Question(name string, q *peers.Heartbeat) (done func())
-	// Answered works in the answer to a question that was sent at a time.
-	Answered(answer *peers.Heartbeat, sent time.Time)
-	// Asked works in a question and completes its answer. askBack tells that whoever asked
+// Piggyback is what rides on questions and answers beside the entries themselves.
+type Piggyback interface {
+	// LocalState tells whether this entry takes requests, and reaches the store.
+	LocalState() (ready, store bool)
+	// PrepareProbe completes a question to an entry; done is called once it is over.
+	PrepareProbe(name string, q *peers.Heartbeat) (done func())
+	// HandleAck works in the answer to a question that was sent at a time.
+	HandleAck(answer *peers.Heartbeat, sent time.Time)
+	// HandleProbe works in a question and completes its answer. askBack tells that whoever asked
 	// knows something that this entry lacks.
-	Asked(question, answer *peers.Heartbeat) (askBack bool)
+	HandleProbe(question, answer *peers.Heartbeat) (askBack bool)
 }
 
 // Options are what a group is made of.
 type Options struct {
-	Self    peers.Presence
-	Carrier Carrier
-	Dial    func(address string) Asker
-	Rand    *rand.Rand
-	Log     logr.Logger
-	Count   func(counter string)
+	Self             peers.Presence
+	Piggyback        Piggyback
+	Dial             func(address string) PeerClient
+	Rand             *rand.Rand
+	Log              logr.Logger
+	IncrementCounter func(counter string)
 }
 
-// Group keeps in touch with the entries of a fleet.
-type Group struct {
+// Membership keeps in touch with the entries of a fleet.
+type Membership struct {
 	opts  Options
 	table *Table
 
@@ -85,8 +85,8 @@
 )
 
 // New returns a group that asks nobody yet.
-func New(o Options) *Group {
-	return &Group{
+func New(o Options) *Membership {
+	return &Membership{
 		opts:    o,
 		table:   NewTable(o.Self, o.Rand),
 		clients: make(map[string]*client),
@@ -97,10 +97,10 @@
 }
 
 // Table returns what is known of entries.
-func (g *Group) Table() *Table { return g.table }
+func (g *Membership) Table() *Table { return g.table }
 
 // Run keeps in touch until ctx ends.
-func (g *Group) Run(ctx context.Context) {
+func (g *Membership) Run(ctx context.Context) {
 	var tasks conc.WaitGroup
 	for range workers {
 		tasks.Go(func() { g.work(ctx) })
@@ -115,24 +115,24 @@
 	}
 }
 
-// Tell has some others hear at once that there is news.
-func (g *Group) Tell() {
+// Disseminate has some others hear at once that there is news.
+func (g *Membership) Disseminate() {
 	select {
 	case g.news <- struct{}{}:
 	default: // they are about to
 	}
 }
 
-// Recorded keeps an entry by its record in the store.
-func (g *Group) Recorded(p peers.Presence) {
-	if g.table.Recorded(p, time.Now()) {
-		g.opts.Log.Info("entry known", "entry", p.Name, "address", p.Peers)
+// AddFromRecord keeps an entry by its record in the store.
+func (g *Membership) AddFromRecord(p peers.Presence) {
+	if g.table.AddFromRecord(p, time.Now()) {
+		g.opts.Log.Info("entry known", "entry", p.Name, "address", p.PeerAddr)
 		g.enqueue(p.Name)
 	}
 }
 
 // enqueue has an entry asked soon.
-func (g *Group) enqueue(name string) {
+func (g *Membership) enqueue(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waiting[name] {
@@ -142,11 +142,11 @@
 	case g.ring <- name:
 		g.waiting[name] = true
 	default:
-		g.opts.Count("entries_not_asked") // it is asked in its turn
+		g.opts.IncrementCounter("entries_not_asked") // it is asked in its turn
 	}
 }
 
-func (g *Group) work(ctx context.Context) {
+func (g *Membership) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -161,20 +161,20 @@
 }
 
 // probe asks one entry after the other.
-func (g *Group) probe(ctx context.Context) {
+func (g *Membership) probe(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		g.pause(ctx, probeEvery)
-		if _, changed := g.table.Self(g.opts.Carrier.State()); changed {
-			g.Tell()
+		if _, changed := g.table.UpdateSelf(g.opts.Piggyback.LocalState()); changed {
+			g.Disseminate()
 		}
-		if name, ok := g.table.Next(); ok {
+		if name, ok := g.table.NextToProbe(); ok {
 			g.enqueue(name)
 		}
-		for _, name := range g.table.Doubtful() {
+		for _, name := range g.table.Suspects() {
 			g.enqueue(name)
 		}
 		if n%lostEvery == 0 {
-			if name, ok := g.table.NextLost(time.Now()); ok {
+			if name, ok := g.table.NextLostToProbe(time.Now()); ok {
 				g.enqueue(name)
 			}
 			g.closeIdle()
@@ -183,21 +183,21 @@
 }
 
 // tellNews asks some entries at once whenever there is news.
-func (g *Group) tellNews(ctx context.Context) {
+func (g *Membership) tellNews(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.news:
 		}
-		for _, name := range g.table.DrawNear(fanOut) {
+		for _, name := range g.table.RandomAliveMostlyLocal(fanOut) {
 			g.enqueue(name)
 		}
 		g.pause(ctx, tellPause)
 	}
 }
 
-func (g *Group) pause(ctx context.Context, d time.Duration) {
+func (g *Membership) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -207,35 +207,35 @@
 }
 
 // heartbeat returns what this entry tells of itself and others.
-func (g *Group) heartbeat() *peers.Heartbeat {
-	self, changed := g.table.Self(g.opts.Carrier.State())
+func (g *Membership) heartbeat() *peers.Heartbeat {
+	self, changed := g.table.UpdateSelf(g.opts.Piggyback.LocalState())
 	if changed {
-		g.Tell()
+		g.Disseminate()
 	}
-	return &peers.Heartbeat{Entry: self, Members: g.table.News(time.Now()), Digest: g.table.Digest()}
+	return &peers.Heartbeat{Entry: self, Members: g.table.RecentUpdates(time.Now()), Digest: g.table.Digest()}
 }
 
 // ask asks an entry, and others about it if it does not answer.
-func (g *Group) ask(ctx context.Context, name string) {
+func (g *Membership) ask(ctx context.Context, name string) {
 	err := g.question(ctx, name)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	if g.table.Failed(name, g.others(ctx, name), time.Now()) {
+	if g.table.RecordProbeFailure(name, g.others(ctx, name), time.Now()) {
 		g.opts.Log.Info("entry lost", "entry", name, "error", err.Error())
-		g.Tell()
+		g.Disseminate()
 	}
 }
 
 // question asks an entry and works in its answer.
-func (g *Group) question(ctx context.Context, name string) error {
+func (g *Membership) question(ctx context.Context, name string) error {
 	asker := g.client(name)
 	if asker == nil {
 		return nil
 	}
 	q := g.heartbeat()
 	q.All = g.wantsAll()
-	done := g.opts.Carrier.Question(name, q)
+	done := g.opts.Piggyback.PrepareProbe(name, q)
 	defer done()
 	sent := time.Now()
 	var answer peers.Heartbeat
@@ -245,16 +245,16 @@
 		}
 		return err
 	}
-	g.Take(&answer)
-	g.opts.Carrier.Answered(&answer, sent)
-	if answer.Digest != g.table.Digest() && g.table.Quiet(time.Now()) > settled {
+	g.MergeHeartbeat(&answer)
+	g.opts.Piggyback.HandleAck(&answer, sent)
+	if answer.Digest != g.table.Digest() && g.table.SinceLastUpdate(time.Now()) > settled {
 		g.syncFailed()
 	}
 	return nil
 }
 
 // wantsAll tells, once, that all that another entry knows is to be asked for.
-func (g *Group) wantsAll() bool {
+func (g *Membership) wantsAll() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	wants := !g.synced
@@ -263,73 +263,73 @@
 }
 
 // syncFailed has the next question ask for all that the other one knows.
-func (g *Group) syncFailed() {
+func (g *Membership) syncFailed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.synced = false
 }
 
 // others asks some entries whether another one answers them.
-func (g *Group) others(ctx context.Context, name string) Verdict {
-	verdicts := make(chan Verdict, helpers)
-	drawn := g.table.Draw(helpers, name)
+func (g *Membership) others(ctx context.Context, name string) IndirectResult {
+	verdicts := make(chan IndirectResult, helpers)
+	drawn := g.table.RandomAlive(helpers, name)
 	for _, helper := range drawn {
 		go func() { verdicts <- g.help(ctx, helper, name) }()
 	}
-	worst := Silent
+	worst := IndirectNone
 	for range drawn {
 		switch <-verdicts {
-		case Answers:
-			return Answers
-		case NoAnswer:
-			worst = NoAnswer
+		case IndirectAck:
+			return IndirectAck
+		case IndirectTimeout:
+			worst = IndirectTimeout
 		}
 	}
 	return worst
 }
 
-func (g *Group) help(ctx context.Context, helper, name string) Verdict {
+func (g *Membership) help(ctx context.Context, helper, name string) IndirectResult {
 	asker := g.client(helper)
 	if asker == nil {
-		return Silent
+		return IndirectNone
 	}
 	var result peers.ProbeResult
 	if err := asker.Ask(ctx, peers.KindProbe, &peers.ProbeQuery{Name: name}, &result, helpLimit); err != nil {
-		return Silent
+		return IndirectNone
 	}
 	switch {
 	case !result.Known:
-		return Silent
+		return IndirectNone
 	case result.Answered:
-		return Answers
+		return IndirectAck
 	}
-	return NoAnswer
+	return IndirectTimeout
 }
 
-// Take takes what an entry tells of itself and others.
-func (g *Group) Take(h *peers.Heartbeat) (believed *peers.Member) {
+// MergeHeartbeat takes what an entry tells of itself and others.
+func (g *Membership) MergeHeartbeat(h *peers.Heartbeat) (believed *peers.Member) {
 	now := time.Now()
-	news, believed := g.table.Heard(h.Entry, now)
+	news, believed := g.table.MergeOwnPresence(h.Entry, now)
 	if news {
-		g.opts.Log.Info("entry heard", "entry", h.Entry.Name, "ready", h.Entry.Ready, "store", h.Entry.Store, "incarnation", h.Entry.Incarnation)
+		g.opts.Log.Info("entry heard", "entry", h.Entry.Name, "ready", h.Entry.Ready, "store", h.Entry.StoreReachable, "incarnation", h.Entry.Incarnation)
 	}
-	told := g.table.Take(h.Members, now)
-	for _, name := range told.Check {
+	told := g.table.MergeMembers(h.Members, now)
+	for _, name := range told.ToProbe {
 		g.enqueue(name)
 	}
-	if news || told.News {
-		g.Tell()
+	if news || told.HasUpdates {
+		g.Disseminate()
 	}
 	return believed
 }
 
-// Answer answers a question.
-func (g *Group) Answer(payload []byte) (msgp.Marshaler, error) {
+// HandleProbe answers a question.
+func (g *Membership) HandleProbe(payload []byte) (msgp.Marshaler, error) {
 	var q peers.Heartbeat
 	if _, err := q.UnmarshalMsg(payload); err != nil {
 		return nil, err
 	}
-	believed := g.Take(&q)
+	believed := g.MergeHeartbeat(&q)
 	answer := g.heartbeat()
 	if q.All {
 		answer.Members = g.table.All()
@@ -337,14 +337,14 @@
 	if believed != nil {
 		answer.Members = append(answer.Members, *believed)
 	}
-	if g.opts.Carrier.Asked(&q, answer) {
+	if g.opts.Piggyback.HandleProbe(&q, answer) {
 		g.enqueue(q.Entry.Name)
 	}
 	return answer, nil
 }
 
-// AnswerProbe asks an entry for another one that it did not answer.
-func (g *Group) AnswerProbe(payload []byte) (msgp.Marshaler, error) {
+// HandleIndirectProbe asks an entry for another one that it did not answer.
+func (g *Membership) HandleIndirectProbe(payload []byte) (msgp.Marshaler, error) {
 	var q peers.ProbeQuery
 	if _, err := q.UnmarshalMsg(payload); err != nil {
 		return nil, err
--- a/members/news.go
+++ b/members/news.go
@@ -27,8 +27,8 @@
 	maxNews = 64
 )
 
-// News returns what was learnt lately, for one message; what was told least goes first.
-func (t *Table) News(now time.Time) []peers.Member {
+// RecentUpdates returns what was learnt lately, for one message; what was told least goes first.
+func (t *Table) RecentUpdates(now time.Time) []peers.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var latest []*member
@@ -81,14 +81,14 @@
 	var numbers [16]byte
 	for i := range 8 {
 		numbers[i] = byte(m.Entry.Incarnation >> (8 * i))
-		numbers[8+i] = byte(m.Entry.Beat >> (8 * i))
+		numbers[8+i] = byte(m.Entry.Revision >> (8 * i))
 	}
 	_, _ = h.Write(numbers[:])
 	return h.Sum64()
 }
 
-// Quiet tells for how long nothing new has come.
-func (t *Table) Quiet(now time.Time) time.Duration {
+// SinceLastUpdate tells for how long nothing new has come.
+func (t *Table) SinceLastUpdate(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.quiet)
--- a/members/owner_test.go
+++ b/members/owner_test.go
@@ -18,7 +18,7 @@
 		p := peers.Presence{Name: fmt.Sprintf("e%d", i), Incarnation: 1, Ready: true}
 		tables = append(tables, NewTable(p, rand.New(rand.NewPCG(uint64(i), 1))))
 		for j := range count {
-			tables[i].Heard(peers.Presence{Name: fmt.Sprintf("e%d", j), Incarnation: 1, Ready: true}, now)
+			tables[i].MergeOwnPresence(peers.Presence{Name: fmt.Sprintf("e%d", j), Incarnation: 1, Ready: true}, now)
 		}
 	}
 	return tables
@@ -51,15 +51,15 @@
 	}
 	g.Expect(owned).To(HaveLen(entries))
 
-	lost := peers.Member{Entry: peers.Presence{Name: "e3", Incarnation: 1, Beat: 1}, Lost: true}
-	tables[0].Take([]peers.Member{lost}, time.Unix(2000, 0))
+	lost := peers.Member{Entry: peers.Presence{Name: "e3", Incarnation: 1, Revision: 1}, Lost: true}
+	tables[0].MergeMembers([]peers.Member{lost}, time.Unix(2000, 0))
 	for of, name := range before {
 		if name != "e3" {
 			now, _ := tables[0].Owner(of)
 			g.Expect(now).To(Equal(name))
 		}
 	}
-	living, known := tables[0].Count()
+	living, known := tables[0].Counts()
 	g.Expect([]int{living, known}).To(Equal([]int{entries - 1, entries}))
 }
 
@@ -67,7 +67,7 @@
 func TestOnlyEntriesThatTakeRequestsOwnAnything(t *testing.T) {
 	g := NewWithT(t)
 	tables := ownerTables(3)
-	tables[0].Self(false, true)
+	tables[0].UpdateSelf(false, true)
 	for i := range 50 {
 		name, self := tables[0].Owner(fmt.Sprint(i))
 		g.Expect(self).To(BeFalse())
--- a/members/table.go
+++ b/members/table.go
@@ -64,41 +64,41 @@
 	return &Table{self: self, byName: make(map[string]*member), rng: rng}
 }
 
-// Self returns what this entry says of itself. ready and store are as of now; if they
+// UpdateSelf returns what this entry says of itself. ready and store are as of now; if they
 // differ from what was said last, changed tells that others should hear of it.
-func (t *Table) Self(ready, store bool) (p peers.Presence, changed bool) {
+func (t *Table) UpdateSelf(ready, store bool) (p peers.Presence, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.self.Ready != ready || t.self.Store != store {
-		t.self.Ready, t.self.Store = ready, store
-		t.self.Beat++
+	if t.self.Ready != ready || t.self.StoreReachable != store {
+		t.self.Ready, t.self.StoreReachable = ready, store
+		t.self.Revision++
 		changed = true
 	}
 	return t.self, changed
 }
 
-// Recorded keeps an entry by its record in the store. A record may be older than
+// AddFromRecord keeps an entry by its record in the store. A record may be older than
 // what the entry said itself, and says nothing of whether it takes requests.
-func (t *Table) Recorded(p peers.Presence, now time.Time) (isNew bool) {
+func (t *Table) AddFromRecord(p peers.Presence, now time.Time) (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p.Name == t.self.Name || p.Name == "" {
 		return false
 	}
 	known := t.byName[p.Name]
-	if known != nil && (known.Entry.Peers == p.Peers || known.Entry.Incarnation > p.Incarnation) {
+	if known != nil && (known.Entry.PeerAddr == p.PeerAddr || known.Entry.Incarnation > p.Incarnation) {
 		return false
 	}
-	p.Ready, p.Beat = false, 0
+	p.Ready, p.Revision = false, 0
 	t.put(peers.Member{Entry: p}).heard = now
 	return true
 }
 
-// Heard takes an entry's own word. It always counts, whatever its incarnation: that comes
+// MergeOwnPresence takes an entry's own word. It always counts, whatever its incarnation: that comes
 // from the time of day, which may have been set back before the process started again, and
 // its peers would take it for dead. news tells that others should hear of it; believed is
 // what was known of it if that is newer than its own word, so that it can object.
-func (t *Table) Heard(p peers.Presence, now time.Time) (news bool, believed *peers.Member) {
+func (t *Table) MergeOwnPresence(p peers.Presence, now time.Time) (news bool, believed *peers.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p.Name == t.self.Name || p.Name == "" {
@@ -126,17 +126,17 @@
 
 // order compares how new two words of one entry are.
 func order(a, b peers.Presence) int {
-	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Beat, b.Beat))
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Revision, b.Revision))
 }
 
-// Told is what follows from what another entry tells.
-type Told struct {
-	News  bool     // others should hear of something
-	Check []string // entries to be asked before they are believed lost
+// MergeResult is what follows from what another entry tells.
+type MergeResult struct {
+	HasUpdates bool     // others should hear of something
+	ToProbe    []string // entries to be asked before they are believed lost
 }
 
-// Take takes what another entry tells of others, and of this one.
-func (t *Table) Take(list []peers.Member, now time.Time) (told Told) {
+// MergeMembers takes what another entry tells of others, and of this one.
+func (t *Table) MergeMembers(list []peers.Member, now time.Time) (told MergeResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range list {
@@ -145,7 +145,7 @@
 			continue
 		}
 		if m.Entry.Name == t.self.Name {
-			told.News = t.object(m) || told.News
+			told.HasUpdates = t.object(m) || told.HasUpdates
 			continue
 		}
 		t.take(m, now, &told)
@@ -164,11 +164,11 @@
 		return false
 	}
 	t.self.Incarnation = max(t.self.Incarnation, m.Entry.Incarnation)
-	t.self.Beat = m.Entry.Beat + 1
+	t.self.Revision = m.Entry.Revision + 1
 	return true
 }
 
-func (t *Table) take(m *peers.Member, now time.Time, told *Told) {
+func (t *Table) take(m *peers.Member, now time.Time, told *MergeResult) {
 	known := t.byName[m.Entry.Name]
 	if known == nil {
 		if m.Lost {
@@ -177,7 +177,7 @@
 		known = t.put(*m)
 		known.learnt, known.heard = now, now
 		t.quiet = now
-		told.News = true
+		told.HasUpdates = true
 		return
 	}
 	o := order(m.Entry, known.Entry)
@@ -188,11 +188,11 @@
 		return
 	}
 	if m.Lost && now.Sub(known.heard) < heardLately {
-		told.Check = append(told.Check, m.Entry.Name)
+		told.ToProbe = append(told.ToProbe, m.Entry.Name)
 		return
 	}
 	t.set(known, *m, now)
-	told.News = true
+	told.HasUpdates = true
 }
 
 func (t *Table) set(known *member, m peers.Member, now time.Time) {
@@ -252,22 +252,22 @@
 	t.quiet = now
 }
 
-// Verdict is what others say of an entry that did not answer this one.
-type Verdict int
+// IndirectResult is what others say of an entry that did not answer this one.
+type IndirectResult int
 
 // Verdicts.
 const (
-	Silent   Verdict = iota // nobody could be asked
-	Answers                 // somebody is answered by it
-	NoAnswer                // who could be asked is not answered either
+	IndirectNone    IndirectResult = iota // nobody could be asked
+	IndirectAck                           // somebody is answered by it
+	IndirectTimeout                       // who could be asked is not answered either
 )
 
-// Failed notes that an entry did not answer, and what others say. It tells whether it is
+// RecordProbeFailure notes that an entry did not answer, and what others say. It tells whether it is
 // lost by that.
 //
 // An entry that is cut off itself finds nobody to ask: it leaves out who does not answer
 // it, and tells nobody, or the whole fleet would have to object once it is back.
-func (t *Table) Failed(name string, v Verdict, now time.Time) (lost bool) {
+func (t *Table) RecordProbeFailure(name string, v IndirectResult, now time.Time) (lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.byName[name]
@@ -276,12 +276,12 @@
 	}
 	known.failed++
 	switch {
-	case v == NoAnswer:
+	case v == IndirectTimeout:
 		t.set(known, peers.Member{Entry: known.Entry, Lost: true}, now)
 		return true
-	case v == Silent && known.failed >= failuresLost:
+	case v == IndirectNone && known.failed >= failuresLost:
 		known.unheard = true
-	case v == Answers:
+	case v == IndirectAck:
 		known.failed = 0
 	}
 	return false
@@ -298,11 +298,11 @@
 	if m == nil {
 		return "", false
 	}
-	return m.Entry.Peers, true
+	return m.Entry.PeerAddr, true
 }
 
-// Living returns the entries that live, by name, without this one.
-func (t *Table) Living() []peers.Presence {
+// Alive returns the entries that live, by name, without this one.
+func (t *Table) Alive() []peers.Presence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]peers.Presence, 0, len(t.names))
@@ -314,9 +314,9 @@
 	return list
 }
 
-// Count returns how many entries live and how many were known lately, the lost ones among
+// Counts returns how many entries live and how many were known lately, the lost ones among
 // them; this one counts in both.
-func (t *Table) Count() (living, known int) {
+func (t *Table) Counts() (living, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	living = 1
@@ -357,9 +357,9 @@
 	return v ^ v>>33
 }
 
-// Position returns the place of this entry among those that live, and how many they are: those
+// PositionAmongAlive returns the place of this entry among those that live, and how many they are: those
 // that reach the store come first, each part by name. reaches tells whether this entry does.
-func (t *Table) Position(reaches bool) (place, of int) {
+func (t *Table) PositionAmongAlive(reaches bool) (place, of int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, m := range t.byName {
@@ -367,7 +367,7 @@
 			continue
 		}
 		of++
-		if m.Entry.Store != reaches && m.Entry.Store || m.Entry.Store == reaches && name < t.self.Name {
+		if m.Entry.StoreReachable != reaches && m.Entry.StoreReachable || m.Entry.StoreReachable == reaches && name < t.self.Name {
 			place++
 		}
 	}
--- a/members/turns.go
+++ b/members/turns.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Next returns the entry to ask next: each in turn, in an order drawn anew each time.
-func (t *Table) Next() (name string, ok bool) {
+// NextToProbe returns the entry to ask next: each in turn, in an order drawn anew each time.
+func (t *Table) NextToProbe() (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for range 2 {
@@ -23,9 +23,9 @@
 	return "", false
 }
 
-// Doubtful returns the entries that did not answer this one and are not known to be lost:
+// Suspects returns the entries that did not answer this one and are not known to be lost:
 // nobody could be asked about them, or others are answered.
-func (t *Table) Doubtful() []string {
+func (t *Table) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var names []string
@@ -37,10 +37,10 @@
 	return names
 }
 
-// NextLost returns one of the lost entries: some come back without knowing anybody who
+// NextLostToProbe returns one of the lost entries: some come back without knowing anybody who
 // lives. It forgets those that are gone for long. An entry that is cut off forgets nobody,
 // since nobody would tell it of them again.
-func (t *Table) NextLost(now time.Time) (name string, ok bool) {
+func (t *Table) NextLostToProbe(now time.Time) (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	alone := true
@@ -63,17 +63,17 @@
 	return lost[t.rng.IntN(len(lost))], true
 }
 
-// Draw returns some entries that live, other than one, drawn anew each time.
-func (t *Table) Draw(count int, other string) []string {
+// RandomAlive returns some entries that live, other than one, drawn anew each time.
+func (t *Table) RandomAlive(count int, other string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.draw(count, func(m *member) bool { return m.Entry.Name != other })
 }
 
-// DrawNear is Draw with most of the entries drawn in this one's data centre: what is told along
+// RandomAliveMostlyLocal is RandomAlive with most of the entries drawn in this one's data centre: what is told along
 // them costs little of the links between data centres. Each entry that is told tells one of
 // another data centre, so news cross as often as a data centre has entries.
-func (t *Table) DrawNear(count int) []string {
+func (t *Table) RandomAliveMostlyLocal(count int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	near := t.draw(count-drawnFar, func(m *member) bool { return m.Entry.DataCentre == t.self.DataCentre })
--- a/outcomes/bench.go
+++ b/outcomes/bench.go
@@ -44,7 +44,7 @@
 		wait.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			p := PlanOf(r.Seed + uint64(n))
+			p := PlanForSeed(r.Seed + uint64(n))
 			w, err := Run(p)
 			results[n] = outcome{world: w, plan: p, err: err}
 		})
@@ -57,7 +57,7 @@
 		}
 		violations += len(Check(o.world.History))
 		asked += len(o.world.History.Invocations)
-		reportShares(r, fmt.Sprintf("seed %d %v", o.plan.Seed, o.plan.Faults), o.world.History, o.plan.For)
+		reportShares(r, fmt.Sprintf("seed %d %v", o.plan.Seed, o.plan.Faults), o.world.History, o.plan.Duration)
 	}
 	r.Add("all seeds", "requests", "count", float64(asked))
 	r.Add("all seeds", "broken promises", "count", float64(violations))
@@ -90,7 +90,7 @@
 // All ways share one system, one after the other; each call of the log takes
 // logDelay.
 func benchOnce(r *bench.Report) error {
-	w, err := NewWorld(Options{Plains: 3, Entries: 3, Logger: logr.Discard()})
+	w, err := NewWorld(Options{PlainTargets: 3, Entries: 3, Logger: logr.Discard()})
 	if err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 // benchOutage loses every call of a service in mid-run and counts what reaches
 // its targets.
 func benchOutage(r *bench.Report) error {
-	w, err := NewWorld(Options{Plains: 3, Entries: 3, Logger: logr.Discard()})
+	w, err := NewWorld(Options{PlainTargets: 3, Entries: 3, Logger: logr.Discard()})
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 				return err
 			}
 			tokens += produced
-			took += i.Ended.Sub(i.Began)
+			took += i.EndedAt.Sub(i.StartedAt)
 		}
 		r.Add(way.name, "tokens generated for 256", "count", float64(tokens)/cutRuns)
 		r.Add(way.name, "time to finish", "ms", ms(took)/cutRuns)
@@ -274,7 +274,7 @@
 
 // cutOne returns the cut request and the tokens that all engines made for it.
 func cutOne(n int, off safeguard.Off) (*Invocation, int, error) {
-	w, err := NewWorld(Options{Engines: 2, Plains: 1, Entries: 1, Off: off, Logger: logr.Discard()})
+	w, err := NewWorld(Options{Engines: 2, PlainTargets: 1, Entries: 1, Off: off, Logger: logr.Discard()})
 	if err != nil {
 		return nil, 0, err
 	}
--- a/outcomes/callers.go
+++ b/outcomes/callers.go
@@ -56,7 +56,7 @@
 	c.n++
 	id := fmt.Sprintf("%s/%d", c.team, c.n)
 	if c.crash {
-		return generation(CrashMark, "", minTokens+moreTokens, true, false)
+		return generation(CrashMarker, "", minTokens+moreTokens, true, false)
 	}
 	switch draw := c.rng.IntN(10); {
 	case draw < 5:
@@ -130,21 +130,21 @@
 	at = w.callable(at)
 	now := time.Now()
 	i := &Invocation{
-		Key:       j.key,
-		Service:   j.service,
-		Entry:     w.entries[at].name,
-		Began:     now,
-		Deadline:  now.Add(callerDeadline),
-		Want:      j.want,
-		Streamed:  j.stream,
-		CrashBody: strings.Contains(j.body, CrashMark),
+		Key:        j.key,
+		Service:    j.service,
+		Entry:      w.entries[at].name,
+		StartedAt:  now,
+		Deadline:   now.Add(callerDeadline),
+		WantAnswer: j.want,
+		Streamed:   j.stream,
+		CrashBody:  strings.Contains(j.body, CrashMarker),
 	}
 	i.ID = fmt.Sprintf("%s#%d@%s+%d", team, try, i.Entry, w.incarnation())
 	w.History.begin(i)
 	answer, err := w.call(w.entry(at), team, i, j)
 	w.History.mu.Lock()
 	defer w.History.mu.Unlock()
-	i.Answer, i.Ended = answer, time.Now()
+	i.Answer, i.EndedAt = answer, time.Now()
 	if err != nil {
 		i.Code, i.Detail = result.From(err).Code, err.Error()
 	}
@@ -175,7 +175,7 @@
 	for {
 		data, err := x.Recv()
 		if errors.Is(err, io.EOF) {
-			i.Continued = len(x.Models) - 1
+			i.Continuations = len(x.Models) - 1
 			return answerText(j, all.String()), nil
 		}
 		if err != nil {
--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, err := NewWorld(Options{Engines: 2, Plains: 3, Entries: 2, Latency: time.Millisecond, Off: off, Logger: logr.Discard()})
+		w, err := NewWorld(Options{Engines: 2, PlainTargets: 3, Entries: 2, Latency: time.Millisecond, Off: off, Logger: logr.Discard()})
 		g.Expect(err).NotTo(HaveOccurred())
 		f(g, w)
 		w.Close()
@@ -40,7 +40,7 @@
 	if spare {
 		names = append(names, "oven-api-4")
 	}
-	return names[route.Home(route.HomeKey("team-0", ServicePlain, key), names)]
+	return names[route.HomeIndex(route.DedupKey("team-0", ServicePlain, key), names)]
 }
 
 // keyAt returns a key whose home is a target now, and elsewhere if moves.
@@ -316,7 +316,7 @@
 		}
 		w.wait.Wait()
 		for _, i := range w.History.Invocations {
-			g.Expect(i.Code.Info().Run).NotTo(Equal(result.RunMaybe), "%s: %s %s %s", i.ID, i.Detail, i.Key, i.Ended)
+			g.Expect(i.Code.Info().Run).NotTo(Equal(result.RunMaybe), "%s: %s %s %s", i.ID, i.Detail, i.Key, i.EndedAt)
 		}
 		g.Expect(len(w.History.Invocations)).To(BeNumerically(">", 200))
 	})
@@ -338,7 +338,7 @@
 			}
 			i := w.send("team-0", 0, generation("p", "", 64, true, chat), 0)
 			g.Expect(i.Code).To(Equal(result.OK), i.Detail)
-			g.Expect(i.Continued).To(Equal(1))
+			g.Expect(i.Continuations).To(Equal(1))
 			second := w.History.Executions[1].Body
 			g.Expect(second).To(MatchRegexp(`"max_tokens":4\d`), "only what is left")
 		})
--- a/outcomes/check.go
+++ b/outcomes/check.go
@@ -15,11 +15,11 @@
 
 // Rules of the checker.
 const (
-	RuleOnce     = "a key ran at most once"
-	RuleNotRun   = "not run means that it did not run"
-	RuleWhole    = "a whole answer is what the target produced for this caller"
-	RuleDeadline = "nothing goes on past its deadline"
-	RuleEnds     = "every request ends"
+	RuleAtMostOnce     = "a key ran at most once"
+	RuleNotRun         = "not run means that it did not run"
+	RuleCompleteAnswer = "a whole answer is what the target produced for this caller"
+	RuleDeadline       = "nothing goes on past its deadline"
+	RuleTerminates     = "every request ends"
 )
 
 // deadlineSlack is what an answer may take past the deadline to reach the caller.
@@ -55,7 +55,7 @@
 	}
 	for key, list := range ran {
 		if len(list) > 1 {
-			c.fail(RuleOnce, "%s ran %d times: %s", key, len(list), places(list))
+			c.fail(RuleAtMostOnce, "%s ran %d times: %s", key, len(list), places(list))
 		}
 	}
 }
@@ -71,7 +71,7 @@
 func (c *checker) notRun() {
 	ran := c.history.executionsOf()
 	for _, i := range c.history.Invocations {
-		if i.Ended.IsZero() || i.Code == result.OK || i.Code.Info().Run != result.RunNot {
+		if i.EndedAt.IsZero() || i.Code == result.OK || i.Code.Info().Run != result.RunNot {
 			continue
 		}
 		if ran[i.ID] > 0 {
@@ -89,14 +89,14 @@
 		outputs[e.ID+"\x00"+e.Output] = true
 	}
 	for _, i := range c.history.Invocations {
-		if i.Ended.IsZero() || i.Code != result.OK {
+		if i.EndedAt.IsZero() || i.Code != result.OK {
 			continue
 		}
 		switch {
-		case i.Want != "" && i.Answer != i.Want:
-			c.fail(RuleWhole, "%s got %q, want %q", i.ID, i.Answer, i.Want)
-		case i.Want == "" && !outputs[i.Key+"\x00"+i.Answer] && !outputs[i.ID+"\x00"+i.Answer]:
-			c.fail(RuleWhole, "%s got %q, which no target produced for it", i.ID, i.Answer)
+		case i.WantAnswer != "" && i.Answer != i.WantAnswer:
+			c.fail(RuleCompleteAnswer, "%s got %q, want %q", i.ID, i.Answer, i.WantAnswer)
+		case i.WantAnswer == "" && !outputs[i.Key+"\x00"+i.Answer] && !outputs[i.ID+"\x00"+i.Answer]:
+			c.fail(RuleCompleteAnswer, "%s got %q, which no target produced for it", i.ID, i.Answer)
 		}
 	}
 }
@@ -104,10 +104,10 @@
 func (c *checker) deadlines() {
 	for _, i := range c.history.Invocations {
 		switch {
-		case i.Ended.IsZero():
-			c.fail(RuleEnds, "%s never ended", i.ID)
-		case i.Ended.After(i.Deadline.Add(deadlineSlack)):
-			c.fail(RuleDeadline, "%s ended %s late with %s", i.ID, i.Ended.Sub(i.Deadline), i.Code.Info().Name)
+		case i.EndedAt.IsZero():
+			c.fail(RuleTerminates, "%s never ended", i.ID)
+		case i.EndedAt.After(i.Deadline.Add(deadlineSlack)):
+			c.fail(RuleDeadline, "%s ended %s late with %s", i.ID, i.EndedAt.Sub(i.Deadline), i.Code.Info().Name)
 		}
 	}
 }
--- a/outcomes/convict_test.go
+++ b/outcomes/convict_test.go
@@ -23,16 +23,16 @@
 		rule     string
 		scenario func(w *World)
 	}{
-		{"agent's ledger", safeguard.Off{Ledger: true}, safeguard.Off{}, RuleOnce, twoEntries},
-		{"one home", safeguard.Off{Home: true, Witness: true}, safeguard.Off{Witness: true}, RuleOnce, repeats},
-		{"witness", safeguard.Off{Witness: true}, safeguard.Off{}, RuleOnce, restartedAgent},
-		{"entry's book", safeguard.Off{Book: true}, safeguard.Off{}, RuleOnce, restartedAgent},
-		{"roster", safeguard.Off{Roster: true}, safeguard.Off{}, RuleOnce, deadEntryAndAgent},
-		{"incarnation", safeguard.Off{Incarnation: true, Witness: true}, safeguard.Off{Witness: true}, RuleOnce, lateFrames},
-		{"overtaken agent", safeguard.Off{Supersede: true}, safeguard.Off{}, RuleOnce, twoAgents},
+		{"agent's ledger", safeguard.Off{Ledger: true}, safeguard.Off{}, RuleAtMostOnce, twoEntries},
+		{"one home", safeguard.Off{Home: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, repeats},
+		{"witness", safeguard.Off{Witness: true}, safeguard.Off{}, RuleAtMostOnce, restartedAgent},
+		{"entry's book", safeguard.Off{Book: true}, safeguard.Off{}, RuleAtMostOnce, restartedAgent},
+		{"roster", safeguard.Off{Roster: true}, safeguard.Off{}, RuleAtMostOnce, deadEntryAndAgent},
+		{"incarnation", safeguard.Off{Incarnation: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, lateFrames},
+		{"overtaken agent", safeguard.Off{Supersede: true}, safeguard.Off{}, RuleAtMostOnce, twoAgents},
 		{"doubt", safeguard.Off{Doubt: true}, safeguard.Off{}, RuleNotRun, lostAnswers},
 		{"deadline", safeguard.Off{Deadline: true}, safeguard.Off{}, RuleDeadline, stalledEngines},
-		{"continuation", safeguard.Off{Continue: true}, safeguard.Off{}, RuleWhole, killedEngine},
+		{"continuation", safeguard.Off{Continue: true}, safeguard.Off{}, RuleCompleteAnswer, killedEngine},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 
 func rulesBroken(t *testing.T, off safeguard.Off, scenario func(w *World)) (rules []string) {
 	synctest.Test(t, func(t *testing.T) {
-		w, err := NewWorld(Options{Engines: 2, Plains: 3, Entries: 2, Latency: time.Millisecond, Off: off, Logger: logr.Discard()})
+		w, err := NewWorld(Options{Engines: 2, PlainTargets: 3, Entries: 2, Latency: time.Millisecond, Off: off, Logger: logr.Discard()})
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 		scenario(w)
 		w.Close()
--- a/outcomes/crash.go
+++ b/outcomes/crash.go
@@ -24,7 +24,7 @@
 // runCrasher lets callers work while one of them repeats a crashing request
 // through all entries. wide: all engines crash by themselves besides.
 func runCrasher(seed uint64, wide bool) (*crashRun, error) {
-	w, err := NewWorld(Options{Engines: 5, Plains: 1, Entries: 3, Latency: time.Millisecond, Logger: logr.Discard()})
+	w, err := NewWorld(Options{Engines: 5, PlainTargets: 1, Entries: 3, Latency: time.Millisecond, Logger: logr.Discard()})
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 		callers.Go(func() {
 			time.Sleep(time.Second)
 			for n := 0; time.Now().Before(until); n++ {
-				w.send(crasherTeam, n%3, generation(CrashMark, "", 64, true, false), n)
+				w.send(crasherTeam, n%3, generation(CrashMarker, "", 64, true, false), n)
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
@@ -79,7 +79,7 @@
 		if !i.CrashBody {
 			r.innocents[i.Code.Info().Name]++
 		} else if i.Code == result.CrashSuspect && r.refusedAt == 0 {
-			r.refusedAt = i.Ended.Sub(began) - time.Second
+			r.refusedAt = i.EndedAt.Sub(began) - time.Second
 		}
 	}
 	return r
--- a/outcomes/faults.go
+++ b/outcomes/faults.go
@@ -14,28 +14,28 @@
 
 // Kinds of faults.
 const (
-	FaultNone         Fault = "none"
-	FaultAgentKill    Fault = "agent killed and restarted"
-	FaultAgentPause   Fault = "agent paused"
-	FaultEngineKill   Fault = "engine killed and restarted"
-	FaultEngineStall  Fault = "engine stalled"
-	FaultEntryKill    Fault = "entry killed and restarted"
-	FaultEntryPause   Fault = "entry paused"
-	FaultCut          Fault = "connections cut at a random byte"
-	FaultLate         Fault = "messages late"
-	FaultLogDown      Fault = "log down"
-	FaultLogLost      Fault = "answers of the log lost"
-	FaultVMReplaced   Fault = "target VM replaced"
-	FaultDrain        Fault = "target drained and replaced"
-	FaultEntryDrain   Fault = "entry drained and replaced"
-	FaultTargetChange Fault = "configuration changes the targets"
-	FaultCrashRequest Fault = "a request crashes its targets"
+	FaultNone          Fault = "none"
+	FaultAgentKill     Fault = "agent killed and restarted"
+	FaultAgentPause    Fault = "agent paused"
+	FaultEngineKill    Fault = "engine killed and restarted"
+	FaultEngineStall   Fault = "engine stalled"
+	FaultEntryKill     Fault = "entry killed and restarted"
+	FaultEntryPause    Fault = "entry paused"
+	FaultConnectionCut Fault = "connections cut at a random byte"
+	FaultMessageDelay  Fault = "messages late"
+	FaultLogDown       Fault = "log down"
+	FaultLogAnswerLost Fault = "answers of the log lost"
+	FaultVMReplaced    Fault = "target VM replaced"
+	FaultDrain         Fault = "target drained and replaced"
+	FaultEntryDrain    Fault = "entry drained and replaced"
+	FaultTargetChange  Fault = "configuration changes the targets"
+	FaultCrashRequest  Fault = "a request crashes its targets"
 )
 
 // Faults lists the kinds that runs draw from.
 var Faults = []Fault{
 	FaultNone, FaultAgentKill, FaultAgentPause, FaultEngineKill, FaultEngineStall, FaultEntryKill, FaultEntryPause,
-	FaultCut, FaultLate, FaultLogDown, FaultLogLost, FaultVMReplaced, FaultDrain, FaultTargetChange, FaultCrashRequest,
+	FaultConnectionCut, FaultMessageDelay, FaultLogDown, FaultLogAnswerLost, FaultVMReplaced, FaultDrain, FaultTargetChange, FaultCrashRequest,
 	FaultEntryDrain,
 }
 
@@ -68,10 +68,10 @@
 		w.drainEntry(who)
 	case FaultEngineKill, FaultEngineStall:
 		w.breakEngine(f, spell, rng)
-	case FaultCut:
+	case FaultConnectionCut:
 		w.net.cut(name, func() int { return rng.IntN(2000) })
 		w.net.cut(w.entries[who].name, func() int { return rng.IntN(2000) })
-	case FaultLate:
+	case FaultMessageDelay:
 		w.net.delay(name, time.Duration(rng.IntN(300))*time.Millisecond)
 		time.Sleep(spell)
 		w.net.delay(name, 0)
@@ -79,7 +79,7 @@
 		w.Log.SetFaults(fake.LogFaults{Down: true})
 		time.Sleep(2 * spell)
 		w.Log.SetFaults(fake.LogFaults{})
-	case FaultLogLost:
+	case FaultLogAnswerLost:
 		w.Log.SetFaults(fake.LogFaults{LoseAnswers: 3, Delay: 20 * time.Millisecond})
 		w.entry(who).Close()
 		w.must(w.startEntry(who))
--- a/outcomes/history.go
+++ b/outcomes/history.go
@@ -18,20 +18,20 @@
 
 // Invocation is one request of a caller and what it was told.
 type Invocation struct {
-	ID        string // new for each try of the caller
-	Key       string // empty: repeatable
-	Service   string
-	Entry     string
-	Began     time.Time
-	Ended     time.Time // zero: it never ended
-	Deadline  time.Time
-	Code      result.Code // OK: a whole answer
-	Detail    string      // of a refusal
-	Answer    string      // what the caller read
-	Want      string      // the whole answer, where it can be told in advance
-	Streamed  bool
-	Continued int
-	CrashBody bool
+	ID            string // new for each try of the caller
+	Key           string // empty: repeatable
+	Service       string
+	Entry         string
+	StartedAt     time.Time
+	EndedAt       time.Time // zero: it never ended
+	Deadline      time.Time
+	Code          result.Code // OK: a whole answer
+	Detail        string      // of a refusal
+	Answer        string      // what the caller read
+	WantAnswer    string      // the whole answer, where it can be told in advance
+	Streamed      bool
+	Continuations int
+	CrashBody     bool
 }
 
 // Execution is one request that reached a target.
@@ -73,7 +73,7 @@
 }
 
 // recordingBackend records what its target runs. A request whose body holds
-// CrashMark kills the target soon after it began.
+// CrashMarker kills the target soon after it began.
 type recordingBackend struct {
 	outside.Backend
 	target  string
@@ -83,8 +83,8 @@
 	calls   atomic.Int64 // that reached the target
 }
 
-// CrashMark is in the body of a request that crashes its target.
-const CrashMark = "crash-me"
+// CrashMarker is in the body of a request that crashes its target.
+const CrashMarker = "crash-me"
 
 var errBroken = errors.New("lost in mid-run")
 
@@ -94,7 +94,7 @@
 		b.calls.Add(1)
 	}
 	if b.broken.Load() && call.Method != "GET" {
-		return nil, &outside.SendError{Sent: true, Err: errBroken}
+		return nil, &outside.SendError{MayHaveRun: true, Err: errBroken}
 	}
 	reply, err := b.Backend.Run(ctx, call)
 	if err != nil || call.Method == "GET" { // a probe
@@ -110,7 +110,7 @@
 		}
 	}
 	b.history.ran(e)
-	if strings.Contains(e.Body, CrashMark) && b.onCrash != nil {
+	if strings.Contains(e.Body, CrashMarker) && b.onCrash != nil {
 		b.onCrash()
 	}
 	reply.Body = &recordingBody{ReadCloser: reply.Body, history: b.history, execution: e}
--- a/outcomes/run.go
+++ b/outcomes/run.go
@@ -13,18 +13,18 @@
 
 // Plan is one run: what fails, and how callers load the system.
 type Plan struct {
-	Seed    uint64
-	Faults  []Fault // at the same time
-	Callers int
-	For     time.Duration
-	Off     safeguard.Off
-	Logger  logr.Logger
+	Seed     uint64
+	Faults   []Fault // at the same time
+	Callers  int
+	Duration time.Duration
+	Off      safeguard.Off
+	Logger   logr.Logger
 }
 
-// PlanOf returns the plan of a seed: a single fault or a pair.
-func PlanOf(seed uint64) Plan {
+// PlanForSeed returns the plan of a seed: a single fault or a pair.
+func PlanForSeed(seed uint64) Plan {
 	rng := newRand(seed, seed)
-	p := Plan{Seed: seed, Callers: 5, For: 6 * time.Second, Logger: logr.Discard()}
+	p := Plan{Seed: seed, Callers: 5, Duration: 6 * time.Second, Logger: logr.Discard()}
 	p.Faults = append(p.Faults, Faults[seed%uint64(len(Faults))])
 	if rng.IntN(3) > 0 {
 		p.Faults = append(p.Faults, Faults[rng.IntN(len(Faults))])
@@ -34,12 +34,12 @@
 
 // Run carries a plan out and returns the recorded history.
 func Run(p Plan) (*World, error) {
-	w, err := NewWorld(Options{Engines: 3, Plains: 3, Entries: 3, Latency: time.Millisecond / 2, Off: p.Off, Logger: p.Logger})
+	w, err := NewWorld(Options{Engines: 3, PlainTargets: 3, Entries: 3, Latency: time.Millisecond / 2, Off: p.Off, Logger: p.Logger})
 	if err != nil {
 		return nil, err
 	}
 	var callers, faults sync.WaitGroup
-	until := time.Now().Add(p.For)
+	until := time.Now().Add(p.Duration)
 	for n := range p.Callers {
 		c := &caller{world: w, team: fmt.Sprintf("team-%d", n), rng: newRand(p.Seed, uint64(n))}
 		callers.Go(func() { c.run(until) })
--- a/outcomes/run_test.go
+++ b/outcomes/run_test.go
@@ -20,7 +20,7 @@
 // keep every promise, and most requests must still be answered.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(seeds) {
-		plan := outcomes.PlanOf(seed)
+		plan := outcomes.PlanForSeed(seed)
 		t.Run(fmt.Sprintf("%d %v", seed, plan.Faults), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
--- a/outcomes/world.go
+++ b/outcomes/world.go
@@ -76,12 +76,12 @@
 
 // Options of a World.
 type Options struct {
-	Engines int
-	Plains  int
-	Entries int
-	Latency time.Duration
-	Off     safeguard.Off
-	Logger  logr.Logger
+	Engines      int
+	PlainTargets int
+	Entries      int
+	Latency      time.Duration
+	Off          safeguard.Off
+	Logger       logr.Logger
 }
 
 // NewWorld starts a system and returns when its entries can serve.
@@ -100,7 +100,7 @@
 	for i := range o.Engines {
 		w.addTarget(fmt.Sprintf("%s-%d", ServiceEngine, i+1), ServiceEngine)
 	}
-	for i := range o.Plains + 1 { // the last one is the spare
+	for i := range o.PlainTargets + 1 { // the last one is the spare
 		w.addTarget(fmt.Sprintf("%s-%d", ServicePlain, i+1), ServicePlain)
 	}
 	for _, name := range w.targetNames() {
--- a/outside/backend.go
+++ b/outside/backend.go
@@ -66,11 +66,11 @@
 // Run implements Backend.
 func (b *HTTPBackend) Run(ctx context.Context, call *Call) (*Reply, error) {
 	if !plainTarget(call.Path) {
-		return nil, &SendError{Sent: false, Err: fmt.Errorf("path %q can't stand in a request line", call.Path)}
+		return nil, &SendError{MayHaveRun: false, Err: fmt.Errorf("path %q can't stand in a request line", call.Path)}
 	}
 	bc, err := b.take(ctx)
 	if err != nil {
-		return nil, &SendError{Sent: false, Err: fmt.Errorf("connect to %s: %w", b.addr, err)}
+		return nil, &SendError{MayHaveRun: false, Err: fmt.Errorf("connect to %s: %w", b.addr, err)}
 	}
 	// The watcher closes the connection when the caller gives up; the backend sees
 	// the close and frees the slot.
@@ -82,7 +82,7 @@
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, &SendError{Sent: true, Err: err}
+		return nil, &SendError{MayHaveRun: true, Err: err}
 	}
 	return reply, nil
 }
--- a/outside/backend_test.go
+++ b/outside/backend_test.go
@@ -88,7 +88,7 @@
 		_, err := call(b, outside.Call{Method: method, Path: "/entries", Body: []byte("x")})
 		var send *outside.SendError
 		g.Expect(errors.As(err, &send)).To(BeTrue())
-		g.Expect(send.Sent).To(BeTrue())
+		g.Expect(send.MayHaveRun).To(BeTrue())
 		g.Expect(requests.Load() - before).To(Equal(int64(1)))
 	}
 }
@@ -170,7 +170,7 @@
 		_, err := call(b, outside.Call{Method: http.MethodPost, Path: path})
 		var send *outside.SendError
 		g.Expect(errors.As(err, &send)).To(BeTrue())
-		g.Expect(send.Sent).To(BeFalse())
+		g.Expect(send.MayHaveRun).To(BeFalse())
 	}
 	g.Expect(requests.Load()).To(BeZero())
 }
--- a/outside/outside.go
+++ b/outside/outside.go
@@ -103,8 +103,8 @@
 
 // SendError is a failed Call.
 type SendError struct {
-	Sent bool // some byte may have reached the backend
-	Err  error
+	MayHaveRun bool // some byte may have reached the backend
+	Err        error
 }
 
 // Error implements error.
--- a/outside/rank.go
+++ b/outside/rank.go
@@ -18,11 +18,11 @@
 	// it returns when the weights are there.
 	Prepare(ctx context.Context, rank int, m *expert.Map) error
 	// Hold places a hold and returns the position before and after.
-	Hold(ctx context.Context, t expert.Token, at uint64) (before, after expert.Position, err error)
+	Hold(ctx context.Context, t expert.HoldToken, at uint64) (before, after expert.Position, err error)
 	// Release ends the hold of a token.
-	Release(ctx context.Context, t expert.Token, start uint64, s expert.Schedule, join uint64) error
+	Release(ctx context.Context, t expert.HoldToken, start uint64, s expert.Schedule, join uint64) error
 	// Lift takes the hold of a token back.
-	Lift(ctx context.Context, t expert.Token) error
+	Lift(ctx context.Context, t expert.HoldToken) error
 	// Loads returns what the rank computed under its map.
 	Loads(ctx context.Context) (RankLoads, error)
 	// Maps returns the maps whose weights are loaded.
@@ -49,16 +49,16 @@
 
 // RankOrder is the JSON body of all orders; each reads what it needs.
 type RankOrder struct {
-	Token    expert.Token    `json:"token"`
-	At       uint64          `json:"at"`
-	Start    uint64          `json:"start"`
-	Schedule expert.Schedule `json:"schedule"`
-	Join     uint64          `json:"join"`
-	Rank     int             `json:"rank"`
-	Map      *expert.Map     `json:"map,omitempty"`
+	Token    expert.HoldToken `json:"token"`
+	At       uint64           `json:"at"`
+	Start    uint64           `json:"start"`
+	Schedule expert.Schedule  `json:"schedule"`
+	Join     uint64           `json:"join"`
+	Rank     int              `json:"rank"`
+	Map      *expert.Map      `json:"map,omitempty"`
 }
 
-// RankReply answers an order. Refused is expert.ErrStart's or ErrToken's text.
+// RankReply answers an order. Refused is expert.ErrEngineRestarted's or ErrHoldSuperseded's text.
 type RankReply struct {
 	Before  expert.Position `json:"before"`
 	After   expert.Position `json:"after"`
@@ -87,10 +87,10 @@
 	switch reply.Refused {
 	case "":
 		return reply, nil
-	case expert.ErrStart.Error():
-		return nil, expert.ErrStart
-	case expert.ErrToken.Error():
-		return nil, expert.ErrToken
+	case expert.ErrEngineRestarted.Error():
+		return nil, expert.ErrEngineRestarted
+	case expert.ErrHoldSuperseded.Error():
+		return nil, expert.ErrHoldSuperseded
 	}
 	return nil, fmt.Errorf("engine refuses: %s", reply.Refused)
 }
@@ -102,7 +102,7 @@
 }
 
 // Hold implements Rank.
-func (r *HTTPRank) Hold(ctx context.Context, t expert.Token, at uint64) (before, after expert.Position, err error) {
+func (r *HTTPRank) Hold(ctx context.Context, t expert.HoldToken, at uint64) (before, after expert.Position, err error) {
 	reply, err := r.order(ctx, PathRankHold, &RankOrder{Token: t, At: at})
 	if err != nil {
 		return before, after, err
@@ -111,13 +111,13 @@
 }
 
 // Release implements Rank.
-func (r *HTTPRank) Release(ctx context.Context, t expert.Token, start uint64, s expert.Schedule, join uint64) error {
+func (r *HTTPRank) Release(ctx context.Context, t expert.HoldToken, start uint64, s expert.Schedule, join uint64) error {
 	_, err := r.order(ctx, PathRankRelease, &RankOrder{Token: t, Start: start, Schedule: s, Join: join})
 	return err
 }
 
 // Lift implements Rank.
-func (r *HTTPRank) Lift(ctx context.Context, t expert.Token) error {
+func (r *HTTPRank) Lift(ctx context.Context, t expert.HoldToken) error {
 	_, err := r.order(ctx, PathRankLift, &RankOrder{Token: t})
 	return err
 }
--- a/peers/count.go
+++ b/peers/count.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Count returns a count as messages hold it.
-func Count(n int) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
+// ClampUint16 returns a count as messages hold it.
+func ClampUint16(n int) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
-// Small returns a count as messages hold it in one byte; more than it holds count as the
+// ClampUint8 returns a count as messages hold it in one byte; more than it holds count as the
 // most.
-func Small(n int) byte { return byte(min(max(n, 0), 1<<8-1)) }
+func ClampUint8(n int) byte { return byte(min(max(n, 0), 1<<8-1)) }
--- a/peers/order.go
+++ b/peers/order.go
@@ -9,7 +9,7 @@
 		return "arm"
 	case OrderHold:
 		return "hold"
-	case OrderGo:
+	case OrderRelease:
 		return "go"
 	case OrderDisarm:
 		return "disarm"
--- a/peers/pack.go
+++ b/peers/pack.go
@@ -13,7 +13,7 @@
 const packFrom = 2 << 10
 
 // Pack compresses the records if they are large.
-func (n *TopicNews) Pack() error {
+func (n *TopicUpdate) Pack() error {
 	text, err := Records(n.Records).MarshalMsg(nil)
 	if err != nil || len(text) < packFrom {
 		return err
@@ -34,7 +34,7 @@
 }
 
 // Unpack undoes Pack.
-func (n *TopicNews) Unpack() error {
+func (n *TopicUpdate) Unpack() error {
 	if len(n.Packed) == 0 {
 		return nil
 	}
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -86,7 +86,7 @@
 func TestLargeNewsArePacked(t *testing.T) {
 	g := NewWithT(t)
 	value := []byte(strings.Repeat(`{"name":"r-1","host":"h","path-prefix":"/x/","timeout-ms":8000},`, 20000))
-	news := TopicNews{Topic: 1, From: 2, Next: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
+	news := TopicUpdate{Topic: 1, From: 2, Next: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
 	want := news.Records
 	g.Expect(news.Pack()).To(Succeed())
 	g.Expect(len(news.Packed)).To(BeNumerically("<", len(value)/8))
@@ -96,7 +96,7 @@
 
 // Whatever a peer sends, reading it ends with a message or an error.
 func FuzzHeartbeats(f *testing.F) {
-	h := Heartbeat{Entry: Presence{Name: "a"}, Topics: []TopicState{{Next: 1}}, News: []TopicNews{{Topic: 1, Packed: []byte{1, 2}}}}
+	h := Heartbeat{Entry: Presence{Name: "a"}, Topics: []TopicState{{Next: 1}}, Updates: []TopicUpdate{{Topic: 1, Packed: []byte{1, 2}}}}
 	frame, err := appendFrame(nil, KindHeartbeat, &h)
 	if err != nil {
 		f.Fatal(err)
@@ -111,8 +111,8 @@
 		if _, err := h.UnmarshalMsg(payload); err != nil {
 			return
 		}
-		for i := range h.News {
-			_ = h.News[i].Unpack() // an error is as good as records
+		for i := range h.Updates {
+			_ = h.Updates[i].Unpack() // an error is as good as records
 		}
 	})
 }
--- a/peers/schema_gen.go
+++ b/peers/schema_gen.go
@@ -22,9 +22,9 @@
 	o = msgp.AppendString(o, z.Leader)
 	o = msgp.AppendUint64(o, z.Fence)
 	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Below)))
-	for za0001 := range z.Below {
-		o = msgp.AppendString(o, z.Below[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Subtree)))
+	for za0001 := range z.Subtree {
+		o = msgp.AppendString(o, z.Subtree[za0001])
 	}
 	o = msgp.AppendUint32(o, z.LimitMS)
 	o, err = z.Loads.MarshalMsg(o)
@@ -75,22 +75,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Below")
+		err = msgp.WrapError(err, "Subtree")
 		return
 	}
 	if zb0002 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Below) >= int(zb0002) {
-		z.Below = (z.Below)[:zb0002]
+	if cap(z.Subtree) >= int(zb0002) {
+		z.Subtree = (z.Subtree)[:zb0002]
 	} else {
-		z.Below = make([]string, zb0002)
+		z.Subtree = make([]string, zb0002)
 	}
-	for za0001 := range z.Below {
-		z.Below[za0001], bts, err = msgp.ReadStringBytes(bts)
+	for za0001 := range z.Subtree {
+		z.Subtree[za0001], bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0001)
+			err = msgp.WrapError(err, "Subtree", za0001)
 			return
 		}
 	}
@@ -111,30 +111,30 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Collect) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize + msgp.BoolSize + msgp.StringPrefixSize + len(z.Leader) + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Below {
-		s += msgp.StringPrefixSize + len(z.Below[za0001])
+	for za0001 := range z.Subtree {
+		s += msgp.StringPrefixSize + len(z.Subtree[za0001])
 	}
 	s += msgp.Uint32Size + z.Loads.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Doubt) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FailureReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 7
 	o = append(o, 0x97)
 	o = msgp.AppendString(o, z.Entry)
 	o = msgp.AppendString(o, z.Target)
-	o = msgp.AppendInt64(o, z.Born)
-	o = msgp.AppendUint32(o, z.BrokenMS)
-	o = msgp.AppendUint32(o, z.HungMS)
-	o = msgp.AppendUint16(o, z.Hung)
-	o = msgp.AppendUint32(o, z.WellMS)
+	o = msgp.AppendInt64(o, z.StartedAtMS)
+	o = msgp.AppendUint32(o, z.ConnBrokenAgeMS)
+	o = msgp.AppendUint32(o, z.TimeoutAgeMS)
+	o = msgp.AppendUint16(o, z.Timeouts)
+	o = msgp.AppendUint32(o, z.SuccessAgeMS)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Doubt) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FailureReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -155,29 +155,29 @@
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+	z.StartedAtMS, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Born")
+		err = msgp.WrapError(err, "StartedAtMS")
 		return
 	}
-	z.BrokenMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ConnBrokenAgeMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "BrokenMS")
+		err = msgp.WrapError(err, "ConnBrokenAgeMS")
 		return
 	}
-	z.HungMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.TimeoutAgeMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "HungMS")
+		err = msgp.WrapError(err, "TimeoutAgeMS")
 		return
 	}
-	z.Hung, bts, err = msgp.ReadUint16Bytes(bts)
+	z.Timeouts, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Hung")
+		err = msgp.WrapError(err, "Timeouts")
 		return
 	}
-	z.WellMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.SuccessAgeMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WellMS")
+		err = msgp.WrapError(err, "SuccessAgeMS")
 		return
 	}
 	o = bts
@@ -185,59 +185,11 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Doubt) Msgsize() (s int) {
+func (z *FailureReport) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Entry) + msgp.StringPrefixSize + len(z.Target) + msgp.Int64Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint16Size + msgp.Uint32Size
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z FirstMap) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint16(o, z.Sets)
-	o = msgp.AppendUint16(o, z.Ranks)
-	o = msgp.AppendUint16(o, z.Experts)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *FirstMap) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Sets, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Sets")
-		return
-	}
-	z.Ranks, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Ranks")
-		return
-	}
-	z.Experts, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Experts")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z FirstMap) Msgsize() (s int) {
-	s = 1 + msgp.Uint16Size + msgp.Uint16Size + msgp.Uint16Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *Heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -269,20 +221,20 @@
 		o = msgp.AppendUint32(o, z.Topics[za0002].AgeMS)
 		o = msgp.AppendBool(o, z.Topics[za0002].Read)
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.News)))
-	for za0003 := range z.News {
-		o, err = z.News[za0003].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Updates)))
+	for za0003 := range z.Updates {
+		o, err = z.Updates[za0003].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "News", za0003)
+			err = msgp.WrapError(err, "Updates", za0003)
 			return
 		}
 	}
-	o = msgp.AppendUint8(o, z.Wants)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Doubts)))
-	for za0004 := range z.Doubts {
-		o, err = z.Doubts[za0004].MarshalMsg(o)
+	o = msgp.AppendUint8(o, z.RequestedTopics)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.FailureReports)))
+	for za0004 := range z.FailureReports {
+		o, err = z.FailureReports[za0004].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Doubts", za0004)
+			err = msgp.WrapError(err, "FailureReports", za0004)
 			return
 		}
 	}
@@ -406,49 +358,49 @@
 	var zb0006 uint32
 	zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "News")
+		err = msgp.WrapError(err, "Updates")
 		return
 	}
 	if zb0006 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.News) >= int(zb0006) {
-		z.News = (z.News)[:zb0006]
+	if cap(z.Updates) >= int(zb0006) {
+		z.Updates = (z.Updates)[:zb0006]
 	} else {
-		z.News = make([]TopicNews, zb0006)
+		z.Updates = make([]TopicUpdate, zb0006)
 	}
-	for za0003 := range z.News {
-		bts, err = z.News[za0003].UnmarshalMsg(bts)
+	for za0003 := range z.Updates {
+		bts, err = z.Updates[za0003].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "News", za0003)
+			err = msgp.WrapError(err, "Updates", za0003)
 			return
 		}
 	}
-	z.Wants, bts, err = msgp.ReadUint8Bytes(bts)
+	z.RequestedTopics, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Wants")
+		err = msgp.WrapError(err, "RequestedTopics")
 		return
 	}
 	var zb0007 uint32
 	zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Doubts")
+		err = msgp.WrapError(err, "FailureReports")
 		return
 	}
 	if zb0007 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Doubts) >= int(zb0007) {
-		z.Doubts = (z.Doubts)[:zb0007]
+	if cap(z.FailureReports) >= int(zb0007) {
+		z.FailureReports = (z.FailureReports)[:zb0007]
 	} else {
-		z.Doubts = make([]Doubt, zb0007)
+		z.FailureReports = make([]FailureReport, zb0007)
 	}
-	for za0004 := range z.Doubts {
-		bts, err = z.Doubts[za0004].UnmarshalMsg(bts)
+	for za0004 := range z.FailureReports {
+		bts, err = z.FailureReports[za0004].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Doubts", za0004)
+			err = msgp.WrapError(err, "FailureReports", za0004)
 			return
 		}
 	}
@@ -485,12 +437,12 @@
 		s += 1 + z.Members[za0001].Entry.Msgsize() + msgp.BoolSize
 	}
 	s += msgp.Uint64Size + msgp.BoolSize + msgp.ArrayHeaderSize + (len(z.Topics) * (17 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize)) + msgp.ArrayHeaderSize
-	for za0003 := range z.News {
-		s += z.News[za0003].Msgsize()
+	for za0003 := range z.Updates {
+		s += z.Updates[za0003].Msgsize()
 	}
 	s += msgp.Uint8Size + msgp.ArrayHeaderSize
-	for za0004 := range z.Doubts {
-		s += z.Doubts[za0004].Msgsize()
+	for za0004 := range z.FailureReports {
+		s += z.FailureReports[za0004].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
 	for za0005 := range z.Rates {
@@ -499,6 +451,54 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z InitialMap) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint16(o, z.Sets)
+	o = msgp.AppendUint16(o, z.Ranks)
+	o = msgp.AppendUint16(o, z.Experts)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *InitialMap) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Sets, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Sets")
+		return
+	}
+	z.Ranks, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Ranks")
+		return
+	}
+	z.Experts, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Experts")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z InitialMap) Msgsize() (s int) {
+	s = 1 + msgp.Uint16Size + msgp.Uint16Size + msgp.Uint16Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Kind) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -534,19 +534,19 @@
 	o = append(o, 0xdc, 0x0, 0x11)
 	o = msgp.AppendBool(o, z.Known)
 	o = msgp.AppendString(o, z.Leader)
-	o = msgp.AppendBool(o, z.Elsewhere)
-	o = msgp.AppendBool(o, z.Open)
+	o = msgp.AppendBool(o, z.AskOthers)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendUint32(o, z.AgeMS)
 	o = msgp.AppendFloat32(o, z.PassMS)
 	o = msgp.AppendFloat32(o, z.Imbalance)
-	o = msgp.AppendFloat32(o, z.Worst)
+	o = msgp.AppendFloat32(o, z.PeakImbalance)
 	o = msgp.AppendUint64(o, z.Roster)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Engines)))
 	for za0001 := range z.Engines {
 		o = msgp.AppendString(o, z.Engines[za0001])
 	}
-	o = msgp.AppendUint16(o, z.Wanting)
-	o = msgp.AppendUint16(o, z.Late)
+	o = msgp.AppendUint16(o, z.QueuedInTime)
+	o = msgp.AppendUint16(o, z.QueuedLate)
 	o = msgp.AppendBytes(o, z.Running)
 	o = msgp.AppendBytes(o, z.Waiting)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Slow)))
@@ -554,7 +554,7 @@
 		// array header, size 2
 		o = append(o, 0x92)
 		o = msgp.AppendUint16(o, z.Slow[za0002].Rank)
-		o = msgp.AppendFloat32(o, z.Slow[za0002].Pace)
+		o = msgp.AppendFloat32(o, z.Slow[za0002].Slowdown)
 	}
 	o = msgp.AppendString(o, z.Group)
 	o = msgp.AppendUint16(o, z.Ranks)
@@ -583,14 +583,14 @@
 		err = msgp.WrapError(err, "Leader")
 		return
 	}
-	z.Elsewhere, bts, err = msgp.ReadBoolBytes(bts)
+	z.AskOthers, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Elsewhere")
+		err = msgp.WrapError(err, "AskOthers")
 		return
 	}
-	z.Open, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Open")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	z.AgeMS, bts, err = msgp.ReadUint32Bytes(bts)
@@ -608,9 +608,9 @@
 		err = msgp.WrapError(err, "Imbalance")
 		return
 	}
-	z.Worst, bts, err = msgp.ReadFloat32Bytes(bts)
+	z.PeakImbalance, bts, err = msgp.ReadFloat32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Worst")
+		err = msgp.WrapError(err, "PeakImbalance")
 		return
 	}
 	z.Roster, bts, err = msgp.ReadUint64Bytes(bts)
@@ -640,14 +640,14 @@
 			return
 		}
 	}
-	z.Wanting, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedInTime, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Wanting")
+		err = msgp.WrapError(err, "QueuedInTime")
 		return
 	}
-	z.Late, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedLate, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Late")
+		err = msgp.WrapError(err, "QueuedLate")
 		return
 	}
 	var zb0003 uint32
@@ -723,9 +723,9 @@
 			err = msgp.WrapError(err, "Slow", za0002, "Rank")
 			return
 		}
-		z.Slow[za0002].Pace, bts, err = msgp.ReadFloat32Bytes(bts)
+		z.Slow[za0002].Slowdown, bts, err = msgp.ReadFloat32Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Slow", za0002, "Pace")
+			err = msgp.WrapError(err, "Slow", za0002, "Slowdown")
 			return
 		}
 	}
@@ -749,7 +749,7 @@
 	for za0001 := range z.Engines {
 		s += msgp.StringPrefixSize + len(z.Engines[za0001])
 	}
-	s += msgp.Uint16Size + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Running) + msgp.BytesPrefixSize + len(z.Waiting) + msgp.ArrayHeaderSize + (len(z.Slow) * (11 + msgp.Uint16Size + msgp.Float32Size)) + msgp.StringPrefixSize + len(z.Group) + msgp.Uint16Size
+	s += msgp.Uint16Size + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Running) + msgp.BytesPrefixSize + len(z.Waiting) + msgp.ArrayHeaderSize + (len(z.Slow) * (15 + msgp.Uint16Size + msgp.Float32Size)) + msgp.StringPrefixSize + len(z.Group) + msgp.Uint16Size
 	return
 }
 
@@ -760,8 +760,8 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Roster)
 	o = msgp.AppendString(o, z.Entry)
-	o = msgp.AppendUint16(o, z.Waiting)
-	o = msgp.AppendUint16(o, z.Late)
+	o = msgp.AppendUint16(o, z.QueuedInTime)
+	o = msgp.AppendUint16(o, z.QueuedLate)
 	return
 }
 
@@ -787,14 +787,14 @@
 		err = msgp.WrapError(err, "Entry")
 		return
 	}
-	z.Waiting, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedInTime, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Waiting")
+		err = msgp.WrapError(err, "QueuedInTime")
 		return
 	}
-	z.Late, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedLate, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Late")
+		err = msgp.WrapError(err, "QueuedLate")
 		return
 	}
 	o = bts
@@ -886,14 +886,14 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
-	o = msgp.AppendBool(o, z.Taken)
+	o = msgp.AppendBool(o, z.Accepted)
 	o = msgp.AppendBool(o, z.Refused)
-	o = msgp.AppendBool(o, z.NoBase)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Below)))
-	for za0001 := range z.Below {
-		o, err = z.Below[za0001].MarshalMsg(o)
+	o = msgp.AppendBool(o, z.UnknownBase)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Subtree)))
+	for za0001 := range z.Subtree {
+		o, err = z.Subtree[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0001)
+			err = msgp.WrapError(err, "Subtree", za0001)
 			return
 		}
 	}
@@ -912,9 +912,9 @@
 		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	z.Taken, bts, err = msgp.ReadBoolBytes(bts)
+	z.Accepted, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Taken")
+		err = msgp.WrapError(err, "Accepted")
 		return
 	}
 	z.Refused, bts, err = msgp.ReadBoolBytes(bts)
@@ -922,30 +922,30 @@
 		err = msgp.WrapError(err, "Refused")
 		return
 	}
-	z.NoBase, bts, err = msgp.ReadBoolBytes(bts)
+	z.UnknownBase, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "NoBase")
+		err = msgp.WrapError(err, "UnknownBase")
 		return
 	}
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Below")
+		err = msgp.WrapError(err, "Subtree")
 		return
 	}
 	if zb0002 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Below) >= int(zb0002) {
-		z.Below = (z.Below)[:zb0002]
+	if cap(z.Subtree) >= int(zb0002) {
+		z.Subtree = (z.Subtree)[:zb0002]
 	} else {
-		z.Below = make([]OrderResult, zb0002)
+		z.Subtree = make([]OrderResult, zb0002)
 	}
-	for za0001 := range z.Below {
-		bts, err = z.Below[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Subtree {
+		bts, err = z.Subtree[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0001)
+			err = msgp.WrapError(err, "Subtree", za0001)
 			return
 		}
 	}
@@ -956,57 +956,9 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *OrderResult) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.ArrayHeaderSize
-	for za0001 := range z.Below {
-		s += z.Below[za0001].Msgsize()
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z OtherArm) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendUint64(o, z.Step)
-	o = msgp.AppendBool(o, z.Taken)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *OtherArm) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	z.Step, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Step")
-		return
+	for za0001 := range z.Subtree {
+		s += z.Subtree[za0001].Msgsize()
 	}
-	z.Taken, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Taken")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z OtherArm) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint64Size + msgp.BoolSize
 	return
 }
 
@@ -1021,8 +973,8 @@
 		return
 	}
 	o = msgp.AppendUint32(o, z.MaxWaitMS)
-	o = msgp.AppendBool(o, z.Refuses)
-	o = msgp.AppendFloat64(o, z.Cold)
+	o = msgp.AppendBool(o, z.RejectIfDenied)
+	o = msgp.AppendFloat64(o, z.ColdRate)
 	return
 }
 
@@ -1048,14 +1000,14 @@
 		err = msgp.WrapError(err, "MaxWaitMS")
 		return
 	}
-	z.Refuses, bts, err = msgp.ReadBoolBytes(bts)
+	z.RejectIfDenied, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Refuses")
+		err = msgp.WrapError(err, "RejectIfDenied")
 		return
 	}
-	z.Cold, bts, err = msgp.ReadFloat64Bytes(bts)
+	z.ColdRate, bts, err = msgp.ReadFloat64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Cold")
+		err = msgp.WrapError(err, "ColdRate")
 		return
 	}
 	o = bts
@@ -1076,7 +1028,7 @@
 	o = msgp.AppendBool(o, z.Owner)
 	o = msgp.AppendBool(o, z.Granted)
 	o = msgp.AppendUint32(o, z.WaitMS)
-	o = msgp.AppendUint32(o, z.ComeBackMS)
+	o = msgp.AppendUint32(o, z.RetryAfterMS)
 	o, err = z.Rate.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Rate")
@@ -1112,9 +1064,9 @@
 		err = msgp.WrapError(err, "WaitMS")
 		return
 	}
-	z.ComeBackMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "ComeBackMS")
+		err = msgp.WrapError(err, "RetryAfterMS")
 		return
 	}
 	bts, err = z.Rate.UnmarshalMsg(bts)
@@ -1139,12 +1091,12 @@
 	o = append(o, 0x98)
 	o = msgp.AppendString(o, z.Name)
 	o = msgp.AppendUint64(o, z.Incarnation)
-	o = msgp.AppendUint64(o, z.Beat)
+	o = msgp.AppendUint64(o, z.Revision)
 	o = msgp.AppendString(o, z.DataCentre)
-	o = msgp.AppendString(o, z.Callers)
-	o = msgp.AppendString(o, z.Peers)
+	o = msgp.AppendString(o, z.CallerAddr)
+	o = msgp.AppendString(o, z.PeerAddr)
 	o = msgp.AppendBool(o, z.Ready)
-	o = msgp.AppendBool(o, z.Store)
+	o = msgp.AppendBool(o, z.StoreReachable)
 	return
 }
 
@@ -1170,9 +1122,9 @@
 		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Beat, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Revision, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	z.DataCentre, bts, err = msgp.ReadStringBytes(bts)
@@ -1180,14 +1132,14 @@
 		err = msgp.WrapError(err, "DataCentre")
 		return
 	}
-	z.Callers, bts, err = msgp.ReadStringBytes(bts)
+	z.CallerAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Callers")
+		err = msgp.WrapError(err, "CallerAddr")
 		return
 	}
-	z.Peers, bts, err = msgp.ReadStringBytes(bts)
+	z.PeerAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Peers")
+		err = msgp.WrapError(err, "PeerAddr")
 		return
 	}
 	z.Ready, bts, err = msgp.ReadBoolBytes(bts)
@@ -1195,9 +1147,9 @@
 		err = msgp.WrapError(err, "Ready")
 		return
 	}
-	z.Store, bts, err = msgp.ReadBoolBytes(bts)
+	z.StoreReachable, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Store")
+		err = msgp.WrapError(err, "StoreReachable")
 		return
 	}
 	o = bts
@@ -1206,7 +1158,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Presence) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Name) + msgp.Uint64Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.DataCentre) + msgp.StringPrefixSize + len(z.Callers) + msgp.StringPrefixSize + len(z.Peers) + msgp.BoolSize + msgp.BoolSize
+	s = 1 + msgp.StringPrefixSize + len(z.Name) + msgp.Uint64Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.DataCentre) + msgp.StringPrefixSize + len(z.CallerAddr) + msgp.StringPrefixSize + len(z.PeerAddr) + msgp.BoolSize + msgp.BoolSize
 	return
 }
 
@@ -1288,6 +1240,54 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z ProxyArm) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.Epoch)
+	o = msgp.AppendUint64(o, z.Step)
+	o = msgp.AppendBool(o, z.Accepted)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ProxyArm) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Step, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Step")
+		return
+	}
+	z.Accepted, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Accepted")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ProxyArm) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Uint64Size + msgp.BoolSize
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *RankOrder) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -1311,14 +1311,14 @@
 	o = msgp.AppendUint64(o, z.Base)
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint16(o, z.First.Sets)
-	o = msgp.AppendUint16(o, z.First.Ranks)
-	o = msgp.AppendUint16(o, z.First.Experts)
+	o = msgp.AppendUint16(o, z.InitialMap.Sets)
+	o = msgp.AppendUint16(o, z.InitialMap.Ranks)
+	o = msgp.AppendUint16(o, z.InitialMap.Experts)
 	o = msgp.AppendString(o, z.Engine)
-	o = msgp.AppendBool(o, z.Resolve)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Below)))
-	for za0004 := range z.Below {
-		o = msgp.AppendString(o, z.Below[za0004])
+	o = msgp.AppendBool(o, z.Recovery)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Subtree)))
+	for za0004 := range z.Subtree {
+		o = msgp.AppendString(o, z.Subtree[za0004])
 	}
 	o = msgp.AppendUint32(o, z.LimitMS)
 	return
@@ -1445,26 +1445,26 @@
 	var zb0007 uint32
 	zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "First")
+		err = msgp.WrapError(err, "InitialMap")
 		return
 	}
 	if zb0007 != 3 {
 		err = msgp.ArrayError{Wanted: 3, Got: zb0007}
 		return
 	}
-	z.First.Sets, bts, err = msgp.ReadUint16Bytes(bts)
+	z.InitialMap.Sets, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "First", "Sets")
+		err = msgp.WrapError(err, "InitialMap", "Sets")
 		return
 	}
-	z.First.Ranks, bts, err = msgp.ReadUint16Bytes(bts)
+	z.InitialMap.Ranks, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "First", "Ranks")
+		err = msgp.WrapError(err, "InitialMap", "Ranks")
 		return
 	}
-	z.First.Experts, bts, err = msgp.ReadUint16Bytes(bts)
+	z.InitialMap.Experts, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "First", "Experts")
+		err = msgp.WrapError(err, "InitialMap", "Experts")
 		return
 	}
 	z.Engine, bts, err = msgp.ReadStringBytes(bts)
@@ -1472,30 +1472,30 @@
 		err = msgp.WrapError(err, "Engine")
 		return
 	}
-	z.Resolve, bts, err = msgp.ReadBoolBytes(bts)
+	z.Recovery, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Resolve")
+		err = msgp.WrapError(err, "Recovery")
 		return
 	}
 	var zb0008 uint32
 	zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Below")
+		err = msgp.WrapError(err, "Subtree")
 		return
 	}
 	if zb0008 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Below) >= int(zb0008) {
-		z.Below = (z.Below)[:zb0008]
+	if cap(z.Subtree) >= int(zb0008) {
+		z.Subtree = (z.Subtree)[:zb0008]
 	} else {
-		z.Below = make([]string, zb0008)
+		z.Subtree = make([]string, zb0008)
 	}
-	for za0004 := range z.Below {
-		z.Below[za0004], bts, err = msgp.ReadStringBytes(bts)
+	for za0004 := range z.Subtree {
+		z.Subtree[za0004], bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0004)
+			err = msgp.WrapError(err, "Subtree", za0004)
 			return
 		}
 	}
@@ -1518,8 +1518,8 @@
 		}
 	}
 	s += msgp.BytesPrefixSize + len(z.Changes) + msgp.Uint64Size + 1 + msgp.Uint16Size + msgp.Uint16Size + msgp.Uint16Size + msgp.StringPrefixSize + len(z.Engine) + msgp.BoolSize + msgp.ArrayHeaderSize
-	for za0004 := range z.Below {
-		s += msgp.StringPrefixSize + len(z.Below[za0004])
+	for za0004 := range z.Subtree {
+		s += msgp.StringPrefixSize + len(z.Subtree[za0004])
 	}
 	s += msgp.Uint32Size
 	return
@@ -1531,14 +1531,14 @@
 	// array header, size 28
 	o = append(o, 0xdc, 0x0, 0x1c)
 	o = msgp.AppendBool(o, z.Known)
-	o = msgp.AppendBool(o, z.Lost)
+	o = msgp.AppendBool(o, z.Unreachable)
 	o = msgp.AppendBool(o, z.Fenced)
-	o = msgp.AppendInt64(o, z.Born)
+	o = msgp.AppendInt64(o, z.StartedAtMS)
 	o = msgp.AppendString(o, z.Group)
 	o = msgp.AppendUint64(o, z.Epoch)
 	o = msgp.AppendInt(o, z.Rank)
 	o = msgp.AppendInt(o, z.Ranks)
-	o = msgp.AppendBool(o, z.Open)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendUint64(o, z.Step)
 	o = msgp.AppendUint64(o, z.Map)
 	o = msgp.AppendUint64(o, z.Prepared)
@@ -1548,15 +1548,15 @@
 	o = msgp.AppendInt(o, z.Waiting)
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Other.Epoch)
-	o = msgp.AppendUint64(o, z.Other.Step)
-	o = msgp.AppendBool(o, z.Other.Taken)
-	o = msgp.AppendFloat64(o, z.Pace)
+	o = msgp.AppendUint64(o, z.ProxyArm.Epoch)
+	o = msgp.AppendUint64(o, z.ProxyArm.Step)
+	o = msgp.AppendBool(o, z.ProxyArm.Accepted)
+	o = msgp.AppendFloat64(o, z.Slowdown)
 	o = msgp.AppendFloat64(o, z.Unit)
 	o = msgp.AppendUint32(o, z.Experts)
 	o = msgp.AppendBytes(o, z.Bands)
 	o = msgp.AppendBool(o, z.Coarse)
-	o = msgp.AppendUint64(o, z.Given)
+	o = msgp.AppendUint64(o, z.HighestMapReceived)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Lists)))
 	for za0001 := range z.Lists {
 		o = msgp.AppendArrayHeader(o, uint32(len(z.Lists[za0001])))
@@ -1564,14 +1564,14 @@
 			o = msgp.AppendUint16(o, z.Lists[za0001][za0002])
 		}
 	}
-	o = msgp.AppendUint32(o, z.Wanting)
-	o = msgp.AppendUint32(o, z.Late)
-	o = msgp.AppendBool(o, z.NoEngines)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Below)))
-	for za0003 := range z.Below {
-		o, err = z.Below[za0003].MarshalMsg(o)
+	o = msgp.AppendUint32(o, z.QueuedInTime)
+	o = msgp.AppendUint32(o, z.QueuedLate)
+	o = msgp.AppendBool(o, z.EnginesUnknown)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Subtree)))
+	for za0003 := range z.Subtree {
+		o, err = z.Subtree[za0003].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0003)
+			err = msgp.WrapError(err, "Subtree", za0003)
 			return
 		}
 	}
@@ -1595,9 +1595,9 @@
 		err = msgp.WrapError(err, "Known")
 		return
 	}
-	z.Lost, bts, err = msgp.ReadBoolBytes(bts)
+	z.Unreachable, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Lost")
+		err = msgp.WrapError(err, "Unreachable")
 		return
 	}
 	z.Fenced, bts, err = msgp.ReadBoolBytes(bts)
@@ -1605,9 +1605,9 @@
 		err = msgp.WrapError(err, "Fenced")
 		return
 	}
-	z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+	z.StartedAtMS, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Born")
+		err = msgp.WrapError(err, "StartedAtMS")
 		return
 	}
 	z.Group, bts, err = msgp.ReadStringBytes(bts)
@@ -1630,9 +1630,9 @@
 		err = msgp.WrapError(err, "Ranks")
 		return
 	}
-	z.Open, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Open")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	z.Step, bts, err = msgp.ReadUint64Bytes(bts)
@@ -1673,31 +1673,31 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Other")
+		err = msgp.WrapError(err, "ProxyArm")
 		return
 	}
 	if zb0002 != 3 {
 		err = msgp.ArrayError{Wanted: 3, Got: zb0002}
 		return
 	}
-	z.Other.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ProxyArm.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Other", "Epoch")
+		err = msgp.WrapError(err, "ProxyArm", "Epoch")
 		return
 	}
-	z.Other.Step, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ProxyArm.Step, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Other", "Step")
+		err = msgp.WrapError(err, "ProxyArm", "Step")
 		return
 	}
-	z.Other.Taken, bts, err = msgp.ReadBoolBytes(bts)
+	z.ProxyArm.Accepted, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Other", "Taken")
+		err = msgp.WrapError(err, "ProxyArm", "Accepted")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadFloat64Bytes(bts)
+	z.Slowdown, bts, err = msgp.ReadFloat64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "Slowdown")
 		return
 	}
 	z.Unit, bts, err = msgp.ReadFloat64Bytes(bts)
@@ -1736,9 +1736,9 @@
 		err = msgp.WrapError(err, "Coarse")
 		return
 	}
-	z.Given, bts, err = msgp.ReadUint64Bytes(bts)
+	z.HighestMapReceived, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Given")
+		err = msgp.WrapError(err, "HighestMapReceived")
 		return
 	}
 	var zb0004 uint32
@@ -1780,40 +1780,40 @@
 			}
 		}
 	}
-	z.Wanting, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueuedInTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Wanting")
+		err = msgp.WrapError(err, "QueuedInTime")
 		return
 	}
-	z.Late, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueuedLate, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Late")
+		err = msgp.WrapError(err, "QueuedLate")
 		return
 	}
-	z.NoEngines, bts, err = msgp.ReadBoolBytes(bts)
+	z.EnginesUnknown, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "NoEngines")
+		err = msgp.WrapError(err, "EnginesUnknown")
 		return
 	}
 	var zb0006 uint32
 	zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Below")
+		err = msgp.WrapError(err, "Subtree")
 		return
 	}
 	if zb0006 > zb417a25dlimitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Below) >= int(zb0006) {
-		z.Below = (z.Below)[:zb0006]
+	if cap(z.Subtree) >= int(zb0006) {
+		z.Subtree = (z.Subtree)[:zb0006]
 	} else {
-		z.Below = make([]RankState, zb0006)
+		z.Subtree = make([]RankState, zb0006)
 	}
-	for za0003 := range z.Below {
-		bts, err = z.Below[za0003].UnmarshalMsg(bts)
+	for za0003 := range z.Subtree {
+		bts, err = z.Subtree[za0003].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Below", za0003)
+			err = msgp.WrapError(err, "Subtree", za0003)
 			return
 		}
 	}
@@ -1828,8 +1828,8 @@
 		s += msgp.ArrayHeaderSize + (len(z.Lists[za0001]) * (msgp.Uint16Size))
 	}
 	s += msgp.Uint32Size + msgp.Uint32Size + msgp.BoolSize + msgp.ArrayHeaderSize
-	for za0003 := range z.Below {
-		s += z.Below[za0003].Msgsize()
+	for za0003 := range z.Subtree {
+		s += z.Subtree[za0003].Msgsize()
 	}
 	return
 }
@@ -1840,7 +1840,7 @@
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendString(o, z.Target)
-	o = msgp.AppendInt64(o, z.Born)
+	o = msgp.AppendInt64(o, z.StartedAtMS)
 	o = msgp.AppendFloat64(o, z.PerSecond)
 	o = msgp.AppendUint32(o, z.AgeMS)
 	return
@@ -1863,9 +1863,9 @@
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+	z.StartedAtMS, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Born")
+		err = msgp.WrapError(err, "StartedAtMS")
 		return
 	}
 	z.PerSecond, bts, err = msgp.ReadFloat64Bytes(bts)
@@ -2045,7 +2045,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint16(o, z.Rank)
-	o = msgp.AppendFloat32(o, z.Pace)
+	o = msgp.AppendFloat32(o, z.Slowdown)
 	return
 }
 
@@ -2066,9 +2066,9 @@
 		err = msgp.WrapError(err, "Rank")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadFloat32Bytes(bts)
+	z.Slowdown, bts, err = msgp.ReadFloat32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "Slowdown")
 		return
 	}
 	o = bts
@@ -2082,14 +2082,62 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *TopicNews) MarshalMsg(b []byte) (o []byte, err error) {
+func (z TopicState) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.Next)
+	o = msgp.AppendUint32(o, z.AgeMS)
+	o = msgp.AppendBool(o, z.Read)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *TopicState) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Next, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Next")
+		return
+	}
+	z.AgeMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "AgeMS")
+		return
+	}
+	z.Read, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Read")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z TopicState) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *TopicUpdate) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 6
 	o = append(o, 0x96)
 	o = msgp.AppendUint8(o, z.Topic)
 	o = msgp.AppendUint64(o, z.From)
 	o = msgp.AppendUint64(o, z.Next)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Full)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
 	for za0001 := range z.Records {
 		// array header, size 3
@@ -2103,7 +2151,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *TopicNews) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *TopicUpdate) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -2129,9 +2177,9 @@
 		err = msgp.WrapError(err, "Next")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Full, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Full")
 		return
 	}
 	var zb0002 uint32
@@ -2218,7 +2266,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TopicNews) Msgsize() (s int) {
+func (z *TopicUpdate) Msgsize() (s int) {
 	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.Uint64Size + msgp.BoolSize + msgp.ArrayHeaderSize
 	for za0001 := range z.Records {
 		s += 1 + msgp.StringPrefixSize + len(z.Records[za0001].Key) + msgp.BytesPrefixSize + len(z.Records[za0001].Value) + msgp.Uint64Size
@@ -2226,51 +2274,3 @@
 	s += msgp.BytesPrefixSize + len(z.Packed)
 	return
 }
-
-// MarshalMsg implements msgp.Marshaler
-func (z TopicState) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Next)
-	o = msgp.AppendUint32(o, z.AgeMS)
-	o = msgp.AppendBool(o, z.Read)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *TopicState) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Next, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Next")
-		return
-	}
-	z.AgeMS, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "AgeMS")
-		return
-	}
-	z.Read, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Read")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z TopicState) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize
-	return
-}
--- a/placing/admit.go
+++ b/placing/admit.go
@@ -6,20 +6,20 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Lane is what requests for one service go along.
-type Lane struct {
-	Service *serving.Service
-	GapAim  time.Duration // for the pauses in its streams
-	Targets []*serving.Target
-	Entries int // that send to them
+// TargetPool is what requests for one service go along.
+type TargetPool struct {
+	Service           *serving.Service
+	EventGapObjective time.Duration // for the pauses in its streams
+	Targets           []*serving.Target
+	Entries           int // that send to them
 }
 
 // Admit hands targets to requests that wait at a gate, as far as targets have room.
 //
 // If all targets name a rate nobody waits here: how soon a request may go is then told by
 // whoever issues the permits of the targets.
-func Admit(g *Gate, b *Book, l Lane, now time.Time) {
-	if b.AllLimited(l.Targets) {
+func Admit(g *AdmissionQueue, b *Tracker, l TargetPool, now time.Time) {
+	if b.AllRateLimited(l.Targets) {
 		g.release()
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // prepare computes what this entry may send.
-func (b *Book) prepare(lanes []groupLane, d demand, now time.Time) {
+func (b *Tracker) prepare(lanes []groupLane, d demand, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range lanes {
--- a/placing/admit_bench_test.go
+++ b/placing/admit_bench_test.go
@@ -13,31 +13,31 @@
 func BenchmarkAdmit(b *testing.B) {
 	const groups, ranks = 12, 24
 	now := time.Unix(1000, 0)
-	book, gate := NewBook("e", "a", rand.New(rand.NewPCG(1, 1))), new(Gate)
-	lane := Lane{
-		Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 8, Step: 4 * time.Millisecond, StepPerWriter: time.Millisecond}},
-		GapAim:  100 * time.Millisecond,
-		Entries: 40,
+	book, gate := NewTracker("e", "a", rand.New(rand.NewPCG(1, 1))), new(AdmissionQueue)
+	lane := TargetPool{
+		Service:           &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 8, BaseStepTime: 4 * time.Millisecond, StepTimePerStream: time.Millisecond}},
+		EventGapObjective: 100 * time.Millisecond,
+		Entries:           40,
 	}
 	for group := range groups {
 		loads := make(map[string]RankLoad)
 		for rank := range ranks {
 			t := &serving.Target{ID: fmt.Sprintf("i%d-%d", group, rank), Address: fmt.Sprintf("10.0.%d.%d:80", group, rank), Service: "s"}
 			lane.Targets = append(lane.Targets, t)
-			loads[t.Address] = RankLoad{Running: 2, Pace: 1}
+			loads[t.Address] = RankLoad{Running: 2, Slowdown: 1}
 		}
-		state := NewGroupState(loads, 1.2, 1.5, Waiting{}, now)
+		state := NewGroupState(loads, 1.2, 1.5, QueueCounts{}, now)
 		state.Name = fmt.Sprintf("g%d", group)
-		book.Reported("s", lane.Targets, loads, state)
+		book.ApplyLoadReport("s", lane.Targets, loads, state)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		r := &Request{Arrived: now, MaxWait: time.Second}
-		w, _, _ := gate.Enter(r, now)
+		w, _, _ := gate.Enqueue(r, now)
 		Admit(gate, book, lane, now)
 		t := <-w.Granted()
-		a := book.Account(t)
-		book.Answered(a, Size{})
-		book.End(a, r, now)
+		a := book.TargetState(t)
+		book.RecordResponseStart(a, Size{})
+		book.EndAttempt(a, r, now)
 	}
 }
