--- a/placing/book.go
+++ b/placing/book.go
@@ -10,12 +10,12 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Book keeps what one entry has learnt of each target and has running there.
-type Book struct {
+// Tracker keeps what one entry has learnt of each target and has running there.
+type Tracker struct {
 	dataCentre string
 	mu         sync.Mutex
 	rng        *rand.Rand
-	accounts   map[serving.Run]*Account
+	accounts   map[serving.Run]*TargetState
 	ejector    *route.Ejector[serving.Run]
 	groups     map[groupKey]*groupBook
 	late       map[string]*lateShare // by service
@@ -24,8 +24,8 @@
 	kept       func(run serving.Run) bool
 }
 
-// Account is one target's.
-type Account struct {
+// TargetState is one target's.
+type TargetState struct {
 	target  *serving.Target
 	running int     // requests of this entry
 	reading float64 // prompt tokens of those that have no answer yet
@@ -34,12 +34,12 @@
 	group   string // that the target is a rank of, by the latest report; "": not known
 }
 
-// NewBook returns a book of an entry in a data centre. rng draws among targets.
-func NewBook(entry, dataCentre string, rng *rand.Rand) *Book {
-	return &Book{
+// NewTracker returns a book of an entry in a data centre. rng draws among targets.
+func NewTracker(entry, dataCentre string, rng *rand.Rand) *Tracker {
+	return &Tracker{
 		dataCentre: dataCentre,
 		rng:        rng,
-		accounts:   make(map[serving.Run]*Account),
+		accounts:   make(map[serving.Run]*TargetState),
 		ejector:    route.NewEjector[serving.Run](),
 		groups:     make(map[groupKey]*groupBook),
 		late:       make(map[string]*lateShare),
@@ -48,55 +48,55 @@
 	}
 }
 
-// PreferKept has placements prefer targets to which kept tells that a connection is open and
+// PreferIdleConnections has placements prefer targets to which kept tells that a connection is open and
 // idle. kept must not use the book.
-func (b *Book) PreferKept(kept func(run serving.Run) bool) {
+func (b *Tracker) PreferIdleConnections(kept func(run serving.Run) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.kept = kept
 }
 
 // account returns a target's account; the lock must be held.
-func (b *Book) account(t *serving.Target) *Account {
+func (b *Tracker) account(t *serving.Target) *TargetState {
 	a := b.accounts[t.Run()]
 	if a == nil {
-		a = new(Account)
+		a = new(TargetState)
 		b.accounts[t.Run()] = a
 	}
 	a.target = t
 	return a
 }
 
-// Account returns a target's account.
-func (b *Book) Account(t *serving.Target) *Account {
+// TargetState returns a target's account.
+func (b *Tracker) TargetState(t *serving.Target) *TargetState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.account(t)
 }
 
-// Begin books a try.
-func (b *Book) Begin(t *serving.Target, s Size) {
+// StartAttempt books a try.
+func (b *Tracker) StartAttempt(t *serving.Target, s Size) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin(t, s)
 }
 
-func (b *Book) begin(t *serving.Target, s Size) *Account {
+func (b *Tracker) begin(t *serving.Target, s Size) *TargetState {
 	a := b.account(t)
 	a.running++
-	a.reading += s.Prompt
+	a.reading += s.PromptTokens
 	return a
 }
 
-// Answered books that a target has begun to answer.
-func (b *Book) Answered(a *Account, s Size) {
+// RecordResponseStart books that a target has begun to answer.
+func (b *Tracker) RecordResponseStart(a *TargetState, s Size) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.reading -= s.Prompt
+	a.reading -= s.PromptTokens
 }
 
-// End books the end of a try of a request.
-func (b *Book) End(a *Account, r *Request, now time.Time) {
+// EndAttempt books the end of a try of a request.
+func (b *Tracker) EndAttempt(a *TargetState, r *Request, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a.running--
@@ -104,29 +104,29 @@
 	b.lates(a.target.Service).end(r, now)
 }
 
-// Outcome books whether a target did what it should.
-func (b *Book) Outcome(t *serving.Target, ok bool, now time.Time) {
+// RecordOutcome books whether a target did what it should.
+func (b *Tracker) RecordOutcome(t *serving.Target, ok bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ablate.Off(ablate.Ejection) {
 		return
 	}
-	b.ejector.Report(t.Run(), ok, now)
+	b.ejector.RecordResult(t.Run(), ok, now)
 	if ok {
 		b.doubts.well(t.Run(), now)
 	}
 }
 
-// Replaced notes that another target has this one's address.
-func (b *Book) Replaced(t *serving.Target) {
+// MarkReplaced notes that another target has this one's address.
+func (b *Tracker) MarkReplaced(t *serving.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.account(t).gone = true
 }
 
-// Forget drops the accounts of targets that are not known any more and have nothing
+// Prune drops the accounts of targets that are not known any more and have nothing
 // running, and returns their runs.
-func (b *Book) Forget(known func(run serving.Run) bool, now time.Time) []serving.Run {
+func (b *Tracker) Prune(known func(run serving.Run) bool, now time.Time) []serving.Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits.forget(known, now)
--- a/placing/cold.go
+++ b/placing/cold.go
@@ -26,7 +26,7 @@
 )
 
 // coldLimit returns the limit of a cold target; the lock must be held.
-func (b *Book) coldLimit(run serving.Run, now time.Time) *coldLimit {
+func (b *Tracker) coldLimit(run serving.Run, now time.Time) *coldLimit {
 	known := b.limits.cold[run]
 	if known == nil {
 		known = new(coldLimit)
--- a/placing/cold_test.go
+++ b/placing/cold_test.go
@@ -48,9 +48,9 @@
 func TestAColdTargetGetsWorkAsSoonAsItsPermitsChangeHands(t *testing.T) {
 	g := NewWithT(t)
 	b, now := permitBook(), time.Unix(1000, 0)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now).Granted).To(BeTrue())
-	b.StopIssuing(limitedRun)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now.Add(time.Second)).Granted).To(BeTrue())
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
+	b.StopIssuingPermits(limitedRun)
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(time.Second)).Granted).To(BeTrue())
 }
 
 // Guards against a target that is cold and names a rate, and gets what the higher of both allows.
@@ -58,10 +58,10 @@
 	g := NewWithT(t)
 	b, now := permitBook(), time.Unix(1000, 0)
 	nameRate(b, limitedRun, 1, now)
-	b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now)
+	b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now)
 	now = now.Add(takeOver)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now).Granted).To(BeTrue())
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now.Add(100*time.Millisecond)).Granted).To(BeFalse())
-	b.Forget(func(serving.Run) bool { return false }, now)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{Cold: 26}, now).Granted).To(BeTrue())
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(100*time.Millisecond)).Granted).To(BeFalse())
+	b.Prune(func(serving.Run) bool { return false }, now)
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
 }
--- a/placing/doubt.go
+++ b/placing/doubt.go
@@ -9,14 +9,14 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Doubt is what one entry has seen of a target that broke off connections or did not answer.
-type Doubt struct {
-	Entry      string // that has seen it
-	Run        serving.Run
-	Broken     time.Time // the latest connection that broke off; zero: none
-	Hung       time.Time // the latest request without an answer; zero: none
-	Unanswered int       // requests in a row without an answer, up to Hung
-	Well       time.Time // the latest whole answer; zero: none
+// FailureReport is what one entry has seen of a target that broke off connections or did not answer.
+type FailureReport struct {
+	Entry               string // that has seen it
+	Run                 serving.Run
+	LastBroken          time.Time // the latest connection that broke off; zero: none
+	LastTimeout         time.Time // the latest request without an answer; zero: none
+	ConsecutiveTimeouts int       // requests in a row without an answer, up to LastTimeout
+	LastSuccess         time.Time // the latest whole answer; zero: none
 }
 
 // Figures of doubts.
@@ -42,7 +42,7 @@
 // none of them sends there.
 type doubts struct {
 	entry string
-	seen  map[doubtKey]Doubt
+	seen  map[doubtKey]FailureReport
 }
 
 type doubtKey struct {
@@ -51,13 +51,13 @@
 }
 
 func newDoubts(entry string) doubts {
-	return doubts{entry: entry, seen: make(map[doubtKey]Doubt)}
+	return doubts{entry: entry, seen: make(map[doubtKey]FailureReport)}
 }
 
 // broke notes that a target broke off a connection of this entry.
 func (d *doubts) broke(run serving.Run, now time.Time) {
 	own := d.own(run)
-	own.Broken = now
+	own.LastBroken = now
 	d.put(own)
 }
 
@@ -65,11 +65,11 @@
 // before an answer to anybody does not count.
 func (d *doubts) hung(run serving.Run, now time.Time) {
 	own := d.own(run)
-	if d.lastWell(run).After(own.Hung) {
-		own.Unanswered = 0
+	if d.lastWell(run).After(own.LastTimeout) {
+		own.ConsecutiveTimeouts = 0
 	}
-	own.Hung = now
-	own.Unanswered++
+	own.LastTimeout = now
+	own.ConsecutiveTimeouts++
 	d.put(own)
 }
 
@@ -79,19 +79,19 @@
 		return
 	}
 	own := d.own(run)
-	own.Well, own.Unanswered = now, 0
+	own.LastSuccess, own.ConsecutiveTimeouts = now, 0
 	d.put(own)
 }
 
 // own returns what this entry has seen of a target.
-func (d *doubts) own(run serving.Run) Doubt {
+func (d *doubts) own(run serving.Run) FailureReport {
 	if known, ok := d.seen[doubtKey{run: run, entry: d.entry}]; ok {
 		return known
 	}
-	return Doubt{Entry: d.entry, Run: run}
+	return FailureReport{Entry: d.entry, Run: run}
 }
 
-func (d *doubts) put(o Doubt) { d.seen[doubtKey{run: o.Run, entry: o.Entry}] = o }
+func (d *doubts) put(o FailureReport) { d.seen[doubtKey{run: o.Run, entry: o.Entry}] = o }
 
 func (d *doubts) inDoubt(run serving.Run) bool {
 	for key := range d.seen {
@@ -103,7 +103,7 @@
 }
 
 // take takes what another entry has seen; it tells whether that is new.
-func (d *doubts) take(o Doubt, now time.Time) bool {
+func (d *doubts) take(o FailureReport, now time.Time) bool {
 	if o.Entry == d.entry || now.Sub(o.latest()) >= doubtTTL {
 		return false
 	}
@@ -120,8 +120,8 @@
 const sameMoment = 50 * time.Millisecond
 
 // latest returns when the entry last saw something of the target.
-func (o *Doubt) latest() time.Time {
-	return later(later(o.Broken, o.Hung), o.Well)
+func (o *FailureReport) latest() time.Time {
+	return later(later(o.LastBroken, o.LastTimeout), o.LastSuccess)
 }
 
 func later(a, b time.Time) time.Time {
@@ -144,7 +144,7 @@
 func (d *doubts) lastWell(run serving.Run) (well time.Time) {
 	for key, o := range d.seen {
 		if key.run == run {
-			well = later(well, o.Well)
+			well = later(well, o.LastSuccess)
 		}
 	}
 	return well
@@ -160,12 +160,12 @@
 		if key.run != run {
 			continue
 		}
-		if counts(o.Broken) {
+		if counts(o.LastBroken) {
 			brokenAt++
 		}
-		if counts(o.Hung) {
+		if counts(o.LastTimeout) {
 			hungAt++
-			unanswered += o.Unanswered
+			unanswered += o.ConsecutiveTimeouts
 		}
 	}
 	return max(float64(brokenAt)/witnesses, min(float64(hungAt)/witnesses, float64(unanswered)/maxHung))
@@ -179,77 +179,77 @@
 	return before < 1 && after > before && after >= 1.0/witnesses
 }
 
-// Verdict is what follows from something that was seen of a target.
-type Verdict struct {
-	Kept bool // the target is kept out from now on
-	Tell bool // others should hear of it at once
+// EjectionDecision is what follows from something that was seen of a target.
+type EjectionDecision struct {
+	Ejected   bool // the target is kept out from now on
+	Propagate bool // others should hear of it at once
 }
 
-// Broke books that a target of a plain service broke off a connection, which is certain
+// RecordBrokenConnection books that a target of a plain service broke off a connection, which is certain
 // enough to keep it out at once.
 //
 // A rank of a group is left to its failures in a row: the ranks fall together, and without
 // some of them the others would run all the streams.
-func (b *Book) Broke(t *serving.Target, now time.Time) Verdict {
+func (b *Tracker) RecordBrokenConnection(t *serving.Target, now time.Time) EjectionDecision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ablate.Off(ablate.Ejection) || ablate.Off(ablate.Doubts) {
-		return Verdict{}
+		return EjectionDecision{}
 	}
 	before := b.doubts.weight(t.Run(), now)
 	b.doubts.broke(t.Run(), now)
-	b.ejector.Hold(t.Run(), now)
-	return Verdict{Kept: true, Tell: urgent(before, b.doubts.weight(t.Run(), now))}
+	b.ejector.EjectMinimum(t.Run(), now)
+	return EjectionDecision{Ejected: true, Propagate: urgent(before, b.doubts.weight(t.Run(), now))}
 }
 
-// Silent books that a target has not begun to answer a request of this entry in several times
+// RecordTimeout books that a target has not begun to answer a request of this entry in several times
 // the usual time. ranked tells that the target is a rank of a group.
 //
 // Of a rank that counts only if another rank has answered a request that was sent later: when
 // the whole group stands still no rank answers, and none is to blame.
-func (b *Book) Silent(t *serving.Target, ranked bool, sentAt, now time.Time) Verdict {
+func (b *Tracker) RecordTimeout(t *serving.Target, ranked bool, sentAt, now time.Time) EjectionDecision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ranked && !b.group(b.keyOf(t, now)).answered.After(sentAt) || ablate.Off(ablate.Ejection) || ablate.Off(ablate.Doubts) {
-		return Verdict{}
+		return EjectionDecision{}
 	}
 	before := b.doubts.weight(t.Run(), now)
 	b.doubts.hung(t.Run(), now)
 	after := b.doubts.weight(t.Run(), now)
-	kept := after >= 1 || b.doubts.own(t.Run()).Unanswered >= maxHung
+	kept := after >= 1 || b.doubts.own(t.Run()).ConsecutiveTimeouts >= maxHung
 	if kept {
-		b.ejector.Hold(t.Run(), now)
+		b.ejector.EjectMinimum(t.Run(), now)
 	}
-	return Verdict{Kept: kept, Tell: urgent(before, after)}
+	return EjectionDecision{Ejected: kept, Propagate: urgent(before, after)}
 }
 
-// Began notes that a rank has begun to answer a request that was sent at a time.
-func (b *Book) Began(t *serving.Target, sentAt, now time.Time) {
+// RecordRankResponse notes that a rank has begun to answer a request that was sent at a time.
+func (b *Tracker) RecordRankResponse(t *serving.Target, sentAt, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.group(b.keyOf(t, now))
 	g.answered = later(g.answered, sentAt)
 }
 
-// Doubts returns what this entry and others have seen lately, the latest first, for one
+// FailureReports returns what this entry and others have seen lately, the latest first, for one
 // message.
-func (b *Book) Doubts(now time.Time) []Doubt {
+func (b *Tracker) FailureReports(now time.Time) []FailureReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.doubts.forget(now)
-	list := make([]Doubt, 0, len(b.doubts.seen))
+	list := make([]FailureReport, 0, len(b.doubts.seen))
 	for _, o := range b.doubts.seen {
 		list = append(list, o)
 	}
-	slices.SortFunc(list, func(x, y Doubt) int {
+	slices.SortFunc(list, func(x, y FailureReport) int {
 		return cmp.Or(y.latest().Compare(x.latest()), cmp.Compare(x.Entry, y.Entry), cmp.Compare(x.Run.ID, y.Run.ID))
 	})
 	return list[:min(len(list), maxDoubts)]
 }
 
-// Doubted takes what another entry has seen, or has heard of. It returns the targets that are
+// MergeFailureReports takes what another entry has seen, or has heard of. It returns the targets that are
 // kept out for it, and whether others should hear of it at once.
-func (b *Book) Doubted(list []Doubt, now time.Time) (kept []serving.Run, tell bool) {
+func (b *Tracker) MergeFailureReports(list []FailureReport, now time.Time) (kept []serving.Run, tell bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range list {
@@ -259,7 +259,7 @@
 		}
 		after := b.doubts.weight(o.Run, now)
 		if after >= 1 && after > before && !ablate.Off(ablate.Doubts) {
-			b.ejector.Hold(o.Run, now)
+			b.ejector.EjectMinimum(o.Run, now)
 			kept = append(kept, o.Run)
 		}
 		tell = tell || urgent(before, after)
--- a/placing/doubt_test.go
+++ b/placing/doubt_test.go
@@ -23,7 +23,7 @@
 func none(*serving.Target) bool { return false }
 
 // shareOf returns the part of placements that one target gets.
-func shareOf(b *Book, targets []*serving.Target, id string, now time.Time) float64 {
+func shareOf(b *Tracker, targets []*serving.Target, id string, now time.Time) float64 {
 	const draws = 400
 	n := 0
 	for range draws {
@@ -42,14 +42,14 @@
 	now := time.Now()
 	targets := plainTargets("x", "y", "z")
 	one, two, third := entryBook("one"), entryBook("two"), entryBook("third")
-	g.Expect(one.Broke(targets[0], now)).To(Equal(Verdict{Kept: true, Tell: true}))
+	g.Expect(one.RecordBrokenConnection(targets[0], now)).To(Equal(EjectionDecision{Ejected: true, Propagate: true}))
 	g.Expect(shareOf(one, targets, "x", now)).To(BeZero(), "who has seen it keeps it out")
-	g.Expect(tells(third, one.Doubts(now), now)).To(BeTrue())
+	g.Expect(tells(third, one.FailureReports(now), now)).To(BeTrue())
 	g.Expect(shareOf(third, targets, "x", now)).To(BeNumerically(">", 0.2), "one may be cut off itself")
-	g.Expect(two.Broke(targets[0], now).Kept).To(BeTrue())
-	g.Expect(tells(third, two.Doubts(now), now)).To(BeTrue())
+	g.Expect(two.RecordBrokenConnection(targets[0], now).Ejected).To(BeTrue())
+	g.Expect(tells(third, two.FailureReports(now), now)).To(BeTrue())
 	g.Expect(shareOf(third, targets, "x", now)).To(BeZero())
-	g.Expect(tells(third, two.Doubts(now), now)).To(BeFalse(), "it is told once")
+	g.Expect(tells(third, two.FailureReports(now), now)).To(BeFalse(), "it is told once")
 	later := now.Add(3 * time.Second)
 	g.Expect(shareOf(third, targets, "x", later)).To(BeNumerically(">", 0))
 }
@@ -62,14 +62,14 @@
 	now := time.Now()
 	targets := plainTargets("x", "y", "z")
 	one, two, third := entryBook("one"), entryBook("two"), entryBook("third")
-	one.Broke(targets[0], now)
-	two.Doubted(one.Doubts(now), now)
+	one.RecordBrokenConnection(targets[0], now)
+	two.MergeFailureReports(one.FailureReports(now), now)
 	now = now.Add(20 * time.Millisecond)
-	g.Expect(tells(third, one.Doubts(now), now)).To(BeTrue())
-	g.Expect(tells(third, two.Doubts(now), now.Add(5*time.Millisecond))).To(BeFalse())
-	g.Expect(tells(one, third.Doubts(now), now)).To(BeFalse())
+	g.Expect(tells(third, one.FailureReports(now), now)).To(BeTrue())
+	g.Expect(tells(third, two.FailureReports(now), now.Add(5*time.Millisecond))).To(BeFalse())
+	g.Expect(tells(one, third.FailureReports(now), now)).To(BeFalse())
 	g.Expect(shareOf(third, targets, "x", now)).To(BeNumerically(">", 0.2))
-	g.Expect(third.Doubts(now.Add(doubtTTL))).To(BeEmpty())
+	g.Expect(third.FailureReports(now.Add(doubtTTL))).To(BeEmpty())
 }
 
 // The entries of a data centre are cut off from one that they send to, and tell so. A target
@@ -80,15 +80,15 @@
 	now := time.Now()
 	targets := plainTargets("x", "y", "z")
 	one, two, third := entryBook("one"), entryBook("two"), entryBook("third")
-	one.Broke(targets[0], now)
-	third.Doubted(one.Doubts(now), now)
-	two.Broke(targets[0], now)
+	one.RecordBrokenConnection(targets[0], now)
+	third.MergeFailureReports(one.FailureReports(now), now)
+	two.RecordBrokenConnection(targets[0], now)
 	now = now.Add(30 * time.Millisecond)
-	third.Outcome(targets[0], true, now)
-	third.Doubted(two.Doubts(now), now)
+	third.RecordOutcome(targets[0], true, now)
+	third.MergeFailureReports(two.FailureReports(now), now)
 	g.Expect(shareOf(third, targets, "x", now)).To(BeNumerically(">", 0.2))
 	fourth := entryBook("fourth")
-	fourth.Doubted(third.Doubts(now), now)
+	fourth.MergeFailureReports(third.FailureReports(now), now)
 	g.Expect(shareOf(fourth, targets, "x", now)).To(BeNumerically(">", 0.2), "the good word is told too")
 }
 
@@ -99,13 +99,13 @@
 	now := time.Now()
 	targets := plainTargets("w", "x", "y", "z")
 	b := entryBook("one")
-	var lies []Doubt
+	var lies []FailureReport
 	for _, target := range targets {
 		for _, liar := range []string{"p", "q", "r"} {
-			lies = append(lies, Doubt{Entry: liar, Run: target.Run(), Broken: now})
+			lies = append(lies, FailureReport{Entry: liar, Run: target.Run(), LastBroken: now})
 		}
 	}
-	b.Doubted(lies, now)
+	b.MergeFailureReports(lies, now)
 	served := make(map[string]int)
 	for range 200 {
 		served[b.Place(targets, none, now).ID]++
@@ -119,13 +119,13 @@
 	now := time.Now()
 	b := entryBook("one")
 	for i := range 100 {
-		b.Broke(&serving.Target{ID: string(rune('A' + i)), Service: "p"}, now)
+		b.RecordBrokenConnection(&serving.Target{ID: string(rune('A' + i)), Service: "p"}, now)
 	}
-	g.Expect(b.Doubts(now)).To(HaveLen(maxDoubts))
+	g.Expect(b.FailureReports(now)).To(HaveLen(maxDoubts))
 }
 
-func entryBook(name string) *Book {
-	return NewBook(name, "a", rand.New(rand.NewPCG(1, uint64(len(name)))))
+func entryBook(name string) *Tracker {
+	return NewTracker(name, "a", rand.New(rand.NewPCG(1, uint64(len(name)))))
 }
 
 // A target takes requests and answers none. Each entry learns that when the time of a request
@@ -139,8 +139,8 @@
 	for i, name := range []string{"one", "two", "three"} {
 		g.Expect(shareOf(fourth, targets, "x", now)).To(BeNumerically(">", 0.2), "after %d", i)
 		b := entryBook(name)
-		b.Silent(targets[0], false, now, now)
-		fourth.Doubted(b.Doubts(now), now)
+		b.RecordTimeout(targets[0], false, now, now)
+		fourth.MergeFailureReports(b.FailureReports(now), now)
 	}
 	g.Expect(shareOf(fourth, targets, "x", now)).To(BeZero())
 }
@@ -154,11 +154,11 @@
 	one, two := entryBook("one"), entryBook("two")
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		one.Silent(targets[0], false, now, now)
-		two.Doubted(one.Doubts(now), now)
+		one.RecordTimeout(targets[0], false, now, now)
+		two.MergeFailureReports(one.FailureReports(now), now)
 		now = now.Add(100 * time.Millisecond)
-		two.Outcome(targets[0], true, now)
-		one.Doubted(two.Doubts(now), now)
+		two.RecordOutcome(targets[0], true, now)
+		one.MergeFailureReports(two.FailureReports(now), now)
 	}
 	g.Expect(shareOf(one, targets, "x", now)).To(BeNumerically(">", 0.2))
 	g.Expect(shareOf(two, targets, "x", now)).To(BeNumerically(">", 0.2))
@@ -177,9 +177,9 @@
 		for range maxHung {
 			now = now.Add(800 * time.Millisecond)
 			if moving {
-				b.Began(l.Targets[1], sent.Add(time.Millisecond), now)
+				b.RecordRankResponse(l.Targets[1], sent.Add(time.Millisecond), now)
 			}
-			b.Silent(l.Targets[0], true, sent, now)
+			b.RecordTimeout(l.Targets[0], true, sent, now)
 			sent = sent.Add(100 * time.Millisecond)
 			now = sent
 		}
@@ -195,19 +195,19 @@
 	now := time.Now()
 	targets := plainTargets("x", "y", "z")
 	one, two := entryBook("one"), entryBook("two")
-	g.Expect(one.Silent(targets[0], false, now, now)).To(Equal(Verdict{}))
-	g.Expect(tells(two, one.Doubts(now), now)).To(BeFalse())
-	one.Outcome(targets[0], true, now.Add(100*time.Millisecond))
-	g.Expect(tells(two, one.Doubts(now), now.Add(100*time.Millisecond))).To(BeFalse())
+	g.Expect(one.RecordTimeout(targets[0], false, now, now)).To(Equal(EjectionDecision{}))
+	g.Expect(tells(two, one.FailureReports(now), now)).To(BeFalse())
+	one.RecordOutcome(targets[0], true, now.Add(100*time.Millisecond))
+	g.Expect(tells(two, one.FailureReports(now), now.Add(100*time.Millisecond))).To(BeFalse())
 	now = now.Add(time.Second)
-	g.Expect(one.Silent(targets[0], false, now, now)).To(Equal(Verdict{}))
-	g.Expect(one.Silent(targets[0], false, now, now)).To(Equal(Verdict{Tell: true}), "one more, and it is kept out")
-	g.Expect(one.Silent(targets[0], false, now, now).Kept).To(BeTrue())
+	g.Expect(one.RecordTimeout(targets[0], false, now, now)).To(Equal(EjectionDecision{}))
+	g.Expect(one.RecordTimeout(targets[0], false, now, now)).To(Equal(EjectionDecision{Propagate: true}), "one more, and it is kept out")
+	g.Expect(one.RecordTimeout(targets[0], false, now, now).Ejected).To(BeTrue())
 }
 
 // tells takes what others have seen, and returns whether it is to be told on at once.
-func tells(b *Book, list []Doubt, now time.Time) bool {
-	_, tell := b.Doubted(list, now)
+func tells(b *Tracker, list []FailureReport, now time.Time) bool {
+	_, tell := b.MergeFailureReports(list, now)
 	return tell
 }
 
@@ -221,9 +221,9 @@
 	slow, other := entryBook("slow"), entryBook("other")
 	for range 3 * maxHung {
 		now = now.Add(100 * time.Millisecond)
-		slow.Silent(targets[0], false, now, now)
-		slow.Broke(targets[1], now)
-		other.Doubted(slow.Doubts(now), now)
+		slow.RecordTimeout(targets[0], false, now, now)
+		slow.RecordBrokenConnection(targets[1], now)
+		other.MergeFailureReports(slow.FailureReports(now), now)
 	}
 	g.Expect(shareOf(slow, targets, "x", now)).To(BeZero())
 	g.Expect(shareOf(other, targets, "x", now)).To(BeNumerically(">", 0.2))
--- a/placing/finish.go
+++ b/placing/finish.go
@@ -42,16 +42,16 @@
 // Passes that are long for another reason are short again once the map has followed,
 // within half a second, so only a slow rank counts.
 func (p *streamPace) canFinish(r *Request, now time.Time) bool {
-	if ablate.Off(ablate.CannotFinish) || !p.slowRank || r.Events == 0 || r.Deadline.IsZero() || now.Sub(p.at) > paceTTL {
+	if ablate.Off(ablate.CannotFinish) || !p.slowRank || r.ExpectedEvents == 0 || r.Deadline.IsZero() || now.Sub(p.at) > paceTTL {
 		return true
 	}
-	return time.Duration(r.Events*float64(p.mean)) <= r.Deadline.Sub(now)
+	return time.Duration(r.ExpectedEvents*float64(p.mean)) <= r.Deadline.Sub(now)
 }
 
 // CanFinish tells whether a stream that begins now ends before its deadline. If it does
 // not, comeBack is when its caller does best to return: if passes are as short as usual
 // by then it can still end, and a caller that is told a longer time comes sooner.
-func (g *Gate) CanFinish(r *Request, now time.Time) (comeBack time.Duration, ok bool) {
+func (g *AdmissionQueue) CanFinish(r *Request, now time.Time) (comeBack time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pace.canFinish(r, now) {
@@ -61,14 +61,14 @@
 }
 
 // noteSlowRank notes whether a rank of the group is many times as slow as usual.
-func (g *Gate) noteSlowRank(slow bool) {
+func (g *AdmissionQueue) noteSlowRank(slow bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pace.slowRank = slow
 }
 
-// Paused notes a pause between two events of a stream.
-func (g *Gate) Paused(pause time.Duration, now time.Time) {
+// RecordEventGap notes a pause between two events of a stream.
+func (g *AdmissionQueue) RecordEventGap(pause time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pace.take(pause, now)
--- a/placing/gate.go
+++ b/placing/gate.go
@@ -10,7 +10,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Gate lets requests for one service with model engines go to targets.
+// AdmissionQueue lets requests for one service with model engines go to targets.
 //
 // Engines of a group run each pass together, so a pass takes longer for all the
 // more streams run anywhere, and far longer right after demand has moved and the
@@ -19,7 +19,7 @@
 // for a moment are still in time. So the gate keeps the streams of each target to
 // what the group bears, and lets those that wait go by priority, then in order of
 // arrival.
-type Gate struct {
+type AdmissionQueue struct {
 	mu      sync.Mutex
 	waiting []*Waiter
 	rate    rate // of requests admitted
@@ -37,12 +37,12 @@
 // Granted receives the target that the request goes to; nil if all name a rate.
 func (w *Waiter) Granted() <-chan *serving.Target { return w.granted }
 
-// Enter puts a request into the queue. ok is false if it would wait for longer
+// Enqueue puts a request into the queue. ok is false if it would wait for longer
 // than its caller does; wait is then when to come back.
 //
 // Those that wait and can't be in time any more count only against others like
 // them: whoever can be in time goes before them.
-func (g *Gate) Enter(r *Request, now time.Time) (w *Waiter, wait time.Duration, ok bool) {
+func (g *AdmissionQueue) Enqueue(r *Request, now time.Time) (w *Waiter, wait time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.broken {
@@ -58,7 +58,7 @@
 			inTime++
 		}
 	}
-	if inTime == 0 || g.rate.expect(inTime+1, now) <= r.WaitInTime() {
+	if inTime == 0 || g.rate.expect(inTime+1, now) <= r.MaxOnTimeWait() {
 		return g.push(r), 0, true
 	}
 	expected := g.rate.expect(before+1, now)
@@ -68,10 +68,10 @@
 	return g.push(r), 0, true
 }
 
-func (g *Gate) push(r *Request) *Waiter {
+func (g *AdmissionQueue) push(r *Request) *Waiter {
 	w := &Waiter{r: r, granted: make(chan *serving.Target, 1)}
 	g.waiting = append(g.waiting, w)
-	if !r.Again {
+	if !r.Requeued {
 		g.entered++
 	}
 	slices.SortStableFunc(g.waiting, func(a, b *Waiter) int {
@@ -80,16 +80,16 @@
 	return w
 }
 
-// NoteBroken notes whether no group of the service runs requests. Nobody is refused for
+// SetServiceDown notes whether no group of the service runs requests. Nobody is refused for
 // waiting then: how fast the queue moves is not known.
-func (g *Gate) NoteBroken(broken bool) {
+func (g *AdmissionQueue) SetServiceDown(broken bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.broken = broken
 }
 
-// Leave takes a request out; false if it has been granted a target meanwhile.
-func (g *Gate) Leave(w *Waiter) bool {
+// Remove takes a request out; false if it has been granted a target meanwhile.
+func (g *AdmissionQueue) Remove(w *Waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := slices.Index(g.waiting, w)
@@ -102,7 +102,7 @@
 
 // grant hands targets to requests that wait, as long as place finds any. lateToo
 // tells whether one may go that can't be in time any more.
-func (g *Gate) grant(now time.Time, lateToo func() bool, place func(r *Request) *serving.Target) {
+func (g *AdmissionQueue) grant(now time.Time, lateToo func() bool, place func(r *Request) *serving.Target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for len(g.waiting) > 0 {
@@ -116,7 +116,7 @@
 			return
 		}
 		g.waiting = slices.Delete(g.waiting, at, at+1)
-		if !w.r.Again {
+		if !w.r.Requeued {
 			g.rate.count(now)
 		}
 		w.granted <- t
@@ -124,7 +124,7 @@
 }
 
 // release lets all requests go without a target.
-func (g *Gate) release() {
+func (g *AdmissionQueue) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, w := range g.waiting {
@@ -137,7 +137,7 @@
 // can still be in time for its first event, and only then those that can't. A late
 // answer is worth the same whether it comes a little or much too late, so letting
 // late ones go first would make all that wait behind them late too. -1: none may go.
-func (g *Gate) next(now time.Time, lateToo bool) int {
+func (g *AdmissionQueue) next(now time.Time, lateToo bool) int {
 	if ablate.Off(ablate.InTimeFirst) {
 		return 0
 	}
@@ -157,18 +157,18 @@
 
 // demand is what one entry has to send.
 type demand struct {
-	waiting   Waiting
+	waiting   QueueCounts
 	entered   int // requests, all told
 	perSecond float64
 }
 
-func (g *Gate) demand(now time.Time) demand {
+func (g *AdmissionQueue) demand(now time.Time) demand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return demand{waiting: g.count(now), entered: g.entered, perSecond: g.rate.perSecond(now)}
 }
 
-func (g *Gate) count(now time.Time) (n Waiting) {
+func (g *AdmissionQueue) count(now time.Time) (n QueueCounts) {
 	for _, w := range g.waiting {
 		if w.r.inTime(now) {
 			n.InTime++
@@ -179,15 +179,15 @@
 	return n
 }
 
-// Waits tells whether any request waits.
-func (g *Gate) Waits() bool {
+// HasWaiting tells whether any request waits.
+func (g *AdmissionQueue) HasWaiting() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiting) > 0
 }
 
-// Waiting returns how many requests wait.
-func (g *Gate) Waiting(now time.Time) Waiting {
+// QueueCounts returns how many requests wait.
+func (g *AdmissionQueue) QueueCounts(now time.Time) QueueCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.count(now)
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -36,7 +36,7 @@
 const groupTTL = time.Minute
 
 // group returns what is known of a group; the lock must be held.
-func (b *Book) group(k groupKey) *groupBook {
+func (b *Tracker) group(k groupKey) *groupBook {
 	g := b.groups[k]
 	if g == nil {
 		g = new(groupBook)
@@ -48,7 +48,7 @@
 // keyOf returns the group of a target. One that no report has named is of no group that is
 // known to run, while any is reported; else it belongs to the only group of its service that
 // was told of, if there is only one. The lock must be held.
-func (b *Book) keyOf(t *serving.Target, now time.Time) groupKey {
+func (b *Tracker) keyOf(t *serving.Target, now time.Time) groupKey {
 	if a := b.accounts[t.Run()]; a != nil && a.group != "" {
 		return groupKey{service: t.Service, name: a.group}
 	}
@@ -57,7 +57,7 @@
 		if o.service != t.Service || o.name == "" {
 			continue
 		}
-		if now.Sub(g.At) < ReportTTL {
+		if now.Sub(g.ReportedAt) < ReportTTL {
 			return groupKey{service: t.Service}
 		}
 		k = o
@@ -71,9 +71,9 @@
 
 // forgetGroups drops the groups of a service that nobody has told of for long. The lock must
 // be held.
-func (b *Book) forgetGroups(service string, now time.Time) {
+func (b *Tracker) forgetGroups(service string, now time.Time) {
 	for k, g := range b.groups {
-		if k.service == service && k.name != "" && now.Sub(g.At) > groupTTL && now.Sub(g.short.told) > groupTTL {
+		if k.service == service && k.name != "" && now.Sub(g.ReportedAt) > groupTTL && now.Sub(g.short.told) > groupTTL {
 			delete(b.groups, k)
 		}
 	}
@@ -81,13 +81,13 @@
 
 // groupLane is the part of a lane that leads to one group.
 type groupLane struct {
-	Lane
+	TargetPool
 	key  groupKey
 	most float64 // streams that a target may run, in the mean
 }
 
 // lanes divides a lane by the groups of its targets.
-func (b *Book) lanes(l Lane, now time.Time) []groupLane {
+func (b *Tracker) lanes(l TargetPool, now time.Time) []groupLane {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forgetGroups(l.Service.Name, now)
@@ -101,7 +101,7 @@
 		key := b.keyOf(t, now)
 		at := slices.IndexFunc(list, func(o groupLane) bool { return o.key == key })
 		if at < 0 {
-			list = append(list, groupLane{Lane: l, key: key})
+			list = append(list, groupLane{TargetPool: l, key: key})
 			at = len(list) - 1
 			list[at].Targets = nil
 		}
@@ -125,10 +125,10 @@
 // few for one more group and refuse everything, and each refusal takes one of the tries that
 // all callers share. Whether they have formed a group is told by their reports. The lock must
 // be held.
-func (b *Book) withoutIdle(list []groupLane, now time.Time) []groupLane {
+func (b *Tracker) withoutIdle(list []groupLane, now time.Time) []groupLane {
 	runs := func(l groupLane) bool {
 		g := b.group(l.key)
-		return l.key.name != "" && now.Sub(g.At) < ReportTTL && g.Open
+		return l.key.name != "" && now.Sub(g.ReportedAt) < ReportTTL && g.Complete
 	}
 	if !slices.ContainsFunc(list, func(l groupLane) bool { return runs(l) && !b.group(l.key).breaker.broken }) {
 		return list
@@ -137,7 +137,7 @@
 }
 
 // leastUsedFirst orders lanes by the part of their room that is taken. The lock must be held.
-func (b *Book) leastUsedFirst(list []groupLane, now time.Time) {
+func (b *Tracker) leastUsedFirst(list []groupLane, now time.Time) {
 	if len(list) < 2 {
 		return
 	}
@@ -172,8 +172,8 @@
 // sent notes that a request was let through.
 func (k *breaker) sent(now time.Time) { k.next = now.Add(probeLimit) }
 
-// GroupRefused notes that a target refused a request because its group is broken.
-func (b *Book) GroupRefused(t *serving.Target, now time.Time) {
+// RecordGroupRefusal notes that a target refused a request because its group is broken.
+func (b *Tracker) RecordGroupRefusal(t *serving.Target, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ablate.Off(ablate.Breaker) {
@@ -182,16 +182,16 @@
 	b.group(b.keyOf(t, now)).breaker = breaker{broken: true, next: now.Add(probePause)}
 }
 
-// GroupAnswered notes that the group of a target runs requests.
-func (b *Book) GroupAnswered(t *serving.Target, now time.Time) {
+// RecordGroupResponse notes that the group of a target runs requests.
+func (b *Tracker) RecordGroupResponse(t *serving.Target, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.group(b.keyOf(t, now)).breaker.broken = false
 }
 
-// Broken tells whether no group of a service runs requests, and for how long all of them
+// IsServiceDown tells whether no group of a service runs requests, and for how long all of them
 // have lacked engines; 0 if some do not.
-func (b *Book) Broken(service string, now time.Time) (broken bool, short time.Duration) {
+func (b *Tracker) IsServiceDown(service string, now time.Time) (broken bool, short time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := true
@@ -212,11 +212,13 @@
 }
 
 // incomplete tells whether a group is reported to lack ranks.
-func (g *groupBook) incomplete(now time.Time) bool { return now.Sub(g.At) < ReportTTL && !g.Open }
+func (g *groupBook) incomplete(now time.Time) bool {
+	return now.Sub(g.ReportedAt) < ReportTTL && !g.Complete
+}
 
 // named tells whether any group of a service that has targets has a name. The lock must be
 // held.
-func (b *Book) named(service string) bool {
+func (b *Tracker) named(service string) bool {
 	for k, g := range b.groups {
 		if k.service == service && k.name != "" && g.targets > 0 {
 			return true
@@ -225,8 +227,8 @@
 	return false
 }
 
-// GroupSize notes how many ranks a group has, whether they run or not.
-func (b *Book) GroupSize(service, group string, ranks int, now time.Time) {
+// SetGroupSize notes how many ranks a group has, whether they run or not.
+func (b *Tracker) SetGroupSize(service, group string, ranks int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.group(groupKey{service: service, name: group}).short.size(ranks, now)
--- a/placing/groups_test.go
+++ b/placing/groups_test.go
@@ -11,7 +11,7 @@
 
 // twoGroups returns a book that knows two groups of two targets each, by how many requests
 // each target of the first and of the second runs, and the lane to all of them.
-func twoGroups(first, second int, now time.Time) (*Book, Lane) {
+func twoGroups(first, second int, now time.Time) (*Tracker, TargetPool) {
 	b := testBook()
 	targets := plainTargets("a", "b", "c", "d")
 	report := func(name string, list []*serving.Target, running int) {
@@ -19,22 +19,22 @@
 		for _, t := range list {
 			loads[t.Address] = RankLoad{Running: running}
 		}
-		state := NewGroupState(loads, 1, 1, Waiting{InTime: 20}, now)
+		state := NewGroupState(loads, 1, 1, QueueCounts{InTime: 20}, now)
 		state.Name = name
-		b.Reported("p", list, loads, state)
+		b.ApplyLoadReport("p", list, loads, state)
 	}
 	report("g", targets[:2], first)
 	report("h", targets[2:], second)
 	s := &serving.Service{Name: "p", Engine: testModel()}
-	return b, Lane{Service: s, Targets: targets, Entries: 1}
+	return b, TargetPool{Service: s, Targets: targets, Entries: 1}
 }
 
 // sentTo counts which targets so many requests go to.
-func sentTo(b *Book, l Lane, requests int, now time.Time) map[string]int {
-	gt := new(Gate)
+func sentTo(b *Tracker, l TargetPool, requests int, now time.Time) map[string]int {
+	gt := new(AdmissionQueue)
 	var waiters []*Waiter
 	for range requests {
-		w, _, _ := gt.Enter(waiting(1, now), now)
+		w, _, _ := gt.Enqueue(waiting(1, now), now)
 		waiters = append(waiters, w)
 	}
 	Admit(gt, b, l, now)
@@ -68,16 +68,16 @@
 	g := NewWithT(t)
 	now := time.Now()
 	b, l := twoGroups(0, 0, now)
-	b.GroupRefused(l.Targets[0], now)
+	b.RecordGroupRefusal(l.Targets[0], now)
 	sent := sentTo(b, l, 8, now)
 	g.Expect(sent["a"] + sent["b"]).To(BeZero())
 	g.Expect(sent["c"] + sent["d"]).To(Equal(8))
-	broken, _ := b.Broken("p", now)
+	broken, _ := b.IsServiceDown("p", now)
 	g.Expect(broken).To(BeFalse())
 	now = now.Add(probePause)
 	sent = sentTo(b, l, 8, now)
 	g.Expect(sent["a"] + sent["b"]).To(Equal(1))
-	b.GroupAnswered(l.Targets[0], now)
+	b.RecordGroupResponse(l.Targets[0], now)
 	sent = sentTo(b, l, 8, now)
 	g.Expect(sent["a"]+sent["b"]).To(BeNumerically(">", 2), "it is the emptier one")
 }
@@ -88,10 +88,10 @@
 	g := NewWithT(t)
 	now := time.Now()
 	b, l := twoGroups(0, 0, now)
-	uneven := NewGroupState(nil, 3, 3, Waiting{}, now)
+	uneven := NewGroupState(nil, 3, 3, QueueCounts{}, now)
 	uneven.Name = "g"
-	b.Reported("p", nil, nil, uneven)
-	l.GapAim = 120 * time.Millisecond
+	b.ApplyLoadReport("p", nil, nil, uneven)
+	l.EventGapObjective = 120 * time.Millisecond
 	lanes := b.lanes(l, now)
 	g.Expect(lanes).To(HaveLen(2))
 	most := map[string]float64{}
@@ -111,27 +111,27 @@
 		now := time.Now()
 		b, l := twoGroups(testModel().Slots-2, 0, now)
 		if told {
-			incomplete := NewGroupState(nil, 0, 0, Waiting{}, now)
-			incomplete.Name, incomplete.Open = "h", false
-			b.Reported("p", nil, nil, incomplete)
+			incomplete := NewGroupState(nil, 0, 0, QueueCounts{}, now)
+			incomplete.Name, incomplete.Complete = "h", false
+			b.ApplyLoadReport("p", nil, nil, incomplete)
 		} else {
 			delete(b.groups, groupKey{service: "p", name: "h"})
 			b.account(l.Targets[2]).group, b.account(l.Targets[3]).group = "", ""
 		}
-		b.GroupSize("p", "h", 12, now)
+		b.SetGroupSize("p", "h", 12, now)
 		expectNothing(g, b, l, now)
 	}
 }
 
 // expectNothing expects that the last two targets get nothing while the first two run.
-func expectNothing(g *WithT, b *Book, l Lane, now time.Time) {
+func expectNothing(g *WithT, b *Tracker, l TargetPool, now time.Time) {
 	sent := sentTo(b, l, 40, now)
 	g.Expect(sent["c"] + sent["d"]).To(BeZero())
 	g.Expect(sent["a"] + sent["b"]).To(BeNumerically(">", 0))
-	b.GroupRefused(l.Targets[2], now)
-	broken, _ := b.Broken("p", now)
+	b.RecordGroupRefusal(l.Targets[2], now)
+	broken, _ := b.IsServiceDown("p", now)
 	g.Expect(broken).To(BeFalse())
-	b.GroupRefused(l.Targets[0], now)
+	b.RecordGroupRefusal(l.Targets[0], now)
 	sent = sentTo(b, l, 4, now)
 	g.Expect(sent["c"]+sent["d"]).To(BeZero(), "they have refused just now")
 }
--- a/placing/kept_test.go
+++ b/placing/kept_test.go
@@ -21,7 +21,7 @@
 }
 
 type keptEntry struct {
-	book *Book
+	book *Tracker
 	used map[serving.Run]time.Time // when a connection was used last
 }
 
@@ -38,7 +38,7 @@
 	}
 	for n := range entries {
 		f.entries = append(f.entries, &keptEntry{
-			book: NewBook(fmt.Sprintf("e%d", n), "a", rand.New(rand.NewPCG(uint64(n), 1))),
+			book: NewTracker(fmt.Sprintf("e%d", n), "a", rand.New(rand.NewPCG(uint64(n), 1))),
 			used: make(map[serving.Run]time.Time),
 		})
 	}
@@ -57,7 +57,7 @@
 
 func (f *keptFleet) request(e *keptEntry, now time.Time) {
 	kept := func(run serving.Run) bool { return now.Sub(e.used[run]) < keptLife }
-	e.book.PreferKept(kept)
+	e.book.PreferIdleConnections(kept)
 	t := e.book.Place(f.targets, func(*serving.Target) bool { return false }, now)
 	f.sent++
 	f.sentTo[t.Run()]++
@@ -90,9 +90,9 @@
 	g := NewWithT(t)
 	f := newKeptFleet(1, 20)
 	e, now := f.entries[0], time.Unix(1000, 0)
-	e.book.PreferKept(func(run serving.Run) bool { return run == f.targets[0].Run() })
+	e.book.PreferIdleConnections(func(run serving.Run) bool { return run == f.targets[0].Run() })
 	all := func(*serving.Target) bool { return false }
 	g.Expect(e.book.Place(f.targets, all, now)).To(Equal(f.targets[0]))
-	e.book.Begin(f.targets[0], Size{})
+	e.book.StartAttempt(f.targets[0], Size{})
 	g.Expect(e.book.Place(f.targets, all, now)).NotTo(Equal(f.targets[0]))
 }
--- a/placing/late.go
+++ b/placing/late.go
@@ -52,7 +52,7 @@
 }
 
 // lates returns the share of late streams of a service; the lock must be held.
-func (b *Book) lates(service string) *lateShare {
+func (b *Tracker) lates(service string) *lateShare {
 	l := b.late[service]
 	if l == nil {
 		l = new(lateShare)
--- a/placing/late_test.go
+++ b/placing/late_test.go
@@ -20,16 +20,18 @@
 	l := testLane(1, target)
 	const most = 10
 	lanes := oneLane(l, most)
-	inTime := func() *Request { return &Request{Arrived: now, Aim: 500 * time.Millisecond} }
+	inTime := func() *Request { return &Request{Arrived: now, LatencyObjective: 500 * time.Millisecond} }
 	for n := range 80 { // twenty seconds of calm
 		now = now.Add(250 * time.Millisecond)
 		b.prepare(lanes, demand{entered: n}, now)
 		r := inTime()
 		g.Expect(b.reserve(lanes, r, now)).To(Equal(target))
-		b.End(b.Account(target), r, now.Add(time.Second))
+		b.EndAttempt(b.TargetState(target), r, now.Add(time.Second))
 	}
 	sent := 0
-	late := func() *Request { return &Request{Arrived: now.Add(-2 * time.Second), Aim: 500 * time.Millisecond} }
+	late := func() *Request {
+		return &Request{Arrived: now.Add(-2 * time.Second), LatencyObjective: 500 * time.Millisecond}
+	}
 	for b.lateMayGo(lanes) && b.reserve(lanes, late(), now) != nil {
 		sent++
 	}
@@ -47,15 +49,15 @@
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
 	for wanting, goes := range map[int]bool{0: true, 50: false} {
 		b := fullGroup(target, wanting, now)
-		gt := new(Gate)
+		gt := new(AdmissionQueue)
 		late := waiting(1, now.Add(-time.Second))
-		late.Aim = 500 * time.Millisecond
-		w, _, ok := gt.Enter(late, now)
+		late.LatencyObjective = 500 * time.Millisecond
+		w, _, ok := gt.Enqueue(late, now)
 		g.Expect(ok).To(BeTrue())
 		l := testLane(fullEntries, target)
-		l.Service.Engine, l.GapAim = testModel(), 120*time.Millisecond
+		l.Service.Engine, l.EventGapObjective = testModel(), 120*time.Millisecond
 		Admit(gt, b, l, now)
-		g.Expect(gt.Leave(w)).To(Equal(!goes), "%d want room for a few", wanting)
+		g.Expect(gt.Remove(w)).To(Equal(!goes), "%d want room for a few", wanting)
 	}
 }
 
@@ -70,11 +72,11 @@
 	for range rounds * fullEntries {
 		b := testBook()
 		loads := map[string]RankLoad{target.Address: {Running: 6}}
-		b.Reported("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, Waiting{Late: each * fullEntries}, now))
+		b.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{Late: each * fullEntries}, now))
 		l := testLane(fullEntries, target)
 		lanes := oneLane(l, 10)
-		b.prepare(lanes, demand{waiting: Waiting{Late: each}}, now)
-		late := &Request{Arrived: now.Add(-time.Second), Aim: 500 * time.Millisecond}
+		b.prepare(lanes, demand{waiting: QueueCounts{Late: each}}, now)
+		late := &Request{Arrived: now.Add(-time.Second), LatencyObjective: 500 * time.Millisecond}
 		for range each {
 			if b.lateMayGo(lanes) && b.reserve(lanes, late, now) != nil {
 				sent++
--- a/placing/limit.go
+++ b/placing/limit.go
@@ -52,13 +52,13 @@
 // group, and only the rest by those of one rank.
 func limitAmong(m *serving.EngineModel, gapAim time.Duration, imbalance, pace, share float64) float64 {
 	slots := float64(m.Slots)
-	if gapAim <= 0 || m.StepPerWriter <= 0 || ablate.Off(ablate.Limit) {
+	if gapAim <= 0 || m.StepTimePerStream <= 0 || ablate.Off(ablate.Limit) {
 		return slots
 	}
 	factor := (1 - m.ExpertShare) + m.ExpertShare*max(imbalance, 1)*share
-	step := float64(gapAim) * gapShare / copySlows / float64(max(m.Stride, 1))
-	each := float64(m.StepPerWriter) + readShare(m)
-	n := (step - float64(m.Step)*max(pace, 1)) / (each * factor)
+	step := float64(gapAim) * gapShare / copySlows / float64(max(m.StepsPerPass, 1))
+	each := float64(m.StepTimePerStream) + readShare(m)
+	n := (step - float64(m.BaseStepTime)*max(pace, 1)) / (each * factor)
 	if n < leastRunning {
 		return slots
 	}
@@ -69,10 +69,10 @@
 // nanoseconds: where streams come and go steadily, that much is read in each step for
 // each that is written. It is a seventh of what writing costs.
 func readShare(m *serving.EngineModel) float64 {
-	if m.ReadRate <= 0 || m.UsualAnswer <= 0 {
+	if m.PrefillRate <= 0 || m.MeanOutputTokens <= 0 {
 		return 0
 	}
-	return m.UsualPrompt / m.ReadRate / m.UsualAnswer * float64(time.Second)
+	return m.MeanPromptTokens / m.PrefillRate / m.MeanOutputTokens * float64(time.Second)
 }
 
 // openShare returns which share of some targets get work.
@@ -93,16 +93,16 @@
 
 // limitOf returns how many streams a target of a group may run now, in the mean, if a share of
 // them get work. The lock must be held.
-func (b *Book) limitOf(k groupKey, l Lane, share float64, now time.Time) float64 {
+func (b *Tracker) limitOf(k groupKey, l TargetPool, share float64, now time.Time) float64 {
 	state := b.group(k)
-	if now.Sub(state.At) > ReportTTL {
+	if now.Sub(state.ReportedAt) > ReportTTL {
 		// Nobody reports, so the map does not follow either: what was worst lately comes.
-		return limitAmong(l.Service.Engine, l.GapAim, max(calmImbalance, min(state.Worst, bornImbalance)), max(state.Pace, 1), share)
+		return limitAmong(l.Service.Engine, l.EventGapObjective, max(calmImbalance, min(state.PeakImbalance, bornImbalance)), max(state.MaxSlowdown, 1), share)
 	}
 	if state.Imbalance == 0 {
 		// The group has just been formed: it uses the map that engines start with, and
 		// what waited for it comes all at once.
-		return limitAmong(l.Service.Engine, l.GapAim, firstImbalance, state.Pace, share)
+		return limitAmong(l.Service.Engine, l.EventGapObjective, firstImbalance, state.MaxSlowdown, share)
 	}
-	return limitAmong(l.Service.Engine, l.GapAim, max(state.Imbalance, min(state.Worst, bornImbalance)), state.Pace, share)
+	return limitAmong(l.Service.Engine, l.EventGapObjective, max(state.Imbalance, min(state.PeakImbalance, bornImbalance)), state.MaxSlowdown, share)
 }
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -8,16 +8,16 @@
 
 // PermitQuery asks for permission to send one request to a target that names a rate.
 type PermitQuery struct {
-	MaxWait time.Duration // that the request may wait for it
-	Refuses bool          // without a permit its caller is refused, and told when to come back
-	Cold    float64       // requests a second that the target takes while it is cold; 0: it is not
+	MaxWait        time.Duration // that the request may wait for it
+	RejectIfDenied bool          // without a permit its caller is refused, and told when to come back
+	ColdRate       float64       // requests a second that the target takes while it is cold; 0: it is not
 }
 
 // Permit is the answer.
 type Permit struct {
-	Granted  bool
-	Wait     time.Duration // until the permit is valid, or until one may be free
-	ComeBack time.Duration // for a caller that is refused
+	Granted    bool
+	Wait       time.Duration // until the permit is valid, or until one may be free
+	RetryAfter time.Duration // for a caller that is refused
 }
 
 // permits spaces the requests that go to a target from all entries together.
@@ -65,8 +65,8 @@
 	switch {
 	case permit.Wait <= q.MaxWait:
 		permit.Granted, p.last = true, free
-	case q.Refuses:
-		permit.ComeBack = p.promise(free, every).Sub(now)
+	case q.RejectIfDenied:
+		permit.RetryAfter = p.promise(free, every).Sub(now)
 	}
 	return permit
 }
@@ -81,15 +81,15 @@
 	return p.promised
 }
 
-// TakePermit grants a permit as the entry that issues those of a target. part is the part of the
+// IssuePermit grants a permit as the entry that issues those of a target. part is the part of the
 // fleet that this entry sees alive: if the fleet has split, each side has that part of the rate.
-func (b *Book) TakePermit(run serving.Run, part float64, q PermitQuery, now time.Time) Permit {
+func (b *Tracker) IssuePermit(run serving.Run, part float64, q PermitQuery, now time.Time) Permit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.limits.byRun[run]
 	named := known != nil && known.rate != Unlimited
-	if q.Cold > 0 && (!named || q.Cold < known.rate) {
-		return b.coldLimit(run, now).take(q.Cold*part, q, now)
+	if q.ColdRate > 0 && (!named || q.ColdRate < known.rate) {
+		return b.coldLimit(run, now).take(q.ColdRate*part, q, now)
 	}
 	if !named {
 		return Permit{Granted: true}
@@ -100,8 +100,8 @@
 	return known.permits.take(known.rate*part, q, now)
 }
 
-// StopIssuing notes that another entry issues the permits of a target.
-func (b *Book) StopIssuing(run serving.Run) {
+// StopIssuingPermits notes that another entry issues the permits of a target.
+func (b *Tracker) StopIssuingPermits(run serving.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known := b.limits.byRun[run]; known != nil {
--- a/placing/permits_test.go
+++ b/placing/permits_test.go
@@ -40,10 +40,10 @@
 			if rng.IntN(500) == 0 || now.Equal(begun) || highest == 0 {
 				rate := 0.2 + 8*rng.Float64()
 				highest = max(highest, rate)
-				b.RateSaid(RateLimit{Run: limitedRun, Rate: rate}, Said{Earliest: now, Latest: now.Add(1)}, now)
+				b.RecordRateLimit(RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Earliest: now, Latest: now.Add(1)}, now)
 			}
-			q := PermitQuery{MaxWait: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), Refuses: rng.IntN(2) == 0}
-			if permit := b.TakePermit(limitedRun, 1, q, now); permit.Granted {
+			q := PermitQuery{MaxWait: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), RejectIfDenied: rng.IntN(2) == 0}
+			if permit := b.IssuePermit(limitedRun, 1, q, now); permit.Granted {
 				g.Expect(permit.Wait).To(BeNumerically("<=", q.MaxWait))
 				granted = append(granted, now.Add(permit.Wait))
 			}
@@ -53,10 +53,10 @@
 	}
 }
 
-func permitBook() *Book { return NewBook("e", "a", rand.New(rand.NewPCG(1, 2))) }
+func permitBook() *Tracker { return NewTracker("e", "a", rand.New(rand.NewPCG(1, 2))) }
 
-func nameRate(b *Book, run serving.Run, rate float64, now time.Time) {
-	b.RateSaid(RateLimit{Run: run, Rate: rate}, Said{Earliest: now, Latest: now}, now)
+func nameRate(b *Tracker, run serving.Run, rate float64, now time.Time) {
+	b.RecordRateLimit(RateLimit{Run: run, Rate: rate}, TimeBounds{Earliest: now, Latest: now}, now)
 }
 
 // Guards against two entries that grant permits at a time, as one begins to issue them while the
@@ -65,11 +65,11 @@
 	g := NewWithT(t)
 	b, now := permitBook(), time.Unix(1000, 0)
 	nameRate(b, limitedRun, 10, now)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{}, now)).To(Equal(Permit{Wait: takeOver}))
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{}, now.Add(takeOver)).Granted).To(BeTrue())
-	b.StopIssuing(limitedRun)
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now)).To(Equal(Permit{Wait: takeOver}))
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(takeOver)).Granted).To(BeTrue())
+	b.StopIssuingPermits(limitedRun)
 	later := now.Add(time.Minute)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{}, later).Granted).To(BeFalse())
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, later).Granted).To(BeFalse())
 }
 
 // Guards against a fleet that has split, whose sides grant the whole rate each.
@@ -81,7 +81,7 @@
 		b := permitBook()
 		nameRate(b, limitedRun, 2, begun)
 		for at := time.Duration(0); at < 30*time.Second; at += 10 * time.Millisecond {
-			if b.TakePermit(limitedRun, part, PermitQuery{}, begun.Add(at)).Granted {
+			if b.IssuePermit(limitedRun, part, PermitQuery{}, begun.Add(at)).Granted {
 				granted = append(granted, begun.Add(at))
 			}
 		}
@@ -96,15 +96,15 @@
 	b, now := permitBook(), time.Unix(1000, 0)
 	nameRate(b, limitedRun, 2, now)
 	now = now.Add(2 * time.Second)
-	b.TakePermit(limitedRun, 1, PermitQuery{}, now)
+	b.IssuePermit(limitedRun, 1, PermitQuery{}, now)
 	now = now.Add(takeOver)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{}, now).Granted).To(BeTrue())
-	refuse := PermitQuery{MaxWait: 100 * time.Millisecond, Refuses: true}
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now).Granted).To(BeTrue())
+	refuse := PermitQuery{MaxWait: 100 * time.Millisecond, RejectIfDenied: true}
 	for i := 1; i <= 10; i++ {
-		g.Expect(b.TakePermit(limitedRun, 1, refuse, now).ComeBack).To(Equal(time.Duration(i) * 500 * time.Millisecond))
+		g.Expect(b.IssuePermit(limitedRun, 1, refuse, now).RetryAfter).To(Equal(time.Duration(i) * 500 * time.Millisecond))
 	}
 	for range 100 {
-		g.Expect(b.TakePermit(limitedRun, 1, refuse, now).ComeBack).To(BeNumerically("<=", maxPromise+500*time.Millisecond))
+		g.Expect(b.IssuePermit(limitedRun, 1, refuse, now).RetryAfter).To(BeNumerically("<=", maxPromise+500*time.Millisecond))
 	}
 }
 
@@ -116,39 +116,39 @@
 	nameRate(b, limitedRun, 0, now)
 	var granted []time.Time
 	for at := time.Duration(0); at < 2*time.Minute; at += 50 * time.Millisecond {
-		if b.TakePermit(limitedRun, 1, PermitQuery{}, now.Add(at)).Granted {
+		if b.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(at)).Granted {
 			granted = append(granted, now.Add(at))
 		}
 	}
 	g.Expect(len(granted)).To(And(BeNumerically(">=", 3), BeNumerically("<=", 4)))
 	raised := granted[len(granted)-1].Add(time.Second)
 	nameRate(b, limitedRun, 5, raised)
-	g.Expect(b.TakePermit(limitedRun, 1, PermitQuery{}, raised).Granted).To(BeTrue(), "an earlier, lower rate delays nothing")
+	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, raised).Granted).To(BeTrue(), "an earlier, lower rate delays nothing")
 }
 
 // Guards against requests that wait at the gate for targets which none of them may go to.
 func TestNobodyWaitsAtTheGateIfAllTargetsNameARate(t *testing.T) {
 	g := NewWithT(t)
-	b, gt, now := permitBook(), new(Gate), time.Unix(1000, 0)
+	b, gt, now := permitBook(), new(AdmissionQueue), time.Unix(1000, 0)
 	targets := []*serving.Target{{ID: "i1", Service: "s"}, {ID: "i2", Service: "s"}}
-	lane := Lane{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, Entries: 1}
+	lane := TargetPool{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, Entries: 1}
 	nameRate(b, targets[0].Run(), 1, now)
-	b.NoPermit(targets[0].Run(), now.Add(time.Second))
-	w, _, _ := gt.Enter(&Request{Arrived: now}, now)
+	b.RecordPermitDenied(targets[0].Run(), now.Add(time.Second))
+	w, _, _ := gt.Enqueue(&Request{Arrived: now}, now)
 	Admit(gt, b, lane, now)
 	g.Expect(<-w.Granted()).To(Equal(targets[1]))
 
 	nameRate(b, targets[1].Run(), 1, now)
-	w, _, _ = gt.Enter(&Request{Arrived: now}, now)
+	w, _, _ = gt.Enqueue(&Request{Arrived: now}, now)
 	Admit(gt, b, lane, now)
 	g.Expect(<-w.Granted()).To(BeNil())
-	g.Expect(gt.Waits()).To(BeFalse())
+	g.Expect(gt.HasWaiting()).To(BeFalse())
 	all := func(*serving.Target) bool { return false }
-	limited, unowned := b.Limited(targets, all, now)
+	limited, unowned := b.PermitBoundTargets(targets, all, now)
 	g.Expect(limited).To(Equal([]*serving.Target{targets[1], targets[0]}), "the one with a permit first")
 	g.Expect(unowned).To(BeZero())
-	b.NoOwner(targets[1].Run(), now.Add(time.Second))
-	limited, unowned = b.Limited(targets, all, now)
+	b.RecordOwnerUnreachable(targets[1].Run(), now.Add(time.Second))
+	limited, unowned = b.PermitBoundTargets(targets, all, now)
 	g.Expect(limited).To(Equal(targets[:1]))
 	g.Expect(unowned).To(Equal(time.Second))
 }
@@ -164,9 +164,9 @@
 	newest := serving.Run{ID: "newest"}
 	nameRate(b, newest, 1, now.Add(time.Second))
 	for range 200 {
-		list := b.Rates(16)
+		list := b.RateLimits(16)
 		g.Expect(list).To(HaveLen(16))
-		g.Expect(slices.ContainsFunc(list, func(o ToldRate) bool { return o.Run == newest })).To(BeTrue())
+		g.Expect(slices.ContainsFunc(list, func(o ReportedRateLimit) bool { return o.Run == newest })).To(BeTrue())
 		for _, o := range list {
 			told[o.Run.ID] = true
 		}
--- a/placing/place.go
+++ b/placing/place.go
@@ -30,11 +30,11 @@
 // passes usually are, so the other ranks may be full beside it at no cost.
 //
 // The lock must be held.
-func (b *Book) withoutSlow(targets []*serving.Target, now time.Time) []*serving.Target {
+func (b *Tracker) withoutSlow(targets []*serving.Target, now time.Time) []*serving.Target {
 	left := make([]*serving.Target, 0, len(targets))
 	for _, t := range targets {
 		a := b.accounts[t.Run()]
-		if a == nil || now.Sub(a.others.at) >= ReportTTL || a.others.Pace < avoidPace {
+		if a == nil || now.Sub(a.others.at) >= ReportTTL || a.others.Slowdown < avoidPace {
 			left = append(left, t)
 		}
 	}
@@ -46,18 +46,18 @@
 
 // Place chooses the target of a try: the one with the least work of those that
 // drop does not exclude; nil if there is none. drop must not use the book.
-func (b *Book) Place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
+func (b *Tracker) Place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.place(targets, drop, now)
 }
 
-func (b *Book) place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
+func (b *Tracker) place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
 	runs := make([]serving.Run, 0, len(targets))
 	for _, t := range targets {
 		runs = append(runs, t.Run())
 	}
-	skip := b.ejector.Skip(runs, now, b.rng.Float64)
+	skip := b.ejector.Excluded(runs, now, b.rng.Float64)
 	best := b.least(targets, func(t *serving.Target) bool { return drop(t) || skip[t.Run()] }, now)
 	if best == nil && len(skip) > 0 {
 		best = b.least(targets, drop, now)
@@ -66,19 +66,19 @@
 }
 
 // hasSlowRank tells whether a rank of some group is many times as slow as usual.
-func (b *Book) hasSlowRank(lanes []groupLane, now time.Time) bool {
+func (b *Tracker) hasSlowRank(lanes []groupLane, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.ContainsFunc(lanes, func(l groupLane) bool {
 		state := b.group(l.key)
-		return now.Sub(state.At) < ReportTTL && state.Pace >= avoidPace
+		return now.Sub(state.ReportedAt) < ReportTTL && state.MaxSlowdown >= avoidPace
 	})
 }
 
 // usable tells whether a target takes requests at all, as far as is known.
-func (b *Book) usable(t *serving.Target) bool {
+func (b *Tracker) usable(t *serving.Target) bool {
 	a := b.accounts[t.Run()]
-	return t.Open() && (a == nil || !a.gone)
+	return t.IsAvailable() && (a == nil || !a.gone)
 }
 
 // sample is how many targets a placement compares. All entries have the same
@@ -87,7 +87,7 @@
 const sample = 3
 
 // least returns the target with the least work among some that are drawn.
-func (b *Book) least(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
+func (b *Tracker) least(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
 	usable := make([]*serving.Target, 0, len(targets))
 	for _, t := range targets {
 		if b.usable(t) && !b.limits.closed(t.Run(), now) && !drop(t) {
@@ -126,7 +126,7 @@
 )
 
 // drawTargets draws some of the targets, whose order it changes.
-func (b *Book) drawTargets(targets []*serving.Target, count int) []*serving.Target {
+func (b *Tracker) drawTargets(targets []*serving.Target, count int) []*serving.Target {
 	count = min(count, len(targets))
 	for i := range count {
 		j := i + b.rng.IntN(len(targets)-i)
@@ -140,7 +140,7 @@
 // Load pattern: each of many entries has a request now and then, for one of many targets. Drawn
 // anew for each request, a target has hardly ever been sent to from here a moment ago, so every
 // request waits for a new connection and its target pays for it.
-func (b *Book) keptOf(targets []*serving.Target) []*serving.Target {
+func (b *Tracker) keptOf(targets []*serving.Target) []*serving.Target {
 	if b.kept == nil || len(targets) <= fewTargets {
 		return nil
 	}
@@ -157,7 +157,7 @@
 }
 
 // work rates what a target has to do.
-func (b *Book) work(t *serving.Target, now time.Time) float64 {
+func (b *Tracker) work(t *serving.Target, now time.Time) float64 {
 	work := float64(b.load(t, now))
 	if t.DataCentre != b.dataCentre {
 		work += distanceWeight
@@ -167,8 +167,8 @@
 		return work
 	}
 	work += readWeight * a.reading
-	if now.Sub(a.others.at) < ReportTTL && a.others.Pace > slowPace && !ablate.Off(ablate.SlowWeight) {
-		work += slowWeight * (a.others.Pace - 1)
+	if now.Sub(a.others.at) < ReportTTL && a.others.Slowdown > slowPace && !ablate.Off(ablate.SlowWeight) {
+		work += slowWeight * (a.others.Slowdown - 1)
 	}
 	return work
 }
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -13,16 +13,16 @@
 
 var testRandom = rand.New(rand.NewPCG(1, 1))
 
-func testBook() *Book { return NewBook("e", "a", testRandom) }
+func testBook() *Tracker { return NewTracker("e", "a", testRandom) }
 
-func testLane(entries int, targets ...*serving.Target) Lane {
-	return Lane{Service: &serving.Service{Name: "s"}, Targets: targets, Entries: entries}
+func testLane(entries int, targets ...*serving.Target) TargetPool {
+	return TargetPool{Service: &serving.Service{Name: "s"}, Targets: targets, Entries: entries}
 }
 
 func testModel() *serving.EngineModel {
 	return &serving.EngineModel{
-		Slots: 12, Stride: 4, Step: 4550 * time.Microsecond, StepPerWriter: 905 * time.Microsecond, ExpertShare: 0.85,
-		ReadRate: 61400, UsualPrompt: 800, UsualAnswer: 97,
+		Slots: 12, StepsPerPass: 4, BaseStepTime: 4550 * time.Microsecond, StepTimePerStream: 905 * time.Microsecond, ExpertShare: 0.85,
+		PrefillRate: 61400, MeanPromptTokens: 800, MeanOutputTokens: 97,
 	}
 }
 
@@ -36,10 +36,10 @@
 	for _, imbalance := range []float64{1, 1.5, 2, 2.5} {
 		for _, pace := range []float64{1, 2} {
 			n := limit(m, aim, imbalance, pace)
-			reading := m.UsualPrompt / m.ReadRate / m.UsualAnswer * float64(time.Second)
-			each := (float64(m.StepPerWriter) + reading) * (0.15 + 0.85*imbalance)
-			pass := time.Duration(float64(m.Stride) * (float64(m.Step)*pace + n*each) * copySlows)
-			more := time.Duration(float64(m.Stride) * each * copySlows)
+			reading := m.MeanPromptTokens / m.PrefillRate / m.MeanOutputTokens * float64(time.Second)
+			each := (float64(m.StepTimePerStream) + reading) * (0.15 + 0.85*imbalance)
+			pass := time.Duration(float64(m.StepsPerPass) * (float64(m.BaseStepTime)*pace + n*each) * copySlows)
+			more := time.Duration(float64(m.StepsPerPass) * each * copySlows)
 			g.Expect(pass).To(BeNumerically("<=", aim+time.Microsecond), "imbalance %.1f, pace %.0f: %.1f streams", imbalance, pace, n)
 			g.Expect(n == float64(m.Slots) || pass+more > aim).To(BeTrue(), "imbalance %.1f, pace %.0f: one stream more than %.1f would do", imbalance, pace, n)
 		}
@@ -65,13 +65,13 @@
 	gt, now := gateAtTenASecond()
 	for range 15 {
 		r := waiting(1, now.Add(-time.Second))
-		r.Aim = 500 * time.Millisecond
-		_, _, ok := gt.Enter(r, now)
+		r.LatencyObjective = 500 * time.Millisecond
+		_, _, ok := gt.Enqueue(r, now)
 		g.Expect(ok).To(BeTrue())
 	}
 	fresh := waiting(1, now)
-	fresh.Aim = 500 * time.Millisecond
-	_, _, ok := gt.Enter(fresh, now)
+	fresh.LatencyObjective = 500 * time.Millisecond
+	_, _, ok := gt.Enqueue(fresh, now)
 	g.Expect(ok).To(BeTrue())
 }
 
@@ -83,7 +83,7 @@
 	now := time.Now()
 	b := testBook()
 	known, away := &serving.Target{ID: "k", Service: "s", Address: "1"}, &serving.Target{ID: "x", Service: "s", Address: "2"}
-	b.Reported("s", []*serving.Target{known, away}, map[string]RankLoad{"1": {Running: 5, Waiting: 1}}, GroupState{Mean: 6, At: now})
+	b.ApplyLoadReport("s", []*serving.Target{known, away}, map[string]RankLoad{"1": {Running: 5, Waiting: 1}}, GroupState{MeanRequests: 6, ReportedAt: now})
 	g.Expect(b.load(known, now)).To(Equal(6))
 	g.Expect(b.load(away, now)).To(Equal(6))
 	g.Expect(b.load(away, now.Add(2*ReportTTL))).To(BeZero(), "nothing is known of the group any more")
@@ -93,23 +93,23 @@
 
 // fullGroup returns a book of an entry by whose report one target runs 6 of 10
 // requests, and so many wait at all entries.
-func fullGroup(target *serving.Target, wanting int, now time.Time) *Book {
+func fullGroup(target *serving.Target, wanting int, now time.Time) *Tracker {
 	b := testBook()
 	loads := map[string]RankLoad{target.Address: {Running: 6}}
-	b.Reported("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, Waiting{InTime: wanting}, now))
+	b.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{InTime: wanting}, now))
 	return b
 }
 
 // oneLane leads to the only group of a service, whose targets may run so many streams.
-func oneLane(l Lane, most float64) []groupLane {
-	return []groupLane{{Lane: l, key: groupKey{service: l.Service.Name}, most: most}}
+func oneLane(l TargetPool, most float64) []groupLane {
+	return []groupLane{{TargetPool: l, key: groupKey{service: l.Service.Name}, most: most}}
 }
 
 // sendAll sends what waits at an entry as far as its share of the room goes.
-func sendAll(b *Book, target *serving.Target, waiting int, now time.Time) (sent int) {
+func sendAll(b *Tracker, target *serving.Target, waiting int, now time.Time) (sent int) {
 	l := testLane(fullEntries, target)
 	lanes := oneLane(l, 10)
-	b.prepare(lanes, demand{waiting: Waiting{InTime: waiting}, entered: waiting}, now)
+	b.prepare(lanes, demand{waiting: QueueCounts{InTime: waiting}, entered: waiting}, now)
 	for range waiting {
 		if b.reserve(lanes, new(Request), now) != nil {
 			sent++
@@ -178,19 +178,19 @@
 	now := time.Now()
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
 	b := testBook()
-	b.Begin(target, Size{})
-	a := b.Account(target)
+	b.StartAttempt(target, Size{})
+	a := b.TargetState(target)
 	loads := map[string]RankLoad{"1": {Running: 10}}
-	b.Reported("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, Waiting{InTime: 60}, now))
+	b.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{InTime: 60}, now))
 	g.Expect(sendAll(b, target, 3, now)).To(BeZero())
-	b.End(a, new(Request), now)
+	b.EndAttempt(a, new(Request), now)
 	g.Expect(sendAll(b, target, 3, now)).To(Equal(1))
 }
 
 func always() bool { return true }
 
 // letGo lets all requests of a gate go, and returns them in the order they went in.
-func letGo(gt *Gate, now time.Time) (order []*Request) {
+func letGo(gt *AdmissionQueue, now time.Time) (order []*Request) {
 	gt.grant(now, always, func(r *Request) *serving.Target {
 		order = append(order, r)
 		return &serving.Target{}
@@ -199,8 +199,8 @@
 }
 
 // gateAtTenASecond returns a gate that has let ten requests go a second, and the time.
-func gateAtTenASecond() (*Gate, time.Time) {
-	gt, now := new(Gate), time.Now()
+func gateAtTenASecond() (*AdmissionQueue, time.Time) {
+	gt, now := new(AdmissionQueue), time.Now()
 	for range rateMemory {
 		gt.rate.count(now)
 		now = now.Add(100 * time.Millisecond)
@@ -216,11 +216,11 @@
 // equals in the order of their arrival.
 func TestTheGateGoesByPriorityThenArrival(t *testing.T) {
 	g := NewWithT(t)
-	gt := new(Gate)
+	gt := new(AdmissionQueue)
 	now := time.Now()
 	reqs := []*Request{waiting(2, now), waiting(1, now.Add(1)), waiting(1, now.Add(2)), waiting(0, now.Add(3))}
 	for _, r := range reqs {
-		_, _, ok := gt.Enter(r, now)
+		_, _, ok := gt.Enqueue(r, now)
 		g.Expect(ok).To(BeTrue())
 	}
 	g.Expect(letGo(gt, now)).To(Equal([]*Request{reqs[3], reqs[1], reqs[2], reqs[0]}))
@@ -230,14 +230,14 @@
 // that can still be in time go first, whatever comes after goes in order.
 func TestWhoCanStillBeInTimeGoesFirst(t *testing.T) {
 	g := NewWithT(t)
-	gt := new(Gate)
+	gt := new(AdmissionQueue)
 	now := time.Now()
 	var reqs []*Request
 	for _, age := range []time.Duration{900, 700, 200, 100} {
 		r := waiting(1, now.Add(-age*time.Millisecond))
-		r.Aim = 500 * time.Millisecond
+		r.LatencyObjective = 500 * time.Millisecond
 		reqs = append(reqs, r)
-		_, _, ok := gt.Enter(r, now)
+		_, _, ok := gt.Enqueue(r, now)
 		g.Expect(ok).To(BeTrue())
 	}
 	g.Expect(letGo(gt, now)).To(Equal([]*Request{reqs[2], reqs[3], reqs[0], reqs[1]}))
@@ -252,7 +252,7 @@
 	accepted := 0
 	var wait time.Duration
 	for range 30 {
-		_, w, ok := gt.Enter(waiting(1, now), now)
+		_, w, ok := gt.Enqueue(waiting(1, now), now)
 		if !ok {
 			wait = w
 			break
@@ -261,7 +261,7 @@
 	}
 	g.Expect(accepted).To(BeNumerically("~", 15, 2), "three quarters of two seconds at ten a second")
 	g.Expect(wait).To(BeNumerically("~", 1600*time.Millisecond, 200*time.Millisecond))
-	_, _, ok := gt.Enter(waiting(0, now), now)
+	_, _, ok := gt.Enqueue(waiting(0, now), now)
 	g.Expect(ok).To(BeTrue(), "a more urgent request does not wait behind the others")
 }
 
@@ -269,28 +269,28 @@
 // time is let through to see, and the first that is answered opens the gate.
 func TestABrokenGroupIsProbedByOne(t *testing.T) {
 	g := NewWithT(t)
-	gt := new(Gate)
+	gt := new(AdmissionQueue)
 	now := time.Now()
 	b := testBook()
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
 	l := testLane(1, target)
 	l.Service.Engine = testModel()
 	for range 5 {
-		_, _, ok := gt.Enter(waiting(1, now), now)
+		_, _, ok := gt.Enqueue(waiting(1, now), now)
 		g.Expect(ok).To(BeTrue())
 	}
 	let := func() int {
-		before := gt.Waiting(now)
+		before := gt.QueueCounts(now)
 		Admit(gt, b, l, now)
-		after := gt.Waiting(now)
+		after := gt.QueueCounts(now)
 		return before.InTime + before.Late - after.InTime - after.Late
 	}
-	b.GroupRefused(target, now)
+	b.RecordGroupRefusal(target, now)
 	g.Expect(let()).To(BeZero())
 	now = now.Add(probePause)
 	g.Expect(let()).To(Equal(1))
 	g.Expect(let()).To(BeZero())
-	b.GroupAnswered(target, now)
+	b.RecordGroupResponse(target, now)
 	g.Expect(let()).To(Equal(4))
 }
 
@@ -300,24 +300,24 @@
 func TestATargetThatStartsAgainBeginsAnew(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	b := NewBook("e", "a", rand.New(rand.NewPCG(1, 1)))
-	old := &serving.Target{ID: "i", Born: 1, Service: "s", Address: "x"}
-	other := &serving.Target{ID: "j", Born: 1, Service: "s", Address: "y"}
+	b := NewTracker("e", "a", rand.New(rand.NewPCG(1, 1)))
+	old := &serving.Target{ID: "i", StartedAtMS: 1, Service: "s", Address: "x"}
+	other := &serving.Target{ID: "j", StartedAtMS: 1, Service: "s", Address: "y"}
 	none := func(*serving.Target) bool { return false }
 	for range 20 {
-		b.Outcome(old, false, now)
+		b.RecordOutcome(old, false, now)
 	}
 	for range 5 {
-		b.Begin(old, Size{})
+		b.StartAttempt(old, Size{})
 	}
-	b.Replaced(old)
+	b.MarkReplaced(old)
 	for range 20 {
 		g.Expect(b.Place([]*serving.Target{old, other}, none, now)).To(Equal(other))
 	}
-	again := &serving.Target{ID: "i", Born: 2, Service: "s", Address: "x"}
-	b.Begin(other, Size{})
+	again := &serving.Target{ID: "i", StartedAtMS: 2, Service: "s", Address: "x"}
+	b.StartAttempt(other, Size{})
 	g.Expect(b.Place([]*serving.Target{again, other}, none, now)).To(Equal(again))
-	g.Expect(b.Known(again, now).Load).To(BeZero())
+	g.Expect(b.Snapshot(again, now).Requests).To(BeZero())
 }
 
 // The agent that reports for a group stands still, so the map does not follow demand
@@ -330,8 +330,8 @@
 	b := testBook()
 	s := &serving.Service{Name: "s", Engine: testModel()}
 	const aim = 120 * time.Millisecond
-	b.Reported("s", nil, nil, NewGroupState(nil, 1.2, 3, Waiting{}, now))
-	l, key := Lane{Service: s, GapAim: aim}, groupKey{service: "s"}
+	b.ApplyLoadReport("s", nil, nil, NewGroupState(nil, 1.2, 3, QueueCounts{}, now))
+	l, key := TargetPool{Service: s, EventGapObjective: aim}, groupKey{service: "s"}
 	reported := b.limitOf(key, l, 1, now)
 	silent := b.limitOf(key, l, 1, now.Add(2*ReportTTL))
 	g.Expect(silent).To(Equal(limit(testModel(), aim, 3, 1)))
--- a/placing/ratefleet_test.go
+++ b/placing/ratefleet_test.go
@@ -30,7 +30,7 @@
 
 type rateEntry struct {
 	name string
-	book *Book
+	book *Tracker
 	down bool
 	runs int // starts of its process
 }
@@ -67,8 +67,8 @@
 	return f
 }
 
-func (f *rateFleet) newBook(i int) *Book {
-	return NewBook(fmt.Sprintf("e%d", i), "a", rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
+func (f *rateFleet) newBook(i int) *Tracker {
+	return NewTracker(fmt.Sprintf("e%d", i), "a", rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
 }
 
 func (f *rateFleet) after(d time.Duration, do func()) {
@@ -113,7 +113,7 @@
 }
 
 func (f *rateFleet) request(e *rateEntry) {
-	if rate, _ := e.book.RateOf(limitedRun); rate == Unlimited && f.cold == 0 {
+	if rate, _ := e.book.RateLimitOf(limitedRun); rate == Unlimited && f.cold == 0 {
 		f.send(e)
 		return
 	}
@@ -123,29 +123,29 @@
 	f.asked++
 	owner, runs := f.owner(), e.runs
 	if owner == e {
-		f.granted(e, runs, e.book.TakePermit(limitedRun, f.part(), PermitQuery{Cold: f.cold}, f.now))
+		f.granted(e, runs, e.book.IssuePermit(limitedRun, f.part(), PermitQuery{ColdRate: f.cold}, f.now))
 		return
 	}
-	e.book.StopIssuing(limitedRun)
+	e.book.StopIssuingPermits(limitedRun)
 	f.noPermit(e, 500*time.Millisecond) // unless an answer comes
-	rate, said := e.book.RateOf(limitedRun)
+	rate, said := e.book.RateLimitOf(limitedRun)
 	age := f.now.Sub(said)
 	f.carry(func() {
 		if owner.down {
 			return
 		}
-		owner.book.RateSaid(RateLimit{Run: limitedRun, Rate: rate}, Said{Latest: f.now.Add(-age)}, f.now)
-		permit := owner.book.TakePermit(limitedRun, f.part(), PermitQuery{Cold: f.cold}, f.now)
+		owner.book.RecordRateLimit(RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Latest: f.now.Add(-age)}, f.now)
+		permit := owner.book.IssuePermit(limitedRun, f.part(), PermitQuery{ColdRate: f.cold}, f.now)
 		f.carry(func() { f.granted(e, runs, permit) })
 	})
 }
 
 func (f *rateFleet) noPermit(e *rateEntry, wait time.Duration) {
 	if f.cold > 0 {
-		e.book.NoColdPermit(limitedRun, f.now.Add(wait))
+		e.book.RecordColdPermitDenied(limitedRun, f.now.Add(wait))
 		return
 	}
-	e.book.NoPermit(limitedRun, f.now.Add(wait))
+	e.book.RecordPermitDenied(limitedRun, f.now.Add(wait))
 }
 
 func (f *rateFleet) part() float64 {
@@ -178,7 +178,7 @@
 			rate := f.target.rate
 			f.after(time.Millisecond, func() {
 				if !e.down && e.runs == runs {
-					f.say(e, RateLimit{Run: limitedRun, Rate: rate}, Said{Earliest: sentAt, Latest: f.now})
+					f.say(e, RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Earliest: sentAt, Latest: f.now})
 				}
 			})
 		})
@@ -186,8 +186,8 @@
 }
 
 // say has an entry take a rate, and tell a few others if it is news.
-func (f *rateFleet) say(e *rateEntry, said RateLimit, at Said) {
-	if !e.book.RateSaid(said, at, f.now).Tell {
+func (f *rateFleet) say(e *rateEntry, said RateLimit, at TimeBounds) {
+	if !e.book.RecordRateLimit(said, at, f.now).Propagate {
 		return
 	}
 	for range 5 {
@@ -199,11 +199,11 @@
 	if from == to || from.down {
 		return
 	}
-	list, sent := from.book.Rates(16), f.now
+	list, sent := from.book.RateLimits(16), f.now
 	f.carry(func() {
 		for _, o := range list {
 			if !to.down {
-				f.say(to, o.RateLimit, Said{Earliest: o.Said, Latest: f.now.Add(o.Said.Sub(sent))})
+				f.say(to, o.RateLimit, TimeBounds{Earliest: o.ReportedAt, Latest: f.now.Add(o.ReportedAt.Sub(sent))})
 			}
 		}
 	})
@@ -274,10 +274,10 @@
 	g := NewWithT(t)
 	b, now := permitBook(), time.Unix(1000, 0)
 	nameRate(b, limitedRun, 1, now)
-	b.Forget(func(run serving.Run) bool { return run == limitedRun }, now)
-	rate, _ := b.RateOf(limitedRun)
+	b.Prune(func(run serving.Run) bool { return run == limitedRun }, now)
+	rate, _ := b.RateLimitOf(limitedRun)
 	g.Expect(rate).To(Equal(1.0))
-	b.Forget(func(serving.Run) bool { return false }, now)
-	rate, _ = b.RateOf(limitedRun)
+	b.Prune(func(serving.Run) bool { return false }, now)
+	rate, _ = b.RateLimitOf(limitedRun)
 	g.Expect(rate).To(Equal(float64(Unlimited)))
 }
--- a/placing/ratelimit.go
+++ b/placing/ratelimit.go
@@ -19,14 +19,14 @@
 // Unlimited is the rate of a target that names none.
 const Unlimited = -1
 
-// Said is when a target said something. An answer can't be dated exactly: it is known to be
+// TimeBounds is when a target said something. An answer can't be dated exactly: it is known to be
 // written no earlier and no later than these.
-type Said struct{ Earliest, Latest time.Time }
+type TimeBounds struct{ Earliest, Latest time.Time }
 
-// RateTaken is what follows from something that a target said.
-type RateTaken struct {
-	Tell   bool // others should hear of it at once
-	Unsure bool // it may be newer than what is known, and allows more
+// RateLimitUpdate is what follows from something that a target said.
+type RateLimitUpdate struct {
+	Propagate    bool // others should hear of it at once
+	OrderUnknown bool // it may be newer than what is known, and allows more
 }
 
 // Figures of rate limits.
@@ -96,29 +96,29 @@
 // Answers overtake each other, and entries tell each other late. A lower rate counts if it may
 // be newer than what is known, a higher one or none at all only if it certainly is: a rate that
 // is kept for too long costs some room, one that is dropped too early overruns the target.
-func (l *rateLimits) take(said RateLimit, at Said, now time.Time) (taken RateTaken) {
+func (l *rateLimits) take(said RateLimit, at TimeBounds, now time.Time) (taken RateLimitUpdate) {
 	known := l.byRun[said.Run]
 	if known == nil {
 		if said.Rate == Unlimited {
-			return RateTaken{}
+			return RateLimitUpdate{}
 		}
 		l.byRun[said.Run] = &rateLimit{rate: said.Rate, said: at.Latest, learnt: now}
-		return RateTaken{Tell: true}
+		return RateLimitUpdate{Propagate: true}
 	}
 	switch {
 	case !at.Latest.After(known.said):
-		return RateTaken{}
+		return RateLimitUpdate{}
 	case said.Rate == known.rate:
 		known.said = at.Latest
-		return RateTaken{}
+		return RateLimitUpdate{}
 	case tighter(said.Rate, known.rate):
 		known.said = at.Latest
 	case at.Earliest.After(known.said):
 		known.said = at.Earliest
 	default:
-		return RateTaken{Unsure: true}
+		return RateLimitUpdate{OrderUnknown: true}
 	}
-	taken.Tell = differs(said.Rate, known.rate)
+	taken.Propagate = differs(said.Rate, known.rate)
 	known.rate, known.learnt = said.Rate, now
 	known.permits.promised = time.Time{}
 	delete(l.waits, said.Run)
@@ -146,16 +146,16 @@
 	}
 }
 
-// RateSaid takes the rate that a target named.
-func (b *Book) RateSaid(said RateLimit, at Said, now time.Time) RateTaken {
+// RecordRateLimit takes the rate that a target named.
+func (b *Tracker) RecordRateLimit(said RateLimit, at TimeBounds, now time.Time) RateLimitUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.take(said, at, now)
 }
 
-// RateOf returns the rate that a target names, and when it said so last; Unlimited if it names
+// RateLimitOf returns the rate that a target names, and when it said so last; Unlimited if it names
 // none.
-func (b *Book) RateOf(run serving.Run) (rate float64, said time.Time) {
+func (b *Tracker) RateLimitOf(run serving.Run) (rate float64, said time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known := b.limits.byRun[run]; known != nil {
@@ -164,15 +164,15 @@
 	return Unlimited, time.Time{}
 }
 
-// ToldRate is a rate that a target has named, for other entries.
-type ToldRate struct {
+// ReportedRateLimit is a rate that a target has named, for other entries.
+type ReportedRateLimit struct {
 	RateLimit
-	Said time.Time
+	ReportedAt time.Time
 }
 
-// Rates returns at most so many of the rates that targets have named. What was learnt last goes
+// RateLimits returns at most so many of the rates that targets have named. What was learnt last goes
 // first; the rest is drawn anew each time, so that what another entry has missed comes again.
-func (b *Book) Rates(most int) []ToldRate {
+func (b *Tracker) RateLimits(most int) []ReportedRateLimit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	runs := make([]serving.Run, 0, len(b.limits.byRun))
@@ -187,31 +187,31 @@
 		b.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
 		runs = runs[:most]
 	}
-	list := make([]ToldRate, 0, len(runs))
+	list := make([]ReportedRateLimit, 0, len(runs))
 	for _, run := range runs {
 		known := b.limits.byRun[run]
-		list = append(list, ToldRate{RateLimit: RateLimit{Run: run, Rate: known.rate}, Said: known.said})
+		list = append(list, ReportedRateLimit{RateLimit: RateLimit{Run: run, Rate: known.rate}, ReportedAt: known.said})
 	}
 	return list
 }
 
-// Allowed returns the targets that a request may go to: without those that name a rate, if it
+// AllowedTargets returns the targets that a request may go to: without those that name a rate, if it
 // avoids these.
-func (b *Book) Allowed(targets []*serving.Target, r *Request) []*serving.Target {
+func (b *Tracker) AllowedTargets(targets []*serving.Target, r *Request) []*serving.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.allowed(targets, r)
 }
 
-func (b *Book) allowed(targets []*serving.Target, r *Request) []*serving.Target {
-	if !r.AvoidLimited || len(b.limits.byRun) == 0 {
+func (b *Tracker) allowed(targets []*serving.Target, r *Request) []*serving.Target {
+	if !r.AvoidRateLimited || len(b.limits.byRun) == 0 {
 		return targets
 	}
 	return slices.DeleteFunc(slices.Clone(targets), func(t *serving.Target) bool { return b.limits.limited(t.Run()) })
 }
 
-// AllLimited tells whether every target that could be used names a rate.
-func (b *Book) AllLimited(targets []*serving.Target) bool {
+// AllRateLimited tells whether every target that could be used names a rate.
+func (b *Tracker) AllRateLimited(targets []*serving.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.limits.byRun) == 0 {
@@ -230,11 +230,11 @@
 	return limited
 }
 
-// Limited returns the targets that could be used and are bounded by permits, those first of which a permit is
+// PermitBoundTargets returns the targets that could be used and are bounded by permits, those first of which a permit is
 // to be had soonest; targets that failed lately come last. Targets for which nobody issues permits
 // are left out; unowned is how long it takes until one of them is asked for again, 0 if there are
 // none. drop must not use the book.
-func (b *Book) Limited(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) (list []*serving.Target, unowned time.Duration) {
+func (b *Tracker) PermitBoundTargets(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) (list []*serving.Target, unowned time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var runs []serving.Run
@@ -251,7 +251,7 @@
 		list = append(list, t)
 		runs = append(runs, t.Run())
 	}
-	skip := b.ejector.Skip(runs, now, b.rng.Float64)
+	skip := b.ejector.Excluded(runs, now, b.rng.Float64)
 	b.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(x, y *serving.Target) int {
 		return cmp.Or(compareBool(skip[x.Run()], skip[y.Run()]),
@@ -270,23 +270,23 @@
 	return -1
 }
 
-// NoPermit notes that this entry gets no permit of a target for a time.
-func (b *Book) NoPermit(run serving.Run, until time.Time) {
+// RecordPermitDenied notes that this entry gets no permit of a target for a time.
+func (b *Tracker) RecordPermitDenied(run serving.Run, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits.waits[run] = permitWait{closed: until}
 }
 
-// NoColdPermit notes that this entry gets no permit of a cold target for a time.
-func (b *Book) NoColdPermit(run serving.Run, until time.Time) {
+// RecordColdPermitDenied notes that this entry gets no permit of a cold target for a time.
+func (b *Tracker) RecordColdPermitDenied(run serving.Run, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits.waits[run] = permitWait{closed: until, cold: true}
 }
 
-// NoOwner notes that whoever issues the permits of a target does not answer, and that this entry
+// RecordOwnerUnreachable notes that whoever issues the permits of a target does not answer, and that this entry
 // asks for none for a time.
-func (b *Book) NoOwner(run serving.Run, until time.Time) {
+func (b *Tracker) RecordOwnerUnreachable(run serving.Run, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits.waits[run] = permitWait{closed: until, unowned: until}
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -12,26 +12,26 @@
 // RankLoad is what is reported of one target of a group.
 type RankLoad struct {
 	Running, Waiting int
-	Pace             float64 // how many times as long as usual it takes
+	Slowdown         float64 // how many times as long as usual it takes
 }
 
-// Waiting counts requests that wait at gates.
-type Waiting struct {
+// QueueCounts counts requests that wait at gates.
+type QueueCounts struct {
 	InTime int // those that can still be in time
 	Late   int // those that can't
 }
 
 // GroupState is what is reported of a group.
 type GroupState struct {
-	Name      string
-	Open      bool    // all ranks are there, and it runs passes
-	Imbalance float64 // how many times as long as even loads the ranks take for their experts
-	Worst     float64 // the most of it lately
-	Pace      float64 // of the slowest rank, in times as long as usual
-	Mean      int     // requests of a target, running and waiting
-	Total     int     // requests of all targets
-	Wanting   Waiting // requests that wait at all entries
-	At        time.Time
+	Name          string
+	Complete      bool        // all ranks are there, and it runs passes
+	Imbalance     float64     // how many times as long as even loads the ranks take for their experts
+	PeakImbalance float64     // the most of it lately
+	MaxSlowdown   float64     // of the slowest rank, in times as long as usual
+	MeanRequests  int         // requests of a target, running and waiting
+	TotalRequests int         // requests of all targets
+	Queued        QueueCounts // requests that wait at all entries
+	ReportedAt    time.Time
 }
 
 // reportedLoad is what a target's agent says that runs there.
@@ -41,9 +41,9 @@
 	ownThen int // requests of this entry that the report counts
 }
 
-// Reported takes what is reported of a service's group and of its targets, by their
+// ApplyLoadReport takes what is reported of a service's group and of its targets, by their
 // addresses.
-func (b *Book) Reported(service string, targets []*serving.Target, loads map[string]RankLoad, state GroupState) {
+func (b *Tracker) ApplyLoadReport(service string, targets []*serving.Target, loads map[string]RankLoad, state GroupState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, t := range targets {
@@ -51,25 +51,25 @@
 		if !ok {
 			continue
 		}
-		l.Pace = max(l.Pace, 1)
+		l.Slowdown = max(l.Slowdown, 1)
 		a := b.account(t)
 		a.group = state.Name
-		a.others = reportedLoad{RankLoad: l, at: state.At, ownThen: a.running}
+		a.others = reportedLoad{RankLoad: l, at: state.ReportedAt, ownThen: a.running}
 	}
 	g := b.group(groupKey{service: service, name: state.Name})
 	g.GroupState, g.share, g.assumed = state, roomShare{}, 0
 }
 
 // NewGroupState sums up the loads of a group's ranks.
-func NewGroupState(loads map[string]RankLoad, imbalance, worst float64, wanting Waiting, at time.Time) GroupState {
-	s := GroupState{Open: true, Imbalance: imbalance, Worst: worst, Pace: 1, Wanting: wanting, At: at}
+func NewGroupState(loads map[string]RankLoad, imbalance, worst float64, wanting QueueCounts, at time.Time) GroupState {
+	s := GroupState{Complete: true, Imbalance: imbalance, PeakImbalance: worst, MaxSlowdown: 1, Queued: wanting, ReportedAt: at}
 	total := 0
 	for _, l := range loads {
 		total += l.Running + l.Waiting
-		s.Pace = max(s.Pace, l.Pace)
+		s.MaxSlowdown = max(s.MaxSlowdown, l.Slowdown)
 	}
-	s.Total = total
-	s.Mean = total / max(len(loads), 1)
+	s.TotalRequests = total
+	s.MeanRequests = total / max(len(loads), 1)
 	return s
 }
 
@@ -82,10 +82,10 @@
 // same share of the callers, so what each assumes adds up to about what runs.
 //
 // The lock must be held.
-func (b *Book) assume(l *groupLane, now time.Time) {
+func (b *Tracker) assume(l *groupLane, now time.Time) {
 	state := b.group(l.key)
 	state.assumed = 0
-	if now.Sub(state.At) >= ReportTTL && len(l.Targets) > 0 {
+	if now.Sub(state.ReportedAt) >= ReportTTL && len(l.Targets) > 0 {
 		own := 0
 		for _, a := range b.accounts {
 			if b.keyOf(a.target, now) == l.key {
@@ -96,23 +96,23 @@
 	}
 }
 
-// Known is what placing knows of a target.
-type Known struct {
-	Load      int           // requests there
-	Age       time.Duration // of the report that this comes from
-	Imbalance float64       // of its group
-	Pace      float64       // of its group's slowest rank
-	RateLimit float64       // that it names; Unlimited: none
+// TargetSnapshot is what placing knows of a target.
+type TargetSnapshot struct {
+	Requests    int           // requests there
+	ReportAge   time.Duration // of the report that this comes from
+	Imbalance   float64       // of its group
+	MaxSlowdown float64       // of its group's slowest rank
+	RateLimit   float64       // that it names; Unlimited: none
 }
 
-// Known returns what is known of a target.
-func (b *Book) Known(t *serving.Target, now time.Time) Known {
+// Snapshot returns what is known of a target.
+func (b *Tracker) Snapshot(t *serving.Target, now time.Time) TargetSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state := b.group(b.keyOf(t, now))
-	k := Known{Load: b.load(t, now), Imbalance: state.Imbalance, Pace: state.Pace, RateLimit: b.limits.rate(t.Run())}
-	if !state.At.IsZero() {
-		k.Age = now.Sub(state.At)
+	k := TargetSnapshot{Requests: b.load(t, now), Imbalance: state.Imbalance, MaxSlowdown: state.MaxSlowdown, RateLimit: b.limits.rate(t.Run())}
+	if !state.ReportedAt.IsZero() {
+		k.ReportAge = now.Sub(state.ReportedAt)
 	}
 	return k
 }
@@ -121,7 +121,7 @@
 // by the latest report. A target that the reports of its group leave out, since its
 // agent is away, counts as one like the others: if it counted as empty, all entries
 // would send to it.
-func (b *Book) load(t *serving.Target, now time.Time) int {
+func (b *Tracker) load(t *serving.Target, now time.Time) int {
 	own := 0
 	a := b.accounts[t.Run()]
 	if a != nil {
@@ -131,8 +131,8 @@
 		}
 	}
 	state := b.group(b.keyOf(t, now))
-	if now.Sub(state.At) < ReportTTL {
-		return max(own, state.Mean)
+	if now.Sub(state.ReportedAt) < ReportTTL {
+		return max(own, state.MeanRequests)
 	}
 	return own + int(state.assumed+0.5)
 }
--- a/placing/request.go
+++ b/placing/request.go
@@ -8,18 +8,18 @@
 
 // Request is what a decision needs to know of a request.
 type Request struct {
-	Arrived  time.Time
-	Priority int           // 0 is the most urgent
-	Aim      time.Duration // for the first event; 0: none
-	MaxWait  time.Duration // that the request may wait for a target
-	Size     Size
-	Events   float64   // that its answer has, as far as can be told; 0: not known
-	Deadline time.Time // the caller leaves then; zero: never
-
-	// AvoidLimited: it goes to no target that names a rate.
-	AvoidLimited bool
-	// Again: it was admitted before and not sent, so it counts neither as coming nor as admitted.
-	Again bool
+	Arrived          time.Time
+	Priority         int           // 0 is the most urgent
+	LatencyObjective time.Duration // for the first event; 0: none
+	MaxWait          time.Duration // that the request may wait for a target
+	Size             Size
+	ExpectedEvents   float64   // that its answer has, as far as can be told; 0: not known
+	Deadline         time.Time // the caller leaves then; zero: never
+
+	// AvoidRateLimited: it goes to no target that names a rate.
+	AvoidRateLimited bool
+	// Requeued: it was admitted before and not sent, so it counts neither as coming nor as admitted.
+	Requeued bool
 
 	placed time.Time // when it got its place
 	late   bool      // it was late already then
@@ -27,8 +27,8 @@
 
 // Size is the work that a request asks of a model engine.
 type Size struct {
-	Prompt float64 // tokens to read
-	Answer float64 // tokens to write, as far as can be told
+	PromptTokens float64 // tokens to read
+	OutputTokens float64 // tokens to write, as far as can be told
 }
 
 // inTimeShare of the aim for the first event may pass at the gate; the rest is what
@@ -37,8 +37,10 @@
 
 // inTime tells whether a request that waits can still have its first event in time.
 func (r *Request) inTime(now time.Time) bool {
-	return r.Aim == 0 || now.Sub(r.Arrived) < r.WaitInTime()
+	return r.LatencyObjective == 0 || now.Sub(r.Arrived) < r.MaxOnTimeWait()
 }
 
-// WaitInTime is how long the request may wait for a target and still be in time.
-func (r *Request) WaitInTime() time.Duration { return time.Duration(float64(r.Aim) * inTimeShare) }
+// MaxOnTimeWait is how long the request may wait for a target and still be in time.
+func (r *Request) MaxOnTimeWait() time.Duration {
+	return time.Duration(float64(r.LatencyObjective) * inTimeShare)
+}
--- a/placing/room.go
+++ b/placing/room.go
@@ -31,21 +31,21 @@
 
 // renew computes the share after a report, and adds to it for requests that have
 // come since. The lock must be held.
-func (b *Book) renew(l *groupLane, d demand, now time.Time) {
+func (b *Tracker) renew(l *groupLane, d demand, now time.Time) {
 	state := b.group(l.key)
-	if now.Sub(state.At) >= ReportTTL {
+	if now.Sub(state.ReportedAt) >= ReportTTL {
 		state.share = roomShare{}
 		return
 	}
 	s := &state.share
 	if !s.known {
-		room := l.most*float64(openOf(l.Targets)) - float64(state.Total)
+		room := l.most*float64(openOf(l.Targets)) - float64(state.TotalRequests)
 		coming := d.perSecond * float64(l.Entries) * reportsApart.Seconds()
-		want := float64(max(state.Wanting.InTime, d.waiting.InTime)) + coming
+		want := float64(max(state.Queued.InTime, d.waiting.InTime)) + coming
 		*s = roomShare{
 			known:    true,
 			odds:     part(room, want),
-			lateOdds: part(room-want, float64(max(state.Wanting.Late, d.waiting.Late))),
+			lateOdds: part(room-want, float64(max(state.Queued.Late, d.waiting.Late))),
 			entered:  d.entered,
 		}
 		s.left = b.rounded(s.odds * float64(d.waiting.InTime))
@@ -60,7 +60,7 @@
 func part(room, demand float64) float64 { return min(max(room/max(demand, 1), 0), 1) }
 
 // rounded returns a whole number whose mean is v.
-func (b *Book) rounded(v float64) int { return int(v + b.rng.Float64()) }
+func (b *Tracker) rounded(v float64) int { return int(v + b.rng.Float64()) }
 
 // mayGo tells whether one more request may go to a group; the lock must be held.
 //
@@ -86,7 +86,7 @@
 }
 
 // lateMayGo tells whether a request that is late already may go to some group.
-func (b *Book) lateMayGo(lanes []groupLane) bool {
+func (b *Tracker) lateMayGo(lanes []groupLane) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(lanes) == 0 {
@@ -109,7 +109,7 @@
 
 // reserve books a try at the target with the least work that runs fewer requests than its
 // group bears; nil if there is none, or if this entry's shares of the room are used.
-func (b *Book) reserve(lanes []groupLane, r *Request, now time.Time) *serving.Target {
+func (b *Tracker) reserve(lanes []groupLane, r *Request, now time.Time) *serving.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range lanes {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (b *Book) reserveIn(l *groupLane, r *Request, now time.Time) *serving.Target {
+func (b *Tracker) reserveIn(l *groupLane, r *Request, now time.Time) *serving.Target {
 	state := b.group(l.key)
 	late := !r.inTime(now)
 	if !state.share.mayGo(late) || state.breaker.closed(now) {
--- a/placing/short.go
+++ b/placing/short.go
@@ -45,6 +45,8 @@
 	return now.Sub(s.since)
 }
 
-// ComeBack returns when the caller of a group that has been short for a time does best to
+// ShortageRetryAfter returns when the caller of a group that has been short for a time does best to
 // come back: nobody knows when the missing engines start.
-func ComeBack(short time.Duration) time.Duration { return min(max(short, minShort), maxShort) }
+func ShortageRetryAfter(short time.Duration) time.Duration {
+	return min(max(short, minShort), maxShort)
+}
--- a/placing/short_test.go
+++ b/placing/short_test.go
@@ -19,16 +19,16 @@
 	b := testBook()
 	targets := plainTargets("a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l")
 	look := func(at time.Time, running int) time.Duration {
-		b.GroupSize("p", "", 12, at)
-		b.lanes(Lane{Service: &serving.Service{Name: "p", Engine: testModel()}, Targets: targets[:running]}, at)
-		b.GroupRefused(targets[0], at)
-		_, short := b.Broken("p", at)
+		b.SetGroupSize("p", "", 12, at)
+		b.lanes(TargetPool{Service: &serving.Service{Name: "p", Engine: testModel()}, Targets: targets[:running]}, at)
+		b.RecordGroupRefusal(targets[0], at)
+		_, short := b.IsServiceDown("p", at)
 		return short
 	}
 	g.Expect(look(start, 10)).To(BeZero())
 	g.Expect(look(start.Add(time.Second), 10)).To(BeZero(), "its engines may just be starting")
 	g.Expect(look(start.Add(6*time.Second), 10)).To(Equal(6 * time.Second))
-	g.Expect(ComeBack(6 * time.Second)).To(Equal(6 * time.Second))
+	g.Expect(ShortageRetryAfter(6 * time.Second)).To(Equal(6 * time.Second))
 	g.Expect(look(start.Add(7*time.Second), 12)).To(BeZero(), "all engines are there, the group is being formed")
 }
 
@@ -45,11 +45,11 @@
 	g.Expect(s.lasting(start.Add(8 * time.Second))).To(BeZero())
 
 	b := testBook()
-	b.GroupSize("p", "", 12, start)
-	l := Lane{Service: &serving.Service{Name: "p", Engine: testModel()}, Targets: plainTargets("a")}
+	b.SetGroupSize("p", "", 12, start)
+	l := TargetPool{Service: &serving.Service{Name: "p", Engine: testModel()}, Targets: plainTargets("a")}
 	b.lanes(l, start)
 	b.lanes(l, start.Add(4*time.Second))
-	broken, short := b.Broken("p", start.Add(4*time.Second))
+	broken, short := b.IsServiceDown("p", start.Add(4*time.Second))
 	g.Expect(broken).To(BeFalse())
 	g.Expect(short).To(BeZero(), "no engine refuses")
 }
--- a/placing/slow_test.go
+++ b/placing/slow_test.go
@@ -23,17 +23,17 @@
 	for i := range 4 {
 		address := fmt.Sprintf("x%d", i)
 		targets = append(targets, &serving.Target{ID: address, Service: "s", Address: address, DataCentre: "a"})
-		loads[address] = RankLoad{Running: 5, Pace: 1}
+		loads[address] = RankLoad{Running: 5, Slowdown: 1}
 	}
 	report := func(slow ...int) {
 		for i, t := range targets {
-			l := RankLoad{Running: 5, Pace: 1}
+			l := RankLoad{Running: 5, Slowdown: 1}
 			if slices.Contains(slow, i) {
-				l = RankLoad{Pace: 12}
+				l = RankLoad{Slowdown: 12}
 			}
 			loads[t.Address] = l
 		}
-		b.Reported("s", targets, loads, NewGroupState(loads, 1.2, 1.2, Waiting{}, now))
+		b.ApplyLoadReport("s", targets, loads, NewGroupState(loads, 1.2, 1.2, QueueCounts{}, now))
 	}
 	report(2)
 	g.Expect(b.withoutSlow(targets, now)).To(Equal([]*serving.Target{targets[0], targets[1], targets[3]}))
@@ -49,16 +49,16 @@
 // again, or nothing is known of them any more.
 func TestWhoCannotFinishIsToldOnArrival(t *testing.T) {
 	g := NewWithT(t)
-	gt := new(Gate)
+	gt := new(AdmissionQueue)
 	now := time.Now()
 	enter := func(events float64) (time.Duration, bool) {
 		r := waiting(1, now)
-		r.Events, r.Deadline = events, now.Add(8*time.Second)
+		r.ExpectedEvents, r.Deadline = events, now.Add(8*time.Second)
 		return gt.CanFinish(r, now)
 	}
 	pauses := func(pause time.Duration) {
 		for range 4 * paceWeight {
-			gt.Paused(pause, now)
+			gt.RecordEventGap(pause, now)
 		}
 	}
 	pauses(500 * time.Millisecond)
--- a/route/blocks.go
+++ b/route/blocks.go
@@ -14,10 +14,10 @@
 	blockBytes  = BlockTokens * bytesPerToken
 )
 
-// Blocks appends the chained hashes of a prompt's whole blocks to into. Each
+// BlockHashes appends the chained hashes of a prompt's whole blocks to into. Each
 // hash covers all text up to its block. The team is the salt: a team that sends
 // another's text finds nothing, so its waits tell nothing about that text.
-func Blocks(team string, prompt []byte, into []uint64) []uint64 {
+func BlockHashes(team string, prompt []byte, into []uint64) []uint64 {
 	chain := xxhash.Sum64String(team)
 	var seed [8]byte
 	var d xxhash.Digest
--- a/route/cacheindex.go
+++ b/route/cacheindex.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Clear forgets a target: its engine is new.
-func (x *CacheIndex) Clear(target int) {
+// RemoveTarget forgets a target: its engine is new.
+func (x *CacheIndex) RemoveTarget(target int) {
 	for i := range x.sets {
 		for w := range x.sets[i].masks {
 			x.sets[i].masks[w] &^= 1 << target
@@ -90,10 +90,10 @@
 	x.trust[target], x.next[target] = 1, 0
 }
 
-// Batch takes the sequence number of a batch of events and reports whether the
+// AcceptBatch takes the sequence number of a batch of events and reports whether the
 // batch is new. A gap lowers the trust in the target; a batch that came before
 // is not new.
-func (x *CacheIndex) Batch(target int, seq uint64) bool {
+func (x *CacheIndex) AcceptBatch(target int, seq uint64) bool {
 	want := x.next[target]
 	if want != 0 && seq < want {
 		return false
@@ -107,12 +107,12 @@
 	return true
 }
 
-// Trust returns the trust in a target's events, from 0 to 1.
-func (x *CacheIndex) Trust(target int) float64 { return x.trust[target] }
+// Confidence returns the trust in a target's events, from 0 to 1.
+func (x *CacheIndex) Confidence(target int) float64 { return x.trust[target] }
 
-// Tokens returns how many leading tokens a target is believed to hold,
+// CachedTokens returns how many leading tokens a target is believed to hold,
 // discounted by trust.
-func (x *CacheIndex) Tokens(target int, blocks []uint64) float64 {
+func (x *CacheIndex) CachedTokens(target int, blocks []uint64) float64 {
 	n := 0
 	for _, block := range blocks {
 		if x.mask(block)&(1<<target) == 0 {
@@ -123,9 +123,9 @@
 	return float64(n*BlockTokens) * x.trust[target]
 }
 
-// Longest writes targets that hold the longest beginning of the blocks, and
+// LongestMatch writes targets that hold the longest beginning of the blocks, and
 // returns how many it wrote. Of several, rnd decides.
-func (x *CacheIndex) Longest(blocks []uint64, rnd uint64, into []int) int {
+func (x *CacheIndex) LongestMatch(blocks []uint64, rnd uint64, into []int) int {
 	held := ^uint64(0)
 	depth := 0
 	for _, block := range blocks {
--- a/route/cost.go
+++ b/route/cost.go
@@ -8,12 +8,12 @@
 	Decode float64 // tokens to generate
 }
 
-// PromptPrice is what a prompt token costs in generated tokens: engines compute
+// PromptTokenWeight is what a prompt token costs in generated tokens: engines compute
 // prompts many tokens a step.
-const PromptPrice = 0.1
+const PromptTokenWeight = 0.1
 
-// Price returns one figure for shares and limits, in generated tokens.
-func (c Cost) Price() float64 { return c.Prompt*PromptPrice + c.Decode }
+// DecodeEquivalent returns one figure for shares and limits, in generated tokens.
+func (c Cost) DecodeEquivalent() float64 { return c.Prompt*PromptTokenWeight + c.Decode }
 
 // PlainCost is the cost of a request of a plain service.
 var PlainCost = Cost{Decode: 1}
@@ -38,9 +38,9 @@
 
 var eventMark = []byte("data:")
 
-// CountTokens estimates the tokens in a piece of an answer: one for each event
+// EstimateTokens estimates the tokens in a piece of an answer: one for each event
 // of a stream, else by bytes. streamed tells which.
-func CountTokens(piece []byte) (n int, streamed bool) {
+func EstimateTokens(piece []byte) (n int, streamed bool) {
 	if n := bytes.Count(piece, eventMark); n > 0 {
 		return n, true
 	}
--- a/route/eject.go
+++ b/route/eject.go
@@ -29,8 +29,8 @@
 // NewEjector returns an Ejector that knows no target.
 func NewEjector[T comparable]() *Ejector[T] { return &Ejector[T]{targets: make(map[T]*health)} }
 
-// Report books the end of one try.
-func (j *Ejector[T]) Report(target T, ok bool, now time.Time) {
+// RecordResult books the end of one try.
+func (j *Ejector[T]) RecordResult(target T, ok bool, now time.Time) {
 	h := j.targets[target]
 	switch {
 	case ok && h == nil:
@@ -65,8 +65,8 @@
 	h.times++
 }
 
-// Hold keeps a target out for the shortest time from now on.
-func (j *Ejector[T]) Hold(target T, now time.Time) {
+// EjectMinimum keeps a target out for the shortest time from now on.
+func (j *Ejector[T]) EjectMinimum(target T, now time.Time) {
 	h := j.targets[target]
 	if h == nil {
 		h = new(health)
@@ -77,12 +77,12 @@
 	}
 }
 
-// Skip returns the targets to keep out of one placement. draw gives a number in
+// Excluded returns the targets to keep out of one placement. draw gives a number in
 // [0,1) for each target that is coming back: its share grows from a tenth to the
 // whole, so that a target that is not well yet fails few requests. At most half
 // of the targets are kept out: if more fail, the cause is not in them, and the
 // rest would break under the load of all.
-func (j *Ejector[T]) Skip(names []T, now time.Time, draw func() float64) map[T]bool {
+func (j *Ejector[T]) Excluded(names []T, now time.Time, draw func() float64) map[T]bool {
 	skip := make(map[T]bool)
 	if len(j.targets) == 0 {
 		return skip
--- a/route/fairqueue.go
+++ b/route/fairqueue.go
@@ -57,11 +57,11 @@
 
 // FairItem is one waiting request. It belongs to the caller.
 type FairItem struct {
-	Team     string
-	Weight   float64
-	Priority int8
-	Price    float64 // estimated cost in tokens
-	Value    any
+	Team      string
+	Weight    float64
+	Priority  int8
+	TokenCost float64 // estimated cost in tokens
+	Value     any
 
 	order uint64
 	index int // in its team, -1 if it does not wait
@@ -75,8 +75,8 @@
 // Len returns how many requests wait.
 func (q *FairQueue) Len() int { return q.length }
 
-// Price returns the cost of all waiting requests.
-func (q *FairQueue) Price() float64 { return q.price }
+// QueuedCost returns the cost of all waiting requests.
+func (q *FairQueue) QueuedCost() float64 { return q.price }
 
 // Push adds a request.
 func (q *FairQueue) Push(now time.Duration, it *FairItem) {
@@ -85,8 +85,8 @@
 	q.order++
 	it.order = q.order
 	heap.Push(&t.items, it)
-	t.price += it.Price
-	q.price += it.Price
+	t.price += it.TokenCost
+	q.price += it.TokenCost
 	q.length++
 	if t.index < 0 {
 		t.start = max(t.start, q.earliest(t.weight))
@@ -108,31 +108,33 @@
 	t := q.heads[0]
 	it := heap.Pop(&t.items).(*FairItem)
 	q.took(t, it)
-	t.serve(now, it.Price)
+	t.serve(now, it.TokenCost)
 	q.now = max(q.now, t.start)
-	t.start += it.Price / t.weight
+	t.start += it.TokenCost / t.weight
 	q.settle(t)
 	return it
 }
 
-// Behind tells whether the next request is of a team that has had less than its
+// HeadIsUnderserved tells whether the next request is of a team that has had less than its
 // share, while another waits or has waited with more.
-func (q *FairQueue) Behind() bool {
+func (q *FairQueue) HeadIsUnderserved() bool {
 	return len(q.heads) > 0 && q.heads[0].start < q.now
 }
 
-// First tells whether a new request of a team would be the next one, with a
+// WouldBeNext tells whether a new request of a team would be the next one, with a
 // right to what is kept for teams that have had less than their share.
-func (q *FairQueue) First(team string, weight float64) bool {
+func (q *FairQueue) WouldBeNext(team string, weight float64) bool {
 	if q.length == 0 {
 		return true
 	}
 	t := q.teams[team]
-	return (t == nil || t.index < 0) && q.Owed(team, weight) && q.due(team, weight) < q.heads[0].start
+	return (t == nil || t.index < 0) && q.IsUnderserved(team, weight) && q.due(team, weight) < q.heads[0].start
 }
 
-// Owed tells whether a team has had less than its share.
-func (q *FairQueue) Owed(team string, weight float64) bool { return q.due(team, weight) < q.now }
+// IsUnderserved tells whether a team has had less than its share.
+func (q *FairQueue) IsUnderserved(team string, weight float64) bool {
+	return q.due(team, weight) < q.now
+}
 
 // due returns the start tag of a team's next request.
 func (q *FairQueue) due(team string, weight float64) float64 {
@@ -165,12 +167,12 @@
 	}
 }
 
-// Wait returns how many seconds a new request of a team would wait here if the
+// WaitSeconds returns how many seconds a new request of a team would wait here if the
 // target serves speed in price a second. A team that has waited for a while goes
 // by what it got; else its own waiting requests are before it and, for each other
 // team, the smaller of what it has waiting and what its weight entitles it to
 // meanwhile.
-func (q *FairQueue) Wait(team string, weight float64, priority int8, speed float64) float64 {
+func (q *FairQueue) WaitSeconds(team string, weight float64, priority int8, speed float64) float64 {
 	own, due := 0.0, q.earliest(weight)
 	if t := q.teams[team]; t != nil {
 		due = max(due, t.start)
@@ -194,15 +196,15 @@
 	sum := 0.0
 	for _, it := range t.items {
 		if it.Priority >= priority {
-			sum += it.Price
+			sum += it.TokenCost
 		}
 	}
 	return sum
 }
 
-// Forget drops the state of teams that neither wait nor are ahead of their
+// EvictIdleTeams drops the state of teams that neither wait nor are ahead of their
 // share. Call it now and then; its cost is the number of teams held.
-func (q *FairQueue) Forget() {
+func (q *FairQueue) EvictIdleTeams() {
 	for name, t := range q.teams {
 		if t.index < 0 && t.start <= q.earliest(t.weight) {
 			delete(q.teams, name)
@@ -210,8 +212,8 @@
 	}
 }
 
-// Teams returns how many teams have state here.
-func (q *FairQueue) Teams() int { return len(q.teams) }
+// TeamCount returns how many teams have state here.
+func (q *FairQueue) TeamCount() int { return len(q.teams) }
 
 func (q *FairQueue) team(name string) *fairTeam {
 	t := q.teams[name]
@@ -223,8 +225,8 @@
 }
 
 func (q *FairQueue) took(t *fairTeam, it *FairItem) {
-	t.price -= it.Price
-	q.price -= it.Price
+	t.price -= it.TokenCost
+	q.price -= it.TokenCost
 	q.length--
 	if q.length == 0 {
 		q.price = 0 // rounding errors don't add up
--- a/route/filter.go
+++ b/route/filter.go
@@ -5,5 +5,5 @@
 
 // Keep implements Filter.
 func (Usable) Keep(r *Request, t *Target) bool {
-	return t.Linked && !t.Leaving && t.EngineUp && !t.Ejected && !r.Avoid[t.Name]
+	return t.Reachable && !t.Leaving && t.EngineUp && !t.Ejected && !r.Avoid[t.Name]
 }
--- a/route/gate.go
+++ b/route/gate.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Gate decides at one target which requests run, wait or are refused. It sits
+// AdmissionQueue decides at one target which requests run, wait or are refused. It sits
 // where all requests of the target pass, so its counts are exact: shares between
 // teams hold over all entries without any of them knowing the others' demand.
 // It keeps the engine's own queue empty, since nothing can be reordered there.
-type Gate struct {
+type AdmissionQueue struct {
 	slots    int
 	queue    *FairQueue
 	limit    int
@@ -14,7 +14,7 @@
 	prompt   float64 // tokens not yet computed, waiting requests included
 	decode   float64 // tokens still to generate, waiting requests included
 	inEngine float64 // prompt tokens in the engine, not yet computed
-	speed    Speed
+	speed    SpeedEstimator
 	fresh    float64 // tokens generated since the speed was told
 	started  int
 	open     []*Job           // in the engine, prompt not yet computed, in the order of start
@@ -24,10 +24,10 @@
 // Job is one request at a gate.
 type Job struct {
 	FairItem
-	Cost  Cost
-	Peer  string // entry that sent it
-	Owner any    // the caller's own
-	Late  bool   // taken out of the queue since its deadline can't be met any more
+	Cost     Cost
+	Peer     string // entry that sent it
+	UserData any    // the caller's own
+	Expired  bool   // taken out of the queue since its deadline can't be met any more
 
 	deadline time.Duration
 
@@ -37,7 +37,7 @@
 	ahead float64       // prompt tokens up to its own at its start
 	first bool          // its first token was seen
 	done  float64       // tokens generated
-	left  float64       // its part of Gate.decode
+	left  float64       // its part of AdmissionQueue.decode
 }
 
 // Admission is what a gate says to a request.
@@ -45,50 +45,50 @@
 
 // Admissions.
 const (
-	AdmitRun      Admission = iota // take it from Next
-	AdmitTooLong                   // the wait is longer than the entry allows; another target may be better
-	AdmitDeadline                  // the deadline can't be met
-	AdmitFull                      // the queue is full
+	Admitted         Admission = iota // take it from Next
+	RejectedWait                      // the wait is longer than the entry allows; another target may be better
+	RejectedDeadline                  // the deadline can't be met
+	RejectedFull                      // the queue is full
 )
 
-// Offer bounds what a request accepts; zero means no bound.
-type Offer struct {
-	Left    time.Duration // until its deadline
-	MaxWait time.Duration // for its first token
+// AdmissionBounds bounds what a request accepts; zero means no bound.
+type AdmissionBounds struct {
+	TimeLeft time.Duration // until its deadline
+	MaxWait  time.Duration // for its first token
 }
 
-// NewGate returns a gate for an engine that decodes slots requests at once, with
+// NewAdmissionQueue returns a gate for an engine that decodes slots requests at once, with
 // room for limit waiting ones.
-func NewGate(slots, limit int) *Gate {
-	return &Gate{slots: slots, limit: limit, queue: NewFairQueue(), peers: make(map[string]*Work)}
+func NewAdmissionQueue(slots, limit int) *AdmissionQueue {
+	return &AdmissionQueue{slots: slots, limit: limit, queue: NewFairQueue(), peers: make(map[string]*Work)}
 }
 
 // Running returns how many requests are in the engine.
-func (g *Gate) Running() int { return g.running }
+func (g *AdmissionQueue) Running() int { return g.running }
 
 // Queued returns how many requests wait.
-func (g *Gate) Queued() int { return g.queue.Len() }
+func (g *AdmissionQueue) Queued() int { return g.queue.Len() }
 
-// Wait returns the expected time until the job's first token, if it came now.
-func (g *Gate) Wait(j *Job) time.Duration {
+// ExpectedWait returns the expected time until the job's first token, if it came now.
+func (g *AdmissionQueue) ExpectedWait(j *Job) time.Duration {
 	base, perSec := g.speed.Prefill()
 	prefill := (g.inEngine + j.Cost.Prompt) / orDefault(perSec, defaultPrefill)
 	return seconds(base + prefill + g.slotWait(j))
 }
 
-func (g *Gate) slotWait(j *Job) float64 {
-	if g.running < g.slots && g.queue.First(j.Team, j.Weight) {
+func (g *AdmissionQueue) slotWait(j *Job) float64 {
+	if g.running < g.slots && g.queue.WouldBeNext(j.Team, j.Weight) {
 		return 0
 	}
 	speed := orDefault(g.speed.TokensPerSec(g.slots), defaultTokens)
 	rest := g.decode / float64(max(1, g.running+g.queue.Len()))
-	return g.ends(j)*rest/speed + g.queue.Wait(j.Team, j.Weight, j.Priority, speed)
+	return g.ends(j)*rest/speed + g.queue.WaitSeconds(j.Team, j.Weight, j.Priority, speed)
 }
 
 // ends returns how many running requests must end before the job may start, if
 // nothing waited.
-func (g *Gate) ends(j *Job) float64 {
-	if g.queue.Teams() < 2 || g.queue.Owed(j.Team, j.Weight) {
+func (g *AdmissionQueue) ends(j *Job) float64 {
+	if g.queue.TeamCount() < 2 || g.queue.IsUnderserved(j.Team, j.Weight) {
 		return 1
 	}
 	free := g.slots - g.running
@@ -99,29 +99,29 @@
 
 // Offer takes a job into the queue, or says why not. Whatever it says is
 // final and at once.
-func (g *Gate) Offer(now time.Duration, j *Job, o Offer) (Admission, time.Duration) {
-	wait := g.Wait(j)
+func (g *AdmissionQueue) Offer(now time.Duration, j *Job, o AdmissionBounds) (Admission, time.Duration) {
+	wait := g.ExpectedWait(j)
 	if g.idle() {
 		o.MaxWait = 0 // nothing is gained by refusing, and the speed may be known wrongly
 	}
 	switch {
 	case o.MaxWait > 0 && wait > o.MaxWait:
-		return AdmitTooLong, wait
-	case o.Left > 0 && !g.idle() && wait+g.runTime(j) > o.Left:
-		return AdmitDeadline, wait
+		return RejectedWait, wait
+	case o.TimeLeft > 0 && !g.idle() && wait+g.runTime(j) > o.TimeLeft:
+		return RejectedDeadline, wait
 	case g.queue.Len() >= g.limit:
-		return AdmitFull, wait
+		return RejectedFull, wait
 	}
-	j.Price, j.Value = j.Cost.Price(), j
-	if o.Left > 0 {
-		j.deadline = now + o.Left
+	j.TokenCost, j.Value = j.Cost.DecodeEquivalent(), j
+	if o.TimeLeft > 0 {
+		j.deadline = now + o.TimeLeft
 	}
 	g.queue.Push(now, &j.FairItem)
 	g.book(j)
-	return AdmitRun, wait
+	return Admitted, wait
 }
 
-func (g *Gate) book(j *Job) {
+func (g *AdmissionQueue) book(j *Job) {
 	w := g.peers[j.Peer]
 	if w == nil {
 		w = new(Work)
@@ -136,7 +136,7 @@
 }
 
 // unbook takes what is left of a job out of the books.
-func (g *Gate) unbook(j *Job) {
+func (g *AdmissionQueue) unbook(j *Job) {
 	g.prefilled(j)
 	j.work.Requests--
 	g.generated(j, j.left)
@@ -148,7 +148,7 @@
 	}
 }
 
-func (g *Gate) prefilled(j *Job) {
+func (g *AdmissionQueue) prefilled(j *Job) {
 	if j.first {
 		return
 	}
@@ -157,7 +157,7 @@
 	j.work.Prompt -= j.Cost.Prompt
 }
 
-func (g *Gate) generated(j *Job, n float64) {
+func (g *AdmissionQueue) generated(j *Job, n float64) {
 	n = min(n, j.left)
 	j.left -= n
 	g.decode -= n
@@ -167,10 +167,10 @@
 // idle tells whether the target has no work. An idle target takes every request:
 // if its speed was learnt wrongly, as after a stall, refusing by it would leave it
 // without the work by which it learns, and refusing for ever.
-func (g *Gate) idle() bool { return g.running == 0 && g.queue.Len() == 0 }
+func (g *AdmissionQueue) idle() bool { return g.running == 0 && g.queue.Len() == 0 }
 
 // runTime returns how long a job takes in a full engine.
-func (g *Gate) runTime(j *Job) time.Duration {
+func (g *AdmissionQueue) runTime(j *Job) time.Duration {
 	perSlot := g.speed.TokensPerSec(1)
 	if perSlot == 0 {
 		return 0
@@ -179,9 +179,9 @@
 }
 
 // Next takes the next job out of the queue, nil if none may start now. A job
-// that is Late is not started: its deadline can no longer be met, and running it
+// that is Expired is not started: its deadline can no longer be met, and running it
 // would cost others theirs.
-func (g *Gate) Next(now time.Duration) *Job {
+func (g *AdmissionQueue) Next(now time.Duration) *Job {
 	if !g.mayStart() {
 		return nil
 	}
@@ -191,8 +191,8 @@
 	}
 	j := it.Value.(*Job)
 	if j.deadline > 0 && g.running > 0 && now+g.runTime(j) > j.deadline {
-		j.Late = true
-		g.queue.Charge(j.Team, j.Weight, -j.Price)
+		j.Expired = true
+		g.queue.Charge(j.Team, j.Weight, -j.TokenCost)
 		g.unbook(j)
 		return j
 	}
@@ -202,7 +202,7 @@
 	j.began, j.ahead = now, g.inEngine
 	g.open = append(g.open, j)
 	if g.started++; g.started%forgetEvery == 0 {
-		g.queue.Forget()
+		g.queue.EvictIdleTeams()
 	}
 	return j
 }
@@ -217,12 +217,12 @@
 )
 
 // mayStart tells whether the engine has room for the next job of the queue.
-func (g *Gate) mayStart() bool {
+func (g *AdmissionQueue) mayStart() bool {
 	free := g.slots - g.running
 	if free <= 0 {
 		return false
 	}
-	if g.queue.Teams() < 2 || g.queue.Behind() {
+	if g.queue.TeamCount() < 2 || g.queue.HeadIsUnderserved() {
 		return true
 	}
 	_, perSec := g.speed.Prefill()
@@ -232,8 +232,8 @@
 // forgetEvery is how many starts lie between two looks for teams to forget.
 const forgetEvery = 1024
 
-// Leave takes a waiting job out; false: it does not wait.
-func (g *Gate) Leave(j *Job) bool {
+// Remove takes a waiting job out; false: it does not wait.
+func (g *AdmissionQueue) Remove(j *Job) bool {
 	if !g.queue.Remove(&j.FairItem) {
 		return false
 	}
@@ -241,13 +241,13 @@
 	return true
 }
 
-// Tokens takes the tokens that a running job has generated since the last call.
+// RecordTokens takes the tokens that a running job has generated since the last call.
 // streamed tells that they come as they are generated: only then does the first
 // one tell how fast the engine is.
-func (g *Gate) Tokens(now time.Duration, j *Job, n float64, streamed bool) {
+func (g *AdmissionQueue) RecordTokens(now time.Duration, j *Job, n float64, streamed bool) {
 	if !j.first {
 		if streamed {
-			g.speed.FirstToken(j.ahead, now-j.began)
+			g.speed.RecordFirstToken(j.ahead, now-j.began)
 		}
 		g.computed(j)
 	}
@@ -259,7 +259,7 @@
 // computed notes that a job's prompt has been computed, and with it those of all
 // jobs that started before: engines compute prompts in the order of their start,
 // and a job that is not streamed shows nothing until its end.
-func (g *Gate) computed(j *Job) {
+func (g *AdmissionQueue) computed(j *Job) {
 	for i, o := range g.open {
 		if o != j {
 			continue
@@ -273,8 +273,8 @@
 	}
 }
 
-// End takes a running job out; whole: its answer was complete.
-func (g *Gate) End(now time.Duration, j *Job, whole bool) {
+// Finish takes a running job out; whole: its answer was complete.
+func (g *AdmissionQueue) Finish(now time.Duration, j *Job, whole bool) {
 	g.tell(now)
 	g.leaveOpen(j)
 	g.running--
@@ -283,14 +283,14 @@
 	}
 	g.unbook(j)
 	if whole {
-		g.speed.Answer(j.done)
+		g.speed.RecordAnswer(j.done)
 	}
 	g.queue.Charge(j.Team, j.Weight, j.done-j.Cost.Decode)
 }
 
 // leaveOpen takes a job that ends before its first token out of the prompts to
 // compute.
-func (g *Gate) leaveOpen(j *Job) {
+func (g *AdmissionQueue) leaveOpen(j *Job) {
 	for i, o := range g.open {
 		if o == j {
 			g.inEngine -= j.Cost.Prompt
@@ -300,45 +300,45 @@
 	}
 }
 
-func (g *Gate) tell(now time.Duration) {
-	g.speed.Running(now, g.running, g.fresh)
+func (g *AdmissionQueue) tell(now time.Duration) {
+	g.speed.RecordRunning(now, g.running, g.fresh)
 	g.fresh = 0
 }
 
-// Account is a gate's state for a load report.
-type Account struct {
-	Total, Mine   Work // of all entries; of the one that the report is for
-	Queued        int  // part of Total that waits
-	Slots         int
-	StepWait      float64 // seconds to a first token that don't depend on prompts
-	PrefillPerSec float64
-	TokensPerSec  float64
-	AnswerTokens  float64 // mean length of answers
+// LoadReport is a gate's state for a load report.
+type LoadReport struct {
+	Total, FromReceiver Work // of all entries; of the one that the report is for
+	Queued              int  // part of Total that waits
+	Slots               int
+	FirstTokenBaseSec   float64 // seconds to a first token that don't depend on prompts
+	PrefillPerSec       float64
+	TokensPerSec        float64
+	AnswerTokens        float64 // mean length of answers
 }
 
-// Account returns the state now, as told to one entry.
-func (g *Gate) Account(peer string) Account {
+// LoadReport returns the state now, as told to one entry.
+func (g *AdmissionQueue) LoadReport(peer string) LoadReport {
 	base, perSec := g.speed.Prefill()
-	a := Account{
-		Total:         Work{Requests: float64(g.running + g.queue.Len()), Prompt: g.prompt, Decode: g.decode},
-		Queued:        g.queue.Len(),
-		Slots:         g.slots,
-		StepWait:      base,
-		PrefillPerSec: perSec,
-		TokensPerSec:  g.speed.TokensPerSec(g.slots),
-		AnswerTokens:  g.speed.AnswerTokens(),
+	a := LoadReport{
+		Total:             Work{Requests: float64(g.running + g.queue.Len()), Prompt: g.prompt, Decode: g.decode},
+		Queued:            g.queue.Len(),
+		Slots:             g.slots,
+		FirstTokenBaseSec: base,
+		PrefillPerSec:     perSec,
+		TokensPerSec:      g.speed.TokensPerSec(g.slots),
+		AnswerTokens:      g.speed.AnswerTokens(),
 	}
 	if w := g.peers[peer]; w != nil {
-		a.Mine = *w
+		a.FromReceiver = *w
 	}
 	return a
 }
 
 // Others returns the work of other entries.
-func (a *Account) Others() Work {
+func (a *LoadReport) Others() Work {
 	return Work{
-		Requests: max(0, a.Total.Requests-a.Mine.Requests),
-		Prompt:   max(0, a.Total.Prompt-a.Mine.Prompt),
-		Decode:   max(0, a.Total.Decode-a.Mine.Decode),
+		Requests: max(0, a.Total.Requests-a.FromReceiver.Requests),
+		Prompt:   max(0, a.Total.Prompt-a.FromReceiver.Prompt),
+		Decode:   max(0, a.Total.Decode-a.FromReceiver.Decode),
 	}
 }
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -12,7 +12,7 @@
 )
 
 func item(team string, weight float64, priority int8, price float64) *route.FairItem {
-	return &route.FairItem{Team: team, Weight: weight, Priority: priority, Price: price}
+	return &route.FairItem{Team: team, Weight: weight, Priority: priority, TokenCost: price}
 }
 
 // Two teams that always wait get tokens in the proportion of their weights,
@@ -36,7 +36,7 @@
 		push("b")
 		for range 4000 {
 			it := q.Pop(0)
-			got[it.Team] += it.Price
+			got[it.Team] += it.TokenCost
 			push(it.Team)
 		}
 		share := got["a"] / (got["a"] + got["b"])
@@ -51,8 +51,8 @@
 	q.Push(0, item("a", 1, 0, 10))
 	q.Push(0, item("a", 1, 5, 10))
 	q.Push(0, item("a", 1, 5, 20))
-	g.Expect(q.Pop(0).Price).To(Equal(10.0))
-	g.Expect(q.Pop(0).Price).To(Equal(20.0))
+	g.Expect(q.Pop(0).TokenCost).To(Equal(10.0))
+	g.Expect(q.Pop(0).TokenCost).To(Equal(20.0))
 	g.Expect(q.Pop(0).Priority).To(Equal(int8(0)))
 	g.Expect(q.Pop(0)).To(BeNil())
 }
@@ -62,20 +62,20 @@
 // less than its share.
 func TestSmallTeamGoesFirst(t *testing.T) {
 	g := NewWithT(t)
-	gate := route.NewGate(4, 1000)
+	gate := route.NewAdmissionQueue(4, 1000)
 	var running []*route.Job
 	for range 200 {
-		said, _ := gate.Offer(0, job("large"), route.Offer{})
-		g.Expect(said).To(Equal(route.AdmitRun))
+		said, _ := gate.Offer(0, job("large"), route.AdmissionBounds{})
+		g.Expect(said).To(Equal(route.Admitted))
 		if j := gate.Next(0); j != nil {
 			running = append(running, j)
 		}
 	}
 	small := job("small")
-	gate.Offer(0, small, route.Offer{})
+	gate.Offer(0, small, route.AdmissionBounds{})
 	g.Expect(gate.Next(0)).To(BeNil(), "all slots are busy")
-	gate.Tokens(time.Second, running[0], 100, true)
-	gate.End(time.Second, running[0], true)
+	gate.RecordTokens(time.Second, running[0], 100, true)
+	gate.Finish(time.Second, running[0], true)
 	g.Expect(gate.Next(time.Second)).To(BeIdenticalTo(small))
 }
 
@@ -91,7 +91,7 @@
 func TestGateBooksReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		gate := route.NewGate(3, 20)
+		gate := route.NewAdmissionQueue(3, 20)
 		var waiting, running []*route.Job
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -100,43 +100,43 @@
 			case 0, 1:
 				j := &route.Job{Cost: route.Cost{Prompt: rapid.Float64Range(0, 900).Draw(t, "prompt"), Decode: 50}, Peer: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "peer"))}
 				j.Team, j.Weight = fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")), 1
-				if said, _ := gate.Offer(now, j, route.Offer{Left: time.Second}); said == route.AdmitRun {
+				if said, _ := gate.Offer(now, j, route.AdmissionBounds{TimeLeft: time.Second}); said == route.Admitted {
 					waiting = append(waiting, j)
 				}
 			case 2:
 				if len(running) > 0 {
-					gate.Tokens(now, running[len(running)/2], 7, true)
+					gate.RecordTokens(now, running[len(running)/2], 7, true)
 				}
 			case 3:
 				if len(running) > 0 {
 					at := len(running) / 2
-					gate.End(now, running[at], at%2 == 0)
+					gate.Finish(now, running[at], at%2 == 0)
 					running = append(running[:at], running[at+1:]...)
 				}
 			case 4:
-				if len(waiting) > 0 && gate.Leave(waiting[0]) {
+				if len(waiting) > 0 && gate.Remove(waiting[0]) {
 					waiting = waiting[1:]
 				}
 			}
 			for j := gate.Next(now); j != nil; j = gate.Next(now) {
 				waiting = remove(waiting, j)
-				if !j.Late {
+				if !j.Expired {
 					running = append(running, j)
 				}
 			}
-			a := gate.Account("0")
+			a := gate.LoadReport("0")
 			g.Expect(a.Total.Requests).To(BeNumerically("==", len(waiting)+len(running)))
 			g.Expect(gate.Running()).To(BeNumerically("<=", 3))
 		}
 		for _, j := range running {
-			gate.End(now, j, false)
+			gate.Finish(now, j, false)
 		}
 		for _, j := range waiting {
-			g.Expect(gate.Leave(j)).To(BeTrue())
+			g.Expect(gate.Remove(j)).To(BeTrue())
 		}
-		a := gate.Account("0")
+		a := gate.LoadReport("0")
 		g.Expect(a.Total).To(Equal(route.Work{}))
-		g.Expect(a.Mine).To(Equal(route.Work{}))
+		g.Expect(a.FromReceiver).To(Equal(route.Work{}))
 	})
 }
 
@@ -153,20 +153,20 @@
 // met hears so at once and before it waits; one with enough time is taken.
 func TestDeadlineIsRefusedBeforeQueueing(t *testing.T) {
 	g := NewWithT(t)
-	gate := route.NewGate(2, 1000)
+	gate := route.NewAdmissionQueue(2, 1000)
 	for range 100 {
 		j := &route.Job{Cost: route.Cost{Decode: 1000}, Peer: "entry"}
 		j.Team, j.Weight = "a", 1
-		gate.Offer(0, j, route.Offer{})
+		gate.Offer(0, j, route.AdmissionBounds{})
 		gate.Next(0)
 	}
 	late := &route.Job{Cost: route.Cost{Decode: 10}, Peer: "entry"}
 	late.Team, late.Weight = "a", 1
-	said, wait := gate.Offer(0, late, route.Offer{Left: time.Second})
-	g.Expect(said).To(Equal(route.AdmitDeadline))
+	said, wait := gate.Offer(0, late, route.AdmissionBounds{TimeLeft: time.Second})
+	g.Expect(said).To(Equal(route.RejectedDeadline))
 	g.Expect(wait).To(BeNumerically(">", time.Second))
-	said, _ = gate.Offer(0, late, route.Offer{Left: time.Hour})
-	g.Expect(said).To(Equal(route.AdmitRun))
+	said, _ = gate.Offer(0, late, route.AdmissionBounds{TimeLeft: time.Hour})
+	g.Expect(said).To(Equal(route.Admitted))
 }
 
 // An engine is far too slow for some minutes, so that no deadline can be met, and
@@ -175,20 +175,20 @@
 // gate could learn better, and the target would be lost for good.
 func TestSlowEngineIsUsedAgain(t *testing.T) {
 	g := NewWithT(t)
-	gate := route.NewGate(4, 100)
+	gate := route.NewAdmissionQueue(4, 100)
 	now := time.Duration(0)
 	serve := func(took time.Duration) int {
 		var running []*route.Job
 		for range 4 {
-			said, _ := gate.Offer(now, job("a"), route.Offer{Left: time.Second})
-			if said == route.AdmitRun {
+			said, _ := gate.Offer(now, job("a"), route.AdmissionBounds{TimeLeft: time.Second})
+			if said == route.Admitted {
 				running = append(running, gate.Next(now))
 			}
 		}
 		now += took
 		for _, j := range running {
-			gate.Tokens(now, j, 100, true)
-			gate.End(now, j, true)
+			gate.RecordTokens(now, j, 100, true)
+			gate.Finish(now, j, true)
 		}
 		now += time.Millisecond
 		return len(running)
@@ -211,34 +211,34 @@
 func TestCacheEventGapsLowerTrust(t *testing.T) {
 	g := NewWithT(t)
 	x := route.NewCacheIndex(64)
-	blocks := route.Blocks("team", make([]byte, 4*route.BlockTokens*4), nil)
+	blocks := route.BlockHashes("team", make([]byte, 4*route.BlockTokens*4), nil)
 	for _, b := range blocks {
 		x.Add(3, b)
 	}
-	g.Expect(x.Batch(3, 10)).To(BeTrue())
-	g.Expect(x.Tokens(3, blocks)).To(Equal(4.0 * route.BlockTokens))
-	g.Expect(x.Batch(3, 10)).To(BeFalse(), "doubled")
-	g.Expect(x.Batch(3, 14)).To(BeTrue(), "a gap")
-	g.Expect(x.Tokens(3, blocks)).To(BeNumerically("<", 3*route.BlockTokens))
+	g.Expect(x.AcceptBatch(3, 10)).To(BeTrue())
+	g.Expect(x.CachedTokens(3, blocks)).To(Equal(4.0 * route.BlockTokens))
+	g.Expect(x.AcceptBatch(3, 10)).To(BeFalse(), "doubled")
+	g.Expect(x.AcceptBatch(3, 14)).To(BeTrue(), "a gap")
+	g.Expect(x.CachedTokens(3, blocks)).To(BeNumerically("<", 3*route.BlockTokens))
 	for seq := uint64(15); seq < 100; seq++ {
-		x.Batch(3, seq)
+		x.AcceptBatch(3, seq)
 	}
-	g.Expect(x.Trust(3)).To(BeNumerically(">", 0.95))
+	g.Expect(x.Confidence(3)).To(BeNumerically(">", 0.95))
 	x.Remove(3, blocks[1])
-	g.Expect(x.Tokens(3, blocks)).To(BeNumerically("<=", route.BlockTokens))
-	x.Clear(3)
-	g.Expect(x.Tokens(3, blocks)).To(BeZero())
+	g.Expect(x.CachedTokens(3, blocks)).To(BeNumerically("<=", route.BlockTokens))
+	x.RemoveTarget(3)
+	g.Expect(x.CachedTokens(3, blocks)).To(BeZero())
 }
 
 // Two rivals send the same text: their blocks share nothing.
 func TestBlocksAreSaltedByTeam(t *testing.T) {
 	g := NewWithT(t)
 	text := make([]byte, 8*route.BlockTokens*4)
-	a, b := route.Blocks("a", text, nil), route.Blocks("b", text, nil)
+	a, b := route.BlockHashes("a", text, nil), route.BlockHashes("b", text, nil)
 	g.Expect(a).To(HaveLen(8))
 	for _, h := range b {
 		g.Expect(a).NotTo(ContainElement(h))
 	}
 	text[0] = 1
-	g.Expect(route.Blocks("a", text, nil)[7]).NotTo(Equal(a[7]), "chained")
+	g.Expect(route.BlockHashes("a", text, nil)[7]).NotTo(Equal(a[7]), "chained")
 }
--- a/route/home.go
+++ b/route/home.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// HomeKey joins what names a request that must not run twice.
-func HomeKey(team, service, key string) string {
+// DedupKey joins what names a request that must not run twice.
+func DedupKey(team, service, key string) string {
 	return team + "\x00" + service + "\x00" + key
 }
 
-// KeyHash is the short name of a HomeKey between processes. Two keys with one
+// KeyHash is the short name of a DedupKey between processes. Two keys with one
 // hash make a false doubt, never a second run.
 func KeyHash(homeKey string) uint64 { return xxhash.Sum64String(homeKey) }
 
@@ -20,10 +20,10 @@
 	return d.Sum64()
 }
 
-// Home returns the index of the one target that runs a non-repeatable request:
+// HomeIndex returns the index of the one target that runs a non-repeatable request:
 // the highest hash of key and name. It depends on the declared targets alone,
 // not on who seems alive, so two entries can't choose different ones.
-func Home(key string, names []string) int {
+func HomeIndex(key string, names []string) int {
 	best, bestHash := -1, uint64(0)
 	for i, name := range names {
 		var d xxhash.Digest
--- a/route/limit.go
+++ b/route/limit.go
@@ -12,8 +12,8 @@
 	InFlight int
 }
 
-// Any tells whether there is a limit at all.
-func (l Limits) Any() bool { return l.Requests > 0 || l.Tokens > 0 || l.InFlight > 0 }
+// HasLimit tells whether there is a limit at all.
+func (l Limits) HasLimit() bool { return l.Requests > 0 || l.Tokens > 0 || l.InFlight > 0 }
 
 // DemandPeriod is how often the entries of a team tell each other its demand. For
 // one period after demand has moved from one entry to another both may spend it,
@@ -64,8 +64,8 @@
 // outsideWait is told where no wait would help.
 const outsideWait = 5 * time.Second
 
-// TeamLimit keeps one team's limits at one entry. Times grow from any origin.
-type TeamLimit struct {
+// TeamLimiter keeps one team's limits at one entry. Times grow from any origin.
+type TeamLimiter struct {
 	requests, tokens bucket
 	inFlight         int
 	seen             float64 // requests asked for in this period
@@ -82,11 +82,11 @@
 	at     time.Duration
 }
 
-// NewTeamLimit returns the state of a team that was not seen yet.
-func NewTeamLimit() *TeamLimit { return &TeamLimit{heard: make(map[string]heardDemand)} }
+// NewTeamLimiter returns the state of a team that was not seen yet.
+func NewTeamLimiter() *TeamLimiter { return &TeamLimiter{heard: make(map[string]heardDemand)} }
 
-// Part is which part of a team's limits an entry keeps.
-type Part struct {
+// LimitMembership is which part of a team's limits an entry keeps.
+type LimitMembership struct {
 	Self    string
 	Members []string // of the team, in any order
 	Entries int      // in all
@@ -94,7 +94,7 @@
 
 // Admit takes a request with a price in tokens, or returns how long to wait
 // before asking again.
-func (t *TeamLimit) Admit(now time.Duration, l Limits, p Part, price float64) (bool, time.Duration) {
+func (t *TeamLimiter) Admit(now time.Duration, l Limits, p LimitMembership, price float64) (bool, time.Duration) {
 	t.seen++
 	t.lastSeen = now
 	t.limits = l
@@ -120,18 +120,18 @@
 	return true, 0
 }
 
-// Done takes the end of an admitted request; extra is what it cost beyond its
+// Release takes the end of an admitted request; extra is what it cost beyond its
 // price, and may be negative.
-func (t *TeamLimit) Done(extra float64) {
+func (t *TeamLimiter) Release(extra float64) {
 	t.inFlight--
 	t.tokens.level -= extra
 }
 
-// Tick ends a period. It returns the demand and whether the other members must be
+// EndPeriod ends a period. It returns the demand and whether the other members must be
 // told: when it has changed by a part of the limit that matters, and now and then
 // while there is any. Most teams ask for a small part of their limits and cost
 // nothing.
-func (t *TeamLimit) Tick() (demand float64, tell bool) {
+func (t *TeamLimiter) EndPeriod() (demand float64, tell bool) {
 	t.demand += demandStep * (t.seen/DemandPeriod.Seconds() - t.demand)
 	t.seen = 0
 	t.silent++
@@ -153,20 +153,20 @@
 	return t.told, true
 }
 
-// Heard takes what another member told.
-func (t *TeamLimit) Heard(now time.Duration, member string, demand float64) {
+// RecordDemand takes what another member told.
+func (t *TeamLimiter) RecordDemand(now time.Duration, member string, demand float64) {
 	t.heard[member] = heardDemand{demand: demand, at: now}
 }
 
-// Idle tells whether nothing is known of the team that is worth keeping.
-func (t *TeamLimit) Idle(now, after time.Duration) bool {
+// IsIdle tells whether nothing is known of the team that is worth keeping.
+func (t *TeamLimiter) IsIdle(now, after time.Duration) bool {
 	return t.inFlight == 0 && now-t.lastSeen > after
 }
 
 // share returns the part of the rates, and how many requests at once, that this
 // entry may give. All members work with what was told, their own told demand
 // included, so that their parts add up to the limit.
-func (t *TeamLimit) share(now time.Duration, inFlight int, p Part) (float64, int) {
+func (t *TeamLimiter) share(now time.Duration, inFlight int, p LimitMembership) (float64, int) {
 	at := slices.Index(p.Members, p.Self)
 	if at < 0 {
 		part := outsideShare / float64(max(1, p.Entries-len(p.Members)))
@@ -180,12 +180,12 @@
 			demands[i] = h.demand
 		}
 	}
-	shares := Shares(demands)
+	shares := DemandShares(demands)
 	return shares[at], Apportion(inFlight, shares)[at]
 }
 
-// Shares divides one limit by demand; the parts add up to 1.
-func Shares(demands []float64) []float64 {
+// DemandShares divides one limit by demand; the parts add up to 1.
+func DemandShares(demands []float64) []float64 {
 	sum := 0.0
 	for _, d := range demands {
 		sum += d
--- a/route/limit_test.go
+++ b/route/limit_test.go
@@ -17,7 +17,7 @@
 type limitRun struct {
 	limits route.Limits
 	names  []string
-	states []*route.TeamLimit
+	states []*route.TeamLimiter
 	dead   int // index of an entry that stopped, -1: none
 	rng    *rand.Rand
 	now    time.Duration
@@ -26,7 +26,7 @@
 func newLimitRun(l route.Limits, names ...string) *limitRun {
 	r := &limitRun{limits: l, names: names, dead: -1, rng: rand.New(rand.NewPCG(7, 7))}
 	for range names {
-		r.states = append(r.states, route.NewTeamLimit())
+		r.states = append(r.states, route.NewTeamLimiter())
 	}
 	return r
 }
@@ -42,10 +42,10 @@
 			if i == r.dead || r.rng.Float64() >= rates[i]/steps {
 				continue
 			}
-			part := route.Part{Self: r.names[i], Members: r.names, Entries: len(r.names)}
+			part := route.LimitMembership{Self: r.names[i], Members: r.names, Entries: len(r.names)}
 			if ok, _ := s.Admit(r.now, r.limits, part, price); ok {
 				admitted++
-				s.Done(0)
+				s.Release(0)
 			}
 		}
 	}
@@ -53,10 +53,10 @@
 		if i == r.dead {
 			continue
 		}
-		demand, tell := s.Tick()
+		demand, tell := s.EndPeriod()
 		for k, other := range r.states {
 			if k != i && tell {
-				other.Heard(r.now, r.names[i], demand)
+				other.RecordDemand(r.now, r.names[i], demand)
 			}
 		}
 	}
@@ -130,15 +130,15 @@
 // A team that asks for little of its limit is not talked about.
 func TestSmallDemandIsNotTold(t *testing.T) {
 	g := NewWithT(t)
-	s := route.NewTeamLimit()
-	part := route.Part{Self: "a", Members: []string{"a", "b", "c"}, Entries: 8}
+	s := route.NewTeamLimiter()
+	part := route.LimitMembership{Self: "a", Members: []string{"a", "b", "c"}, Entries: 8}
 	for second := range 60 {
 		if second%9 == 0 {
 			ok, _ := s.Admit(time.Duration(second)*time.Second, route.Limits{Requests: 50}, part, 1)
 			g.Expect(ok).To(BeTrue())
-			s.Done(0)
+			s.Release(0)
 		}
-		_, tell := s.Tick()
+		_, tell := s.EndPeriod()
 		g.Expect(tell).To(BeFalse())
 	}
 }
@@ -148,12 +148,12 @@
 	g := NewWithT(t)
 	admitted := 0
 	for range 5 {
-		s := route.NewTeamLimit()
-		part := route.Part{Self: "x", Members: []string{"a", "b", "c"}, Entries: 8}
+		s := route.NewTeamLimiter()
+		part := route.LimitMembership{Self: "x", Members: []string{"a", "b", "c"}, Entries: 8}
 		for ms := range 100_000 {
 			if ok, wait := s.Admit(time.Duration(ms)*time.Millisecond, route.Limits{Requests: 100}, part, 1); ok {
 				admitted++
-				s.Done(0)
+				s.Release(0)
 			} else {
 				g.Expect(wait).To(BeNumerically(">", 0))
 			}
@@ -168,7 +168,7 @@
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 5).Draw(t, "demands")
 		n := rapid.IntRange(0, 50).Draw(t, "n")
 		sum := 0
-		for _, p := range route.Apportion(n, route.Shares(demands)) {
+		for _, p := range route.Apportion(n, route.DemandShares(demands)) {
 			g.Expect(p).To(BeNumerically(">=", 0))
 			sum += p
 		}
@@ -179,17 +179,17 @@
 // Work in flight counts against the limit until it is done.
 func TestInFlightLimit(t *testing.T) {
 	g := NewWithT(t)
-	s := route.NewTeamLimit()
-	part := route.Part{Self: "a", Members: []string{"a"}, Entries: 1}
+	s := route.NewTeamLimiter()
+	part := route.LimitMembership{Self: "a", Members: []string{"a"}, Entries: 1}
 	l := route.Limits{InFlight: 2}
 	admit := func() bool { ok, _ := s.Admit(0, l, part, 1); return ok }
 	g.Expect([]bool{admit(), admit(), admit()}).To(Equal([]bool{true, true, false}))
-	s.Done(0)
+	s.Release(0)
 	g.Expect([]bool{admit(), admit()}).To(Equal([]bool{true, false}))
 }
 
 // kept makes the state live on the heap, as an entry's does.
-var kept *route.TeamLimit
+var kept *route.TeamLimiter
 
 // BenchmarkTeamState tells what one team costs: at an entry that keeps its
 // limits, and in the queue of a target.
@@ -197,9 +197,9 @@
 	b.Run("limits", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			s := route.NewTeamLimit()
-			s.Heard(0, "a", 1)
-			s.Heard(0, "b", 1)
+			s := route.NewTeamLimiter()
+			s.RecordDemand(0, "a", 1)
+			s.RecordDemand(0, "b", 1)
 			kept = s
 		}
 	})
--- a/route/outcomes_test.go
+++ b/route/outcomes_test.go
@@ -20,9 +20,9 @@
 		asked, retried := 0, 0
 		for _, wanted := range rapid.SliceOfN(rapid.IntRange(0, 5), 1, 500).Draw(t, "retries wanted") {
 			asked++
-			b.Request(share)
+			b.RecordRequest(share)
 			for range wanted {
-				if b.Take() {
+				if b.TakeRetry() {
 					retried++
 				}
 			}
@@ -40,7 +40,7 @@
 		if info.Run != result.RunMaybe || info.Code == result.WireClosed || info.Code == result.TargetLost {
 			continue
 		}
-		g.Expect(route.Retryable(info.Code, false)).To(Equal(route.RetryNever), info.Name)
+		g.Expect(route.RetryRuleFor(info.Code, false)).To(Equal(route.RetryNever), info.Name)
 	}
 }
 
@@ -52,40 +52,40 @@
 	always, never := func() float64 { return 0 }, func() float64 { return 0.999 }
 	j := route.NewEjector[string]()
 	for range 5 {
-		j.Report("a", false, now)
+		j.RecordResult("a", false, now)
 	}
-	g.Expect(j.Skip(names, now.Add(time.Second), always)).To(HaveKey("a"))
-	g.Expect(j.Skip(names, now.Add(3*time.Second), always)).To(BeEmpty())
-	g.Expect(j.Skip(names, now.Add(3*time.Second), never)).To(HaveKey("a"), "it comes back slowly")
-	g.Expect(j.Skip(names, now.Add(time.Minute), never)).To(BeEmpty())
+	g.Expect(j.Excluded(names, now.Add(time.Second), always)).To(HaveKey("a"))
+	g.Expect(j.Excluded(names, now.Add(3*time.Second), always)).To(BeEmpty())
+	g.Expect(j.Excluded(names, now.Add(3*time.Second), never)).To(HaveKey("a"), "it comes back slowly")
+	g.Expect(j.Excluded(names, now.Add(time.Minute), never)).To(BeEmpty())
 	for _, name := range names {
 		j.Eject(name, now.Add(time.Minute))
 	}
-	g.Expect(j.Skip(names, now.Add(time.Minute+time.Second), always)).To(HaveLen(2))
-	g.Expect(route.TargetFault(result.DeadlinePast)).To(BeFalse(), "slow is not dead")
+	g.Expect(j.Excluded(names, now.Add(time.Minute+time.Second), always)).To(HaveLen(2))
+	g.Expect(route.IsTargetFault(result.DeadlinePast)).To(BeFalse(), "slow is not dead")
 }
 
 // Suspicion, conviction and acquittal.
 func TestQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	verdict := func(q *route.Quarantine, f uint64) route.Verdict {
-		v, _ := q.Judge(f, now)
+	verdict := func(q *route.Quarantine, f uint64) route.QuarantineAction {
+		v, _ := q.Check(f, now)
 		return v
 	}
 	q := route.NewQuarantine()
-	q.Crash(1, false, []uint64{10, 11}, now, now)
-	q.Crash(1, false, []uint64{10, 11}, now, now) // heard twice
-	g.Expect(verdict(q, 10)).To(Equal(route.VerdictAlone))
+	q.RecordCrash(1, false, []uint64{10, 11}, now, now)
+	q.RecordCrash(1, false, []uint64{10, 11}, now, now) // heard twice
+	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineRunAlone))
 	q.Clear(11)
-	g.Expect(verdict(q, 11)).To(Equal(route.VerdictFree))
-	g.Expect(q.Crash(2, true, []uint64{10}, now, now)).To(Equal(1))
-	g.Expect(verdict(q, 10)).To(Equal(route.VerdictRefuse))
+	g.Expect(verdict(q, 11)).To(Equal(route.QuarantineAllow))
+	g.Expect(q.RecordCrash(2, true, []uint64{10}, now, now)).To(Equal(1))
+	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineReject))
 	now = now.Add(6 * time.Minute)
-	g.Expect(verdict(q, 10)).To(Equal(route.VerdictFree), "for a time only")
+	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineAllow), "for a time only")
 	for id := range uint64(4) {
-		q.Crash(100+id, false, []uint64{1000 + id}, now, now)
+		q.RecordCrash(100+id, false, []uint64{1000 + id}, now, now)
 	}
-	q.Crash(200, true, []uint64{1000}, now, now)
-	g.Expect(verdict(q, 1000)).To(Equal(route.VerdictAlone), "others crash too")
+	q.RecordCrash(200, true, []uint64{1000}, now, now)
+	g.Expect(verdict(q, 1000)).To(Equal(route.QuarantineRunAlone), "others crash too")
 }
--- a/route/place.go
+++ b/route/place.go
@@ -10,17 +10,17 @@
 type Target struct {
 	Name       string
 	DataCentre string
-	Linked     bool // the agent can be reached and has reported
+	Reachable  bool // the agent can be reached and has reported
 	Leaving    bool
 	EngineUp   bool
 	Ejected    bool // an outlier that rests for a time
 
-	Slots         int     // requests that the engine decodes at once; 0: unknown
-	TokensPerSec  float64 // decode speed of the full engine; 0: unknown
-	StepWait      float64 // seconds to a first token that do not depend on prompts
-	PrefillPerSec float64 // prompt tokens a second; 0: unknown
+	Slots             int     // requests that the engine decodes at once; 0: unknown
+	TokensPerSec      float64 // decode speed of the full engine; 0: unknown
+	FirstTokenBaseSec float64 // seconds to a first token that do not depend on prompts
+	PrefillPerSec     float64 // prompt tokens a second; 0: unknown
 
-	// Others is the work of other entries by the last report (see Aged), Own this entry's
+	// Others is the work of other entries by the last report (see DiscountStale), Own this entry's
 	// own by its own books, so that each request is counted exactly once however
 	// late a report is.
 	Others Work
@@ -41,7 +41,7 @@
 	DataCentre string          // of the entry
 	Avoid      map[string]bool // targets that failed this request
 	Cost       Cost
-	Blocks     []uint64 // chained hashes of the prompt's blocks, see Blocks
+	Blocks     []uint64 // chained hashes of the prompt's blocks, see BlockHashes
 	Seed       uint64   // randomness of this decision
 }
 
@@ -55,16 +55,16 @@
 	Score(r *Request, t *Target) float64
 }
 
-// TargetSet is the targets of a service as one entry sees them. Those of the
+// TargetPool is the targets of a service as one entry sees them. Those of the
 // entry's own data centre come first.
-type TargetSet interface {
+type TargetPool interface {
 	Len() int
-	Near() int // how many are in the entry's own data centre
+	NearCount() int // how many are in the entry's own data centre
 	// Read fills t with what is known of target i for this request.
 	Read(i int, r *Request, t *Target)
-	// Cached writes the positions of targets that seem to hold the longest
+	// LongestCached writes the positions of targets that seem to hold the longest
 	// beginnings of the request's prompt, and returns how many it wrote.
-	Cached(r *Request, into []int) int
+	LongestCached(r *Request, into []int) int
 }
 
 // MaxCandidates bounds how many targets one decision rates.
@@ -83,7 +83,7 @@
 	Chosen     int // index into Candidates, -1 if no target can be used
 	Candidates [MaxCandidates]Candidate
 	N          int // candidates rated
-	Dropped    int // targets that a filter dropped
+	Filtered   int // targets that a filter dropped
 	cached     [maxCached]int
 }
 
@@ -99,33 +99,33 @@
 // hold the prompt. Entries that all looked at every target would all choose the
 // same one, and the cost would grow with the fleet.
 type Placer struct {
-	Filters []Filter
-	Scorer  Scorer
-	Near    int // sampled in the entry's data centre
-	Far     int // sampled elsewhere
-	// Patience is how much longer than on an idle target the first token may take
+	Filters     []Filter
+	Scorer      Scorer
+	NearSamples int // sampled in the entry's data centre
+	FarSamples  int // sampled elsewhere
+	// WaitSlack is how much longer than on an idle target the first token may take
 	// before the agent sends the request back to be placed again.
-	Patience time.Duration
+	WaitSlack time.Duration
 }
 
 // DefaultPlacer returns the placer of policies that name nothing else.
 func DefaultPlacer() *Placer {
 	return &Placer{
-		Filters:  []Filter{Usable{}},
-		Scorer:   Wait{Distance: DefaultDistance, Load: DefaultLoadPrice},
-		Near:     DefaultNear,
-		Far:      DefaultFar,
-		Patience: DefaultPatience,
+		Filters:     []Filter{Usable{}},
+		Scorer:      WaitScorer{RemotePenaltySec: DefaultRemotePenaltySec, LoadPenaltySec: DefaultLoadPenaltySec},
+		NearSamples: DefaultNearSamples,
+		FarSamples:  DefaultFarSamples,
+		WaitSlack:   DefaultWaitSlack,
 	}
 }
 
 // Defaults of a placer; docs/design/0008-placement.md has the figures.
 const (
-	DefaultDistance  = 0.002 // seconds, there and back
-	DefaultLoadPrice = 0.2   // seconds
-	DefaultNear      = 1
-	DefaultFar       = 1
-	DefaultPatience  = 30 * time.Millisecond
+	DefaultRemotePenaltySec = 0.002 // seconds, there and back
+	DefaultLoadPenaltySec   = 0.2   // seconds
+	DefaultNearSamples      = 1
+	DefaultFarSamples       = 1
+	DefaultWaitSlack        = 30 * time.Millisecond
 )
 
 // MaxWait returns the wait for the first token up to which the agent of a
@@ -133,38 +133,38 @@
 // old: what it sends back costs one round trip and did not run. Without this,
 // entries that read the same old reports crowd the same targets.
 func (p *Placer) MaxWait(r *Request, c *Candidate) time.Duration {
-	if p.Patience <= 0 {
+	if p.WaitSlack <= 0 {
 		return 0
 	}
-	return seconds(ownWait(r, &c.Target)) + p.Patience
+	return seconds(ownWait(r, &c.Target)) + p.WaitSlack
 }
 
 // maxCached bounds the candidates that the cache index adds.
 const maxCached = 2
 
 // Pick fills d with the decision for a request.
-func (p *Placer) Pick(r *Request, set TargetSet, d *Decision) {
-	d.Chosen, d.N, d.Dropped = -1, 0, 0
+func (p *Placer) Pick(r *Request, set TargetPool, d *Decision) {
+	d.Chosen, d.N, d.Filtered = -1, 0, 0
 	rnd := random(r.Seed)
-	n, near := set.Len(), set.Near()
+	n, near := set.Len(), set.NearCount()
 	if len(r.Blocks) > 0 {
-		found := set.Cached(r, d.cached[:])
+		found := set.LongestCached(r, d.cached[:])
 		for _, i := range d.cached[:found] {
 			p.rate(r, set, i, d)
 		}
 	}
-	got := p.sample(r, set, d, &rnd, 0, near, p.Near)
+	got := p.sample(r, set, d, &rnd, 0, near, p.NearSamples)
 	// Too few nearby: the rest of the sample comes from elsewhere.
-	far := p.Far + p.Near - got
+	far := p.FarSamples + p.NearSamples - got
 	got = p.sample(r, set, d, &rnd, near, n, far)
-	if got < far && near > p.Near {
+	if got < far && near > p.NearSamples {
 		p.sample(r, set, d, &rnd, 0, near, far-got)
 	}
 }
 
 // sample rates up to want usable targets of [from, to) that are not rated yet,
 // and returns how many it found.
-func (p *Placer) sample(r *Request, set TargetSet, d *Decision, rnd *random, from, to, want int) int {
+func (p *Placer) sample(r *Request, set TargetPool, d *Decision, rnd *random, from, to, want int) int {
 	n := to - from
 	if n <= 0 || want <= 0 {
 		return 0
@@ -189,7 +189,7 @@
 
 // rate adds a target to the candidates unless it is there already or a filter
 // drops it.
-func (p *Placer) rate(r *Request, set TargetSet, i int, d *Decision) bool {
+func (p *Placer) rate(r *Request, set TargetPool, i int, d *Decision) bool {
 	if d.N == MaxCandidates {
 		return false
 	}
@@ -203,7 +203,7 @@
 	set.Read(i, r, &c.Target)
 	for _, f := range p.Filters {
 		if !f.Keep(r, &c.Target) {
-			d.Dropped++
+			d.Filtered++
 			return false
 		}
 	}
--- a/route/place_test.go
+++ b/route/place_test.go
@@ -16,19 +16,19 @@
 	index   *route.CacheIndex
 }
 
-func (s *fixedSet) Len() int  { return len(s.targets) }
-func (s *fixedSet) Near() int { return s.near }
+func (s *fixedSet) Len() int       { return len(s.targets) }
+func (s *fixedSet) NearCount() int { return s.near }
 func (s *fixedSet) Read(i int, r *route.Request, t *route.Target) {
 	*t = s.targets[i]
 	if s.index != nil && i < route.IndexTargets {
-		t.CachedTokens = s.index.Tokens(i, r.Blocks)
+		t.CachedTokens = s.index.CachedTokens(i, r.Blocks)
 	}
 }
-func (s *fixedSet) Cached(r *route.Request, into []int) int {
+func (s *fixedSet) LongestCached(r *route.Request, into []int) int {
 	if s.index == nil {
 		return 0
 	}
-	return s.index.Longest(r.Blocks, r.Seed, into)
+	return s.index.LongestMatch(r.Blocks, r.Seed, into)
 }
 
 func newSet(n, near int) *fixedSet {
@@ -39,7 +39,7 @@
 			dc = "near"
 		}
 		s.targets = append(s.targets, route.Target{
-			Name: fmt.Sprintf("t%d", i), DataCentre: dc, Linked: true, EngineUp: true,
+			Name: fmt.Sprintf("t%d", i), DataCentre: dc, Reachable: true, EngineUp: true,
 			Slots: 32, TokensPerSec: 3000, PrefillPerSec: 30000,
 		})
 	}
@@ -60,7 +60,7 @@
 	s := newSet(6, 3)
 	s.targets[0].Leaving = true
 	s.targets[1].EngineUp = false
-	s.targets[2].Linked = false
+	s.targets[2].Reachable = false
 	s.targets[3].Ejected = true
 	for seed := range uint64(200) {
 		_, got := pick(s, route.Request{DataCentre: "near", Seed: seed, Avoid: map[string]bool{"t4": true}})
@@ -95,7 +95,7 @@
 	s := newSet(60, 60)
 	s.index = route.NewCacheIndex(1024)
 	prompt := make([]byte, 40*route.BlockTokens*4)
-	blocks := route.Blocks("team", prompt, nil)
+	blocks := route.BlockHashes("team", prompt, nil)
 	for _, b := range blocks {
 		s.index.Add(17, b)
 	}
@@ -115,31 +115,31 @@
 // their work. A target that was wholly idle among full ones is believed.
 func TestOldReportsAreBelievedInPart(t *testing.T) {
 	g := NewWithT(t)
-	var m route.Means
+	var m route.LoadMeans
 	for range 200 {
-		m.Speeds(&route.Target{TokensPerSec: 3000, PrefillPerSec: 30000}, 12)
-		m.Fold(route.Work{Requests: 15, Decode: 1500}, route.Work{Requests: 105, Decode: 10500}, 12)
+		m.RecordSpeeds(&route.Target{TokensPerSec: 3000, PrefillPerSec: 30000}, 12)
+		m.RecordLoad(route.Work{Requests: 15, Decode: 1500}, route.Work{Requests: 105, Decode: 10500}, 12)
 	}
-	fresh := m.Aged(route.Work{Requests: 95, Decode: 9500}, 0)
+	fresh := m.DiscountStale(route.Work{Requests: 95, Decode: 9500}, 0)
 	g.Expect(fresh.Requests).To(BeNumerically("~", 95, 1e-6))
-	old := m.Aged(route.Work{Requests: 95, Decode: 9500}, 1)
+	old := m.DiscountStale(route.Work{Requests: 95, Decode: 9500}, 1)
 	g.Expect(old.Requests).To(BeNumerically(">", 103))
-	idle := m.Aged(route.Work{}, 1)
+	idle := m.DiscountStale(route.Work{}, 1)
 	g.Expect(idle.Requests).To(BeNumerically("<", 80))
 }
 
 func TestTrailEndsAtTheBestTold(t *testing.T) {
 	g := NewWithT(t)
-	var trail route.Trail
-	patient := route.DefaultPatience
+	var trail route.RejectionHistory
+	patient := route.DefaultWaitSlack
 	g.Expect(trail.MaxWait(patient)).To(Equal(patient))
 	trail.Add("a", 3*patient)
 	trail.Add("b", 2*patient)
 	g.Expect(trail.MaxWait(patient)).To(Equal(2 * patient))
-	_, settled := trail.Settled()
+	_, settled := trail.FinalTarget()
 	g.Expect(settled).To(BeFalse())
 	trail.Add("c", 4*patient)
-	target, settled := trail.Settled()
+	target, settled := trail.FinalTarget()
 	g.Expect(settled).To(BeTrue())
 	g.Expect(target).To(Equal("b"))
 }
@@ -155,7 +155,7 @@
 	serves := func(list []route.Node, target int) map[string]bool {
 		used := make(map[string]bool)
 		for _, e := range list {
-			if route.Serves(e, list, fmt.Sprintf("t%d", target), fmt.Sprintf("dc%d", target%5), 300) {
+			if route.UsesTarget(e, list, fmt.Sprintf("t%d", target), fmt.Sprintf("dc%d", target%5), 300) {
 				used[e.Name] = true
 			}
 		}
@@ -176,7 +176,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newSet(n, n/3)
 			s.index = route.NewCacheIndex(1 << 15)
-			blocks := route.Blocks("team", make([]byte, route.MaxBlocks*route.BlockTokens*4), nil)
+			blocks := route.BlockHashes("team", make([]byte, route.MaxBlocks*route.BlockTokens*4), nil)
 			for _, block := range blocks {
 				s.index.Add(3, block)
 			}
--- a/route/quarantine.go
+++ b/route/quarantine.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Verdict is what the quarantine says about a request.
-type Verdict uint8
+// QuarantineAction is what the quarantine says about a request.
+type QuarantineAction uint8
 
 // Verdicts.
 const (
-	VerdictFree   Verdict = iota
-	VerdictAlone          // suspected: runs alone or not at all
-	VerdictRefuse         // crashed a target alone
+	QuarantineAllow    QuarantineAction = iota
+	QuarantineRunAlone                  // suspected: runs alone or not at all
+	QuarantineReject                    // crashed a target alone
 )
 
 // Quarantine remembers requests that ran on targets which crashed. It is not
@@ -51,10 +51,10 @@
 // NewQuarantine returns a quarantine that suspects nobody.
 func NewQuarantine() *Quarantine { return &Quarantine{suspects: make(map[uint64]*suspect)} }
 
-// Crash books the crash of a target at an instant. alone: the only suspect was
+// RecordCrash books the crash of a target at an instant. alone: the only suspect was
 // running alone on purpose, so another crash came before. Doubled reports of one
 // crash count once. It returns how many requests are refused from now on.
-func (q *Quarantine) Crash(id uint64, alone bool, suspects []uint64, at, now time.Time) int {
+func (q *Quarantine) RecordCrash(id uint64, alone bool, suspects []uint64, at, now time.Time) int {
 	q.expire(now)
 	if slices.ContainsFunc(q.crashes, func(c crashSeen) bool { return c.id == id }) {
 		return 0
@@ -107,16 +107,16 @@
 	}
 }
 
-// Judge returns the verdict on a request, and until when it stands.
-func (q *Quarantine) Judge(f uint64, now time.Time) (Verdict, time.Time) {
+// Check returns the verdict on a request, and until when it stands.
+func (q *Quarantine) Check(f uint64, now time.Time) (QuarantineAction, time.Time) {
 	s := q.suspects[f]
 	switch {
 	case s == nil || now.After(s.until):
-		return VerdictFree, time.Time{}
+		return QuarantineAllow, time.Time{}
 	case s.refused:
-		return VerdictRefuse, s.until
+		return QuarantineReject, s.until
 	}
-	return VerdictAlone, s.until
+	return QuarantineRunAlone, s.until
 }
 
 // Clear takes the suspicion from a request that ended well.
--- a/route/retry.go
+++ b/route/retry.go
@@ -23,13 +23,13 @@
 	retryOverdraft = 3
 )
 
-// Request books one request of a caller.
-func (b *RetryBudget) Request(share float64) {
+// RecordRequest books one request of a caller.
+func (b *RetryBudget) RecordRequest(share float64) {
 	b.tokens = min(b.tokens+share, retryBurst)
 }
 
-// Take books one retry; false if the budget is spent.
-func (b *RetryBudget) Take() bool {
+// TakeRetry books one retry; false if the budget is spent.
+func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens-1 < -retryOverdraft {
 		return false
 	}
@@ -61,11 +61,11 @@
 	RetryFree               // the try cost its target nothing; go elsewhere at once
 )
 
-// Retryable decides about a failed try. A request that may not be repeated is
+// RetryRuleFor decides about a failed try. A request that may not be repeated is
 // sent again only with proof that the try did not run, or, to the same home,
 // after a lost connection: the home knows the key, so the repeat joins the first
 // run and can't become a second one.
-func Retryable(code result.Code, repeatable bool) RetryRule {
+func RetryRuleFor(code result.Code, repeatable bool) RetryRule {
 	switch code {
 	case result.TargetLeaving:
 		if repeatable { // a home that leaves has no substitute yet
@@ -89,9 +89,9 @@
 	return RetryNever
 }
 
-// TargetFault tells whether a result speaks against the health of the target
+// IsTargetFault tells whether a result speaks against the health of the target
 // that gave it. Slowness does not: a slow target is not dead.
-func TargetFault(code result.Code) bool {
+func IsTargetFault(code result.Code) bool {
 	switch code {
 	case result.EngineLost, result.TargetLost, result.WireClosed, result.Unreachable, result.AnswerBroken,
 		result.WireSequence, result.WireDigest:
--- a/route/speed.go
+++ b/route/speed.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Speed learns how fast an engine is from what its agent sees.
-type Speed struct {
+// SpeedEstimator learns how fast an engine is from what its agent sees.
+type SpeedEstimator struct {
 	first    line    // time to the first token by the prompt tokens up to it
 	decode   float64 // tokens a second and busy slot
 	answer   float64 // tokens of an answer, mean
@@ -61,9 +61,9 @@
 	*old += speedStep * (seen - *old)
 }
 
-// FirstToken takes the time from the start of a request in the engine to its
+// RecordFirstToken takes the time from the start of a request in the engine to its
 // first token, and the prompt tokens, its own included, that were before it.
-func (s *Speed) FirstToken(ahead float64, took time.Duration) {
+func (s *SpeedEstimator) RecordFirstToken(ahead float64, took time.Duration) {
 	if took <= 0 || ahead <= 0 {
 		return
 	}
@@ -80,9 +80,9 @@
 // learnt within a few dozen requests.
 const surprise = 4
 
-// Running takes the state until now: how many of the slots were busy and how many
+// RecordRunning takes the state until now: how many of the slots were busy and how many
 // tokens were generated since the last call. now grows from any origin.
-func (s *Speed) Running(now time.Duration, busy int, tokens float64) {
+func (s *SpeedEstimator) RecordRunning(now time.Duration, busy int, tokens float64) {
 	d := now - s.last
 	s.last = now
 	s.window += d
@@ -98,12 +98,12 @@
 	s.window, s.tokens, s.slotTime = 0, 0, 0
 }
 
-// Answer takes the length of a finished answer in tokens.
-func (s *Speed) Answer(tokens float64) { learn(&s.answer, tokens) }
+// RecordAnswer takes the length of a finished answer in tokens.
+func (s *SpeedEstimator) RecordAnswer(tokens float64) { learn(&s.answer, tokens) }
 
 // Prefill returns the seconds to a first token that do not depend on prompts, and
 // the prompt tokens a second; zero: unknown.
-func (s *Speed) Prefill() (base, perSec float64) {
+func (s *SpeedEstimator) Prefill() (base, perSec float64) {
 	base, slope := s.first.fit()
 	if slope <= 0 {
 		return 0, 0
@@ -112,7 +112,7 @@
 }
 
 // TokensPerSec returns the decode speed with all slots busy; 0: unknown.
-func (s *Speed) TokensPerSec(slots int) float64 { return s.decode * float64(slots) }
+func (s *SpeedEstimator) TokensPerSec(slots int) float64 { return s.decode * float64(slots) }
 
 // AnswerTokens returns the mean length of answers; 0: unknown.
-func (s *Speed) AnswerTokens() float64 { return s.answer }
+func (s *SpeedEstimator) AnswerTokens() float64 { return s.answer }
--- a/route/subset.go
+++ b/route/subset.go
@@ -13,21 +13,21 @@
 	DataCentre string
 }
 
-// Up to WholeFleet targets, every entry uses all of them. Larger fleets are
+// Up to MaxFullMeshTargets targets, every entry uses all of them. Larger fleets are
 // divided: each target is used by EntriesNear entries of its own data centre and
 // by EntriesFar others.
 const (
-	WholeFleet  = 48
-	EntriesNear = 12
-	EntriesFar  = 4
+	MaxFullMeshTargets = 48
+	EntriesNear        = 12
+	EntriesFar         = 4
 )
 
-// Serves tells whether an entry uses a target of a fleet of the given size. The
+// UsesTarget tells whether an entry uses a target of a fleet of the given size. The
 // target chooses its entries by the highest hashes, so every target is used by
 // the same number of them, and an entry that comes or goes changes only the
 // targets that it gains or loses.
-func Serves(self Node, entries []Node, target, dataCentre string, fleet int) bool {
-	if fleet <= WholeFleet {
+func UsesTarget(self Node, entries []Node, target, dataCentre string, fleet int) bool {
+	if fleet <= MaxFullMeshTargets {
 		return true
 	}
 	want := EntriesFar
@@ -49,13 +49,13 @@
 	return true
 }
 
-// TeamEntries is how many entries keep the limits of one team.
-const TeamEntries = 3
+// EntriesPerTeam is how many entries keep the limits of one team.
+const EntriesPerTeam = 3
 
-// Members returns the entries that keep a team's limits, at most n of them, the
+// TeamMembers returns the entries that keep a team's limits, at most n of them, the
 // best first: a subset, so that a team's state is on few nodes and its share is
 // exchanged between few. It is the same at every entry that knows the same list.
-func Members(team string, entries []Node, n int) []Node {
+func TeamMembers(team string, entries []Node, n int) []Node {
 	type ranked struct {
 		node   Node
 		weight uint64
--- a/route/trail.go
+++ b/route/trail.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Trail remembers which targets sent a request back, and the waits they told.
+// RejectionHistory remembers which targets sent a request back, and the waits they told.
 // The waits are exact and the request's own team's, which no report can be.
-type Trail struct {
+type RejectionHistory struct {
 	n       int
 	targets [maxSendBacks]string
 	waits   [maxSendBacks]time.Duration
@@ -19,15 +19,15 @@
 )
 
 // Add notes that a target sent the request back.
-func (t *Trail) Add(target string, wait time.Duration) {
+func (t *RejectionHistory) Add(target string, wait time.Duration) {
 	if t.n < maxSendBacks {
 		t.targets[t.n], t.waits[t.n] = target, wait
 		t.n++
 	}
 }
 
-// Best returns the target that told the shortest wait; false: none did.
-func (t *Trail) Best() (string, time.Duration, bool) {
+// ShortestWait returns the target that told the shortest wait; false: none did.
+func (t *RejectionHistory) ShortestWait() (string, time.Duration, bool) {
 	if t.n == 0 {
 		return "", 0, false
 	}
@@ -40,22 +40,22 @@
 	return t.targets[best], t.waits[best], true
 }
 
-// Settled returns the target that the request goes to without any more looking
+// FinalTarget returns the target that the request goes to without any more looking
 // round; false: it shall be placed.
-func (t *Trail) Settled() (string, bool) {
+func (t *RejectionHistory) FinalTarget() (string, bool) {
 	if t.n < maxSendBacks {
 		return "", false
 	}
-	target, _, ok := t.Best()
+	target, _, ok := t.ShortestWait()
 	return target, ok
 }
 
 // MaxWait returns the wait up to which the next target shall take the request;
 // patient is the wait that a first try accepts.
-func (t *Trail) MaxWait(patient time.Duration) time.Duration {
+func (t *RejectionHistory) MaxWait(patient time.Duration) time.Duration {
 	if t.n < patientTries || patient == 0 {
 		return patient
 	}
-	_, wait, _ := t.Best()
+	_, wait, _ := t.ShortestWait()
 	return max(wait, time.Millisecond)
 }
--- a/route/wait.go
+++ b/route/wait.go
@@ -1,11 +1,11 @@
 package route
 
-// Wait scores by the estimated time to the first token, in seconds.
-type Wait struct {
-	Distance float64 // added for a target in another data centre, seconds
-	// Load prices a full engine, seconds: among targets without a queue the one
+// WaitScorer scores by the estimated time to the first token, in seconds.
+type WaitScorer struct {
+	RemotePenaltySec float64 // added for a target in another data centre, seconds
+	// LoadPenaltySec prices a full engine, seconds: among targets without a queue the one
 	// with fewer requests generates faster.
-	Load float64
+	LoadPenaltySec float64
 }
 
 // Speeds of an engine that has not told its own. They matter only until the
@@ -17,12 +17,12 @@
 )
 
 // Score implements Scorer.
-func (w Wait) Score(r *Request, t *Target) float64 {
+func (w WaitScorer) Score(r *Request, t *Target) float64 {
 	s := EstimateWait(r, t)
 	if t.DataCentre != r.DataCentre {
-		s += w.Distance
+		s += w.RemotePenaltySec
 	}
-	return s + w.Load*fill(t)
+	return s + w.LoadPenaltySec*fill(t)
 }
 
 // EstimateWait returns the expected time to the first token of r on t in
@@ -44,47 +44,47 @@
 // ownWait returns the time to the first token of r on t without other work.
 func ownWait(r *Request, t *Target) float64 {
 	own := max(0, r.Cost.Prompt-t.CachedTokens)
-	return t.StepWait + own/orDefault(t.PrefillPerSec, defaultPrefill)
+	return t.FirstTokenBaseSec + own/orDefault(t.PrefillPerSec, defaultPrefill)
 }
 
 // reportMemory is the age in seconds at which half of a report is believed, for
 // an entry that is alone.
 const reportMemory = 1.0
 
-// Means are one entry's means over all targets of a service.
-type Means struct {
+// LoadMeans are one entry's means over all targets of a service.
+type LoadMeans struct {
 	Own, Others Work
 
 	stepWait, prefill, tokens float64 // speeds of the targets that have told theirs
 }
 
-// Speeds moves the mean speeds towards what a target told.
-func (m *Means) Speeds(t *Target, n int) {
+// RecordSpeeds moves the mean speeds towards what a target told.
+func (m *LoadMeans) RecordSpeeds(t *Target, n int) {
 	if t.PrefillPerSec <= 0 || t.TokensPerSec <= 0 {
 		return
 	}
 	if m.prefill == 0 {
-		m.stepWait, m.prefill, m.tokens = t.StepWait, t.PrefillPerSec, t.TokensPerSec
+		m.stepWait, m.prefill, m.tokens = t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec
 		return
 	}
 	step := 1 / float64(2*max(1, n))
-	m.stepWait += step * (t.StepWait - m.stepWait)
+	m.stepWait += step * (t.FirstTokenBaseSec - m.stepWait)
 	m.prefill += step * (t.PrefillPerSec - m.prefill)
 	m.tokens += step * (t.TokensPerSec - m.tokens)
 }
 
-// Complete gives a target that has not told its speeds those of the others: with
+// FillSpeeds gives a target that has not told its speeds those of the others: with
 // fixed ones it would look slower than all that have, or faster, and get no work
 // or all.
-func (m *Means) Complete(t *Target) {
+func (m *LoadMeans) FillSpeeds(t *Target) {
 	if t.PrefillPerSec <= 0 || t.TokensPerSec <= 0 {
-		t.StepWait, t.PrefillPerSec, t.TokensPerSec = m.stepWait, m.prefill, m.tokens
+		t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec = m.stepWait, m.prefill, m.tokens
 	}
 }
 
-// Fold moves the means towards what a new report tells; n is the number of
+// RecordLoad moves the means towards what a new report tells; n is the number of
 // targets that they are the means of.
-func (m *Means) Fold(own, others Work, n int) {
+func (m *LoadMeans) RecordLoad(own, others Work, n int) {
 	step := 1 / float64(2*max(1, n))
 	m.Own.towards(own, step)
 	m.Others.towards(others, step)
@@ -96,7 +96,7 @@
 	w.Decode += step * (v.Decode - w.Decode)
 }
 
-// Aged returns what to believe of others' work when a report is age seconds old.
+// DiscountStale returns what to believe of others' work when a report is age seconds old.
 //
 // A difference from the mean that the targets could have worked off since then is
 // hardly believed: every entry reads the same old report, and if each made up for
@@ -104,7 +104,7 @@
 // and the load would swing from target to target. So the more of the load is
 // others', the less is believed. What goes beyond is believed whole: a target that
 // was empty while all others had long queues is still the better one.
-func (m *Means) Aged(reported Work, age float64) Work {
+func (m *LoadMeans) DiscountStale(reported Work, age float64) Work {
 	entries := 1.0
 	if m.Own.Requests > 0 {
 		entries += m.Others.Requests / m.Own.Requests
--- a/serving/config.go
+++ b/serving/config.go
@@ -34,27 +34,27 @@
 	return "once"
 }
 
-// Share is one service's part of a route's requests.
-type Share struct {
+// ServiceWeight is one service's part of a route's requests.
+type ServiceWeight struct {
 	Service string
 	Weight  int
 }
 
 // Route says how the requests under one path are served.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // longest that a request may be kept waiting
-	Aim         time.Duration // an answer within it has its whole worth
-	GapAim      time.Duration // longest pause between events of an answer in time
-	Patience    time.Duration // callers leave if the first event takes longer
-	Priority    int           // 0 is the most urgent
-	Shares      []Share
-	MaxAttempts int // targets that one request may be sent to
-	Public      bool
-	Resumable   bool // a broken stream may go on at another target
+	Name              string
+	Host              string
+	Prefix            string // begins and ends with a slash
+	Kind              Kind
+	Timeout           time.Duration // longest that a request may be kept waiting
+	LatencyObjective  time.Duration // an answer within it has its whole worth
+	EventGapObjective time.Duration // longest pause between events of an answer in time
+	FirstEventTimeout time.Duration // callers leave if the first event takes longer
+	Priority          int           // 0 is the most urgent
+	ServiceWeights    []ServiceWeight
+	MaxAttempts       int // targets that one request may be sent to
+	Public            bool
+	Resumable         bool // a broken stream may go on at another target
 }
 
 // Repeatable tells whether a request may be sent again after it may have run.
@@ -62,14 +62,14 @@
 	return r.Kind == KindIdempotent || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service draws the service of one request; draw is in [0,1).
-func (r *Route) Service(draw float64) string {
+// PickService draws the service of one request; draw is in [0,1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		total += s.Weight
 	}
 	left := draw * float64(total)
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		if left -= float64(s.Weight); left < 0 {
 			return s.Service
 		}
@@ -79,20 +79,20 @@
 
 // EngineModel is the cost model of a service's model engines.
 type EngineModel struct {
-	Slots         int
-	Stride        int           // token steps of a pass
-	Step          time.Duration // of one token step without writers
-	StepPerWriter time.Duration
-	ReadRate      float64 // prompt tokens a second that it reads
-	UsualPrompt   float64 // mean tokens
-	UsualAnswer   float64 // mean tokens
-	Sets          int     // sets of layers with one map each; 0: no experts
-	Experts       int     // in a set
-	Places        int     // experts of a set on one rank
-	Spare         int     // new experts of a set that a rank can take at once
-	ExpertBytes   float64
-	LinkRate      float64 // bytes a second, at which a rank copies experts
-	ExpertShare   float64 // part of the work for tokens that experts do
+	Slots             int
+	StepsPerPass      int           // token steps of a pass
+	BaseStepTime      time.Duration // of one token step without writers
+	StepTimePerStream time.Duration
+	PrefillRate       float64 // prompt tokens a second that it reads
+	MeanPromptTokens  float64 // mean tokens
+	MeanOutputTokens  float64 // mean tokens
+	LayerSets         int     // sets of layers with one map each; 0: no experts
+	Experts           int     // in a set
+	ExpertsPerRank    int     // experts of a set on one rank
+	SpareExperts      int     // new experts of a set that a rank can take at once
+	ExpertBytes       float64
+	CopyRate          float64 // bytes a second, at which a rank copies experts
+	ExpertShare       float64 // part of the work for tokens that experts do
 }
 
 // Service is what targets offer.
@@ -106,18 +106,18 @@
 
 // Team is a group of callers.
 type Team struct {
-	Name     string
-	Keys     []string
-	Priority int
-	HasOwn   bool // Priority goes before the route's
+	Name              string
+	Keys              []string
+	Priority          int
+	OverridesPriority bool // Priority goes before the route's
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Config is one accepted configuration.
@@ -180,17 +180,17 @@
 // Team returns the team that holds a key, nil if none does.
 func (x *Index) Team(key string) *Team { return x.byKey[key] }
 
-// GapAim returns the shortest aim for the pauses in the streams of a service; 0
+// EventGapObjective returns the shortest aim for the pauses in the streams of a service; 0
 // if it has none.
-func (x *Index) GapAim(service string) time.Duration {
+func (x *Index) EventGapObjective(service string) time.Duration {
 	least := time.Duration(0)
 	for i := range x.Routes {
 		r := &x.Routes[i]
-		if r.Kind != KindStream || r.GapAim == 0 || (least != 0 && r.GapAim >= least) {
+		if r.Kind != KindStream || r.EventGapObjective == 0 || (least != 0 && r.EventGapObjective >= least) {
 			continue
 		}
-		if slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Service == service }) {
-			least = r.GapAim
+		if slices.ContainsFunc(r.ServiceWeights, func(s ServiceWeight) bool { return s.Service == service }) {
+			least = r.EventGapObjective
 		}
 	}
 	return least
@@ -199,5 +199,5 @@
 // Service returns a service by its name, nil if there is none.
 func (x *Index) Service(name string) *Service { return x.byService[name] }
 
-// Names tells whether the configuration names a service.
-func (x *Index) Names(service string) bool { return x.byService[service] != nil }
+// HasService tells whether the configuration names a service.
+func (x *Index) HasService(service string) bool { return x.byService[service] != nil }
--- a/serving/replica.go
+++ b/serving/replica.go
@@ -17,8 +17,8 @@
 	topicCount
 )
 
-// Topics is the number of topics.
-const Topics = int(topicCount)
+// NumTopics is the number of topics.
+const NumTopics = int(topicCount)
 
 // String returns the name used in logs.
 func (t Topic) String() string {
@@ -61,14 +61,14 @@
 	permanent bool
 }
 
-// News are what one replica tells another.
-type News struct {
+// ReplicaUpdate are what one replica tells another.
+type ReplicaUpdate struct {
 	Records []Record
-	// From is the offset that the other one was to have; 0 if Whole.
-	From uint64
-	Next uint64 // all records before it are told or were known
-	// Whole tells that these are the newest records of all keys that exist.
-	Whole bool
+	// FromOffset is the offset that the other one was to have; 0 if Full.
+	FromOffset uint64
+	NextOffset uint64 // all records before it are told or were known
+	// Full tells that these are the newest records of all keys that exist.
+	Full bool
 }
 
 // NewReplica returns an empty copy. same tells whether two records of a key mean
@@ -85,17 +85,17 @@
 	return r
 }
 
-// Loaded tells whether the whole topic has been seen once.
-func (r *Replica) Loaded() bool { return r.loaded }
+// IsLoaded tells whether the whole topic has been seen once.
+func (r *Replica) IsLoaded() bool { return r.loaded }
 
-// Empty notes that the whole topic was seen and had no records.
+// MarkEmpty notes that the whole topic was seen and had no records.
 //
 // Failure: all entries start before the first configuration is written. Symptom: there is nothing
 // that one could tell the others, so each reads each empty topic from the store itself.
-func (r *Replica) Empty() { r.loaded = true }
+func (r *Replica) MarkEmpty() { r.loaded = true }
 
-// Next returns the offset up to which all records are known.
-func (r *Replica) Next() uint64 { return r.next }
+// NextOffset returns the offset up to which all records are known.
+func (r *Replica) NextOffset() uint64 { return r.next }
 
 // Apply takes records up to an offset and returns those that were news.
 func (r *Replica) Apply(records []Record, next uint64) []Record {
@@ -122,10 +122,10 @@
 	return r.same != nil && len(old.Value) > 0 && len(rec.Value) > 0 && r.same(rec.Key, old.Value, rec.Value)
 }
 
-// Reset takes the newest records of all keys, as of an offset; keys that are not
+// ApplySnapshot takes the newest records of all keys, as of an offset; keys that are not
 // among them, and are not newer than that offset, are gone. It returns the news,
 // removals among them.
-func (r *Replica) Reset(records []Record, end uint64) []Record {
+func (r *Replica) ApplySnapshot(records []Record, end uint64) []Record {
 	seen := make(map[string]bool, len(records))
 	for _, rec := range records {
 		seen[rec.Key] = true
@@ -145,42 +145,42 @@
 	return news
 }
 
-// Since returns what a peer lacks which knows all before an offset.
+// UpdateSince returns what a peer lacks which knows all before an offset.
 //
 // Failure: a target's record is removed, an entry starts and reads the newest records,
 // and a peer that has not read since asks it. Symptom: the peer takes over the
 // newcomer's offset without the removal, which nobody tells it any more, and sends to
 // the target until that is off. So a peer that lacks removals of before the base gets
 // all records that exist, and sees by them what is gone.
-func (r *Replica) Since(next uint64) News {
-	n := News{From: next, Next: r.next}
+func (r *Replica) UpdateSince(next uint64) ReplicaUpdate {
+	n := ReplicaUpdate{FromOffset: next, NextOffset: r.next}
 	if next >= r.next {
 		return n
 	}
 	if next < r.base {
-		n.From, n.Whole = 0, true
+		n.FromOffset, n.Full = 0, true
 	}
 	for _, rec := range r.records {
-		if n.Whole && len(rec.Value) > 0 || !n.Whole && rec.Offset >= next {
+		if n.Full && len(rec.Value) > 0 || !n.Full && rec.Offset >= next {
 			n.Records = append(n.Records, rec)
 		}
 	}
 	return n
 }
 
-// Adopt takes a peer's news. They are refused, with no news, if there is a gap between
+// ApplyUpdate takes a peer's news. They are refused, with no news, if there is a gap between
 // what is known and what they lead on from.
-func (r *Replica) Adopt(n News) []Record {
+func (r *Replica) ApplyUpdate(n ReplicaUpdate) []Record {
 	switch {
-	case n.Whole && n.Next <= r.next:
+	case n.Full && n.NextOffset <= r.next:
 		return nil // they are older than what is known
-	case n.Whole:
-		return r.Reset(n.Records, n.Next)
-	case n.From > r.next:
+	case n.Full:
+		return r.ApplySnapshot(n.Records, n.NextOffset)
+	case n.FromOffset > r.next:
 		return nil
 	}
-	news := r.Apply(n.Records, n.Next)
-	if n.Next > 0 {
+	news := r.Apply(n.Records, n.NextOffset)
+	if n.NextOffset > 0 {
 		r.loaded = true
 	}
 	return news
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -33,10 +33,10 @@
 // Weights of a route that is split decide by shares; a weight of zero gets nothing.
 func TestARouteIsSplitByWeight(t *testing.T) {
 	g := NewWithT(t)
-	r := Route{Shares: []Share{{"a", 3}, {"none", 0}, {"b", 1}}}
+	r := Route{ServiceWeights: []ServiceWeight{{"a", 3}, {"none", 0}, {"b", 1}}}
 	count := make(map[string]int)
 	for i := range 1000 {
-		count[r.Service(float64(i)/1000)]++
+		count[r.PickService(float64(i)/1000)]++
 	}
 	g.Expect(count).To(Equal(map[string]int{"a": 750, "b": 250}))
 }
@@ -63,16 +63,16 @@
 			from := rng.IntN(len(log))
 			to := from + rng.IntN(len(log)-from) + 1
 			if rng.IntN(3) == 0 {
-				r.Reset(newestOf(log[:to]), uint64(to))
+				r.ApplySnapshot(newestOf(log[:to]), uint64(to))
 			} else {
-				r.Adopt(News{Records: log[from:to], From: uint64(from), Next: uint64(to)})
+				r.ApplyUpdate(ReplicaUpdate{Records: log[from:to], FromOffset: uint64(from), NextOffset: uint64(to)})
 			}
 			for key, rec := range r.records {
 				g.Expect(rec.Offset).To(BeNumerically(">=", seen[key]), "seed %d key %s", seed, key)
 				seen[key] = rec.Offset
 			}
 		}
-		r.Reset(newestOf(log), uint64(len(log)))
+		r.ApplySnapshot(newestOf(log), uint64(len(log)))
 		for _, want := range newestOf(log) {
 			g.Expect(r.records[want.Key].Value).To(Equal(want.Value), "seed %d key %s", seed, want.Key)
 		}
@@ -98,9 +98,9 @@
 func TestNewsWithAGapAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	r := NewReplica(nil)
-	r.Adopt(News{Records: []Record{{Key: "a", Value: []byte("1"), Offset: 0}}, Next: 1})
-	g.Expect(r.Adopt(News{Records: []Record{{Key: "b", Value: []byte("1"), Offset: 5}}, From: 5, Next: 6})).To(BeEmpty())
-	g.Expect(r.Next()).To(Equal(uint64(1)))
+	r.ApplyUpdate(ReplicaUpdate{Records: []Record{{Key: "a", Value: []byte("1"), Offset: 0}}, NextOffset: 1})
+	g.Expect(r.ApplyUpdate(ReplicaUpdate{Records: []Record{{Key: "b", Value: []byte("1"), Offset: 5}}, FromOffset: 5, NextOffset: 6})).To(BeEmpty())
+	g.Expect(r.NextOffset()).To(Equal(uint64(1)))
 }
 
 // A target's record lapses while the store is away and comes back with the store:
@@ -112,15 +112,15 @@
 	now := time.Now()
 	s.Put(Target{ID: "back", Service: "s", Address: "a"}, 1)
 	s.Put(Target{ID: "gone", Service: "s", Address: "b"}, 2)
-	believe := now.Add(ReturnWait)
+	believe := now.Add(LapsedGrace)
 	g.Expect(s.Remove("back", now, believe)).To(BeFalse())
 	g.Expect(s.Remove("gone", now, believe)).To(BeFalse())
 	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(2))
 	s.Put(Target{ID: "back", Service: "s", Address: "a"}, 3)
-	g.Expect(s.Expire(now.Add(ReturnWait/2), false)).To(BeFalse())
-	s.Expire(now.Add(2*ReturnWait), true)
+	g.Expect(s.ExpireLapsed(now.Add(LapsedGrace/2), false)).To(BeFalse())
+	s.ExpireLapsed(now.Add(2*LapsedGrace), true)
 	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(2), "the store is away again")
-	g.Expect(s.Expire(now.Add(4*ReturnWait), false)).To(BeTrue())
+	g.Expect(s.ExpireLapsed(now.Add(4*LapsedGrace), false)).To(BeTrue())
 	left := s.ByService(anyService)["s"]
 	g.Expect(left).To(HaveLen(1))
 	g.Expect(left[0].ID).To(Equal("back"))
@@ -151,10 +151,10 @@
 func TestANewcomerTellsOfRemovalsBeforeItsStart(t *testing.T) {
 	g := NewWithT(t)
 	peer, newcomer := NewReplica(nil), NewReplica(nil)
-	peer.Reset([]Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}, 7)
-	newcomer.Reset([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}, {Key: "new", Value: []byte("x"), Offset: 8}}, 9)
-	news := peer.Adopt(newcomer.Since(peer.Next()))
-	g.Expect(peer.Next()).To(Equal(uint64(9)))
+	peer.ApplySnapshot([]Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}, 7)
+	newcomer.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}, {Key: "new", Value: []byte("x"), Offset: 8}}, 9)
+	news := peer.ApplyUpdate(newcomer.UpdateSince(peer.NextOffset()))
+	g.Expect(peer.NextOffset()).To(Equal(uint64(9)))
 	g.Expect(keysOf(news)).To(ConsistOf("-gone", "+new"))
 }
 
@@ -165,11 +165,11 @@
 	g := NewWithT(t)
 	reader, peer := NewReplica(nil), NewReplica(nil)
 	old := []Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}
-	reader.Reset(old, 7)
-	peer.Reset(old, 7)
+	reader.ApplySnapshot(old, 7)
+	peer.ApplySnapshot(old, 7)
 	peer.Apply([]Record{{Key: "late", Value: []byte("x"), Offset: 7}}, 8)
-	reader.Reset([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}}, 10)
-	news := peer.Adopt(reader.Since(peer.Next()))
+	reader.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}}, 10)
+	news := peer.ApplyUpdate(reader.UpdateSince(peer.NextOffset()))
 	g.Expect(keysOf(news)).To(ConsistOf("-gone", "-late"))
 }
 
@@ -207,22 +207,22 @@
 				}
 				log = append(log, rec)
 			case 1:
-				if r.Loaded() {
-					r.Apply(log[r.Next():], uint64(len(log)))
+				if r.IsLoaded() {
+					r.Apply(log[r.NextOffset():], uint64(len(log)))
 				}
 			case 2:
 				if rng.IntN(4) == 0 {
-					r.Reset(newestOf(log), uint64(len(log)))
+					r.ApplySnapshot(newestOf(log), uint64(len(log)))
 				}
 			case 3:
 				if rng.IntN(8) == 0 {
 					replicas[rng.IntN(len(replicas))] = NewReplica(nil)
 				}
 			default:
-				r.Adopt(replicas[rng.IntN(len(replicas))].Since(r.Next()))
+				r.ApplyUpdate(replicas[rng.IntN(len(replicas))].UpdateSince(r.NextOffset()))
 			}
 			for _, r := range replicas {
-				g.Expect(existing(r)).To(ConsistOf(keysAt(log[:r.Next()])), "seed %d, offset %d", seed, r.Next())
+				g.Expect(existing(r)).To(ConsistOf(keysAt(log[:r.NextOffset()])), "seed %d, offset %d", seed, r.NextOffset())
 			}
 		}
 	}
@@ -254,12 +254,12 @@
 func TestAnOlderRecordDoesNotReplaceANewerOne(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
-	s.Put(Target{ID: "i", Born: 1, Sequence: 9, Service: "s", Address: "a", Leaving: true}, 5)
-	g.Expect(s.Put(Target{ID: "i", Born: 1, Sequence: 8, Service: "s", Address: "a"}, 6)).To(BeFalse())
+	s.Put(Target{ID: "i", StartedAtMS: 1, Sequence: 9, Service: "s", Address: "a", Leaving: true}, 5)
+	g.Expect(s.Put(Target{ID: "i", StartedAtMS: 1, Sequence: 8, Service: "s", Address: "a"}, 6)).To(BeFalse())
 	g.Expect(s.ByService(anyService)["s"][0].Leaving).To(BeTrue())
-	g.Expect(s.Put(Target{ID: "i", Born: 2, Sequence: 1, Service: "s", Address: "a"}, 7)).To(BeTrue())
-	g.Expect(s.Put(Target{ID: "i", Born: 1, Sequence: 10, Service: "s", Address: "a", Leaving: true}, 8)).To(BeFalse())
-	g.Expect(s.ByService(anyService)["s"][0].Run()).To(Equal(Run{ID: "i", Born: 2}))
+	g.Expect(s.Put(Target{ID: "i", StartedAtMS: 2, Sequence: 1, Service: "s", Address: "a"}, 7)).To(BeTrue())
+	g.Expect(s.Put(Target{ID: "i", StartedAtMS: 1, Sequence: 10, Service: "s", Address: "a", Leaving: true}, 8)).To(BeFalse())
+	g.Expect(s.ByService(anyService)["s"][0].Run()).To(Equal(Run{ID: "i", StartedAtMS: 2}))
 	g.Expect(s.ByService(anyService)["s"][0].Leaving).To(BeFalse())
 }
 
@@ -279,8 +279,8 @@
 func TestATopicWithoutRecordsMayBeKnown(t *testing.T) {
 	g := NewWithT(t)
 	r := NewReplica(nil)
-	r.Empty()
-	g.Expect(r.Loaded()).To(BeTrue())
-	g.Expect(r.Next()).To(BeZero())
+	r.MarkEmpty()
+	g.Expect(r.IsLoaded()).To(BeTrue())
+	g.Expect(r.NextOffset()).To(BeZero())
 	g.Expect(r.Apply([]Record{{Key: "a", Value: []byte("x"), Offset: 0}}, 1)).To(HaveLen(1))
 }
--- a/serving/targets.go
+++ b/serving/targets.go
@@ -7,40 +7,40 @@
 
 // Target is one engine or one instance of a plain service.
 type Target struct {
-	ID         string
-	Born       int64  // when this run began, in Unix milliseconds; 0: not told
-	Sequence   uint64 // counts the records of one run
-	Service    string
-	Address    string
-	DataCentre string
-	Version    string // of its software
-	Slots      int
-	Leaving    bool
-	ColdLeft   time.Duration // how much longer it is cold, as of its record
-	ColdUntil  time.Time     // when it is not cold any more, at the latest
+	ID            string
+	StartedAtMS   int64  // when this run began, in Unix milliseconds; 0: not told
+	Sequence      uint64 // counts the records of one run
+	Service       string
+	Address       string
+	DataCentre    string
+	Version       string // of its software
+	Slots         int
+	Leaving       bool
+	ColdRemaining time.Duration // how much longer it is cold, as of its record
+	ColdUntil     time.Time     // when it is not cold any more, at the latest
 	// Evacuated: an operator has ordered that its data centre gets no work.
 	Evacuated bool
 }
 
-// Open tells whether the target may get work.
-func (t *Target) Open() bool { return !t.Leaving && !t.Evacuated }
+// IsAvailable tells whether the target may get work.
+func (t *Target) IsAvailable() bool { return !t.Leaving && !t.Evacuated }
 
-// Cold tells whether the target bears only a few requests a second.
-func (t *Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
+// IsCold tells whether the target bears only a few requests a second.
+func (t *Target) IsCold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
 // Run names one run of a target. A target that starts again under its id holds and
 // knows nothing of before, so what is booked of it goes by this.
 type Run struct {
-	ID   string
-	Born int64
+	ID          string
+	StartedAtMS int64
 }
 
 // Run returns the target's run.
-func (t *Target) Run() Run { return Run{ID: t.ID, Born: t.Born} }
+func (t *Target) Run() Run { return Run{ID: t.ID, StartedAtMS: t.StartedAtMS} }
 
-// Same tells whether two records of a target say the same: the number that only counts
+// Equivalent tells whether two records of a target say the same: the number that only counts
 // them is left out.
-func (t Target) Same(o Target) bool {
+func (t Target) Equivalent(o Target) bool {
 	t.Sequence, o.Sequence = 0, 0
 	t.ColdUntil, o.ColdUntil = time.Time{}, time.Time{}
 	return t == o
@@ -52,20 +52,20 @@
 // Symptom: a record of before the target's restart, or of before it began to leave,
 // lies on top of the newer one, and a leaving target gets work again.
 func (t *Target) follows(o *Target) bool {
-	return t.Born > o.Born || t.Born == o.Born && t.Sequence >= o.Sequence
+	return t.StartedAtMS > o.StartedAtMS || t.StartedAtMS == o.StartedAtMS && t.Sequence >= o.Sequence
 }
 
-// ReturnWait is how long the entry of a target that lapsed during an outage of
+// LapsedGrace is how long the entry of a target that lapsed during an outage of
 // the store may take to come back after the outage, with a margin for the read
 // that notices. Source: the platform's statement of two seconds.
-const ReturnWait = 2300 * time.Millisecond
+const LapsedGrace = 2300 * time.Millisecond
 
 // TargetSet is what is known of the targets.
 //
 // Failure: the store forgets targets that can't renew their entries while it is
 // down. Symptom: after an outage of seconds no target is left, and every request
 // is refused though all engines are well. So an entry that lapses around an
-// outage stays usable for ReturnWait after it; then what is missing is gone.
+// outage stays usable for LapsedGrace after it; then what is missing is gone.
 type TargetSet struct {
 	byID   map[string]*Target
 	offset map[string]uint64    // of the record of each
@@ -86,7 +86,7 @@
 	}
 	delete(s.lapsed, t.ID)
 	s.offset[t.ID] = offset
-	if old != nil && old.Same(t) {
+	if old != nil && old.Equivalent(t) {
 		return false
 	}
 	s.byID[t.ID] = &t
@@ -113,8 +113,8 @@
 	delete(s.lapsed, id)
 }
 
-// In returns how many targets a data centre has.
-func (s *TargetSet) In(dataCentre string) int {
+// CountInDataCentre returns how many targets a data centre has.
+func (s *TargetSet) CountInDataCentre(dataCentre string) int {
 	n := 0
 	for _, t := range s.byID {
 		if t.DataCentre == dataCentre {
@@ -124,13 +124,13 @@
 	return n
 }
 
-// Expire removes lapsed targets that have not come back; down keeps them, since
+// ExpireLapsed removes lapsed targets that have not come back; down keeps them, since
 // nothing can come back while the store is away.
-func (s *TargetSet) Expire(now time.Time, down bool) bool {
+func (s *TargetSet) ExpireLapsed(now time.Time, down bool) bool {
 	changed := false
 	for id, at := range s.lapsed {
 		if down {
-			s.lapsed[id] = now.Add(ReturnWait)
+			s.lapsed[id] = now.Add(LapsedGrace)
 			continue
 		}
 		if now.After(at) {
