--- a/soak/books.go
+++ b/soak/books.go
@@ -11,7 +11,7 @@
 
 // Record is what a caller saw of one request.
 type Record struct {
-	standin.Answer
+	standin.Response
 	ID   string
 	Kind kind
 	Sent time.Time
@@ -33,14 +33,14 @@
 	corrupt func(Record) Record
 	mu      sync.Mutex
 	records []Record
-	runs    map[string][]standin.Run // by request
+	runs    map[string][]standin.Execution // by request
 }
 
 func newBooks(corrupt func(Record) Record) *books {
-	return &books{corrupt: corrupt, runs: make(map[string][]standin.Run)}
+	return &books{corrupt: corrupt, runs: make(map[string][]standin.Execution)}
 }
 
-func (b *books) ran(r standin.Run) {
+func (b *books) ran(r standin.Execution) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[r.Request] = append(b.runs[r.Request], r)
@@ -78,7 +78,7 @@
 	for i := range b.records {
 		rec := &b.records[i]
 		r.Requests++
-		whole := rec.Status == http.StatusOK && rec.Whole
+		whole := rec.Status == http.StatusOK && rec.Complete
 		if whole {
 			r.Whole++
 		}
@@ -113,7 +113,7 @@
 			broken = append(broken, fmt.Sprintf("%s ran for team %q", rec.ID, run.Team))
 		}
 	}
-	if rec.Status != http.StatusOK || !rec.Whole {
+	if rec.Status != http.StatusOK || !rec.Complete {
 		return broken
 	}
 	want := standin.PlainAnswer(rec.ID)
@@ -123,7 +123,7 @@
 	if rec.Body != want {
 		broken = append(broken, fmt.Sprintf("%s (%s): whole success with another body: %.200q", rec.ID, rec.Kind, rec.Body))
 	}
-	if !rec.Sealed {
+	if !rec.HasSeal {
 		broken = append(broken, fmt.Sprintf("%s: success without the target's proof", rec.ID))
 	}
 	return broken
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -58,8 +58,8 @@
 // one sends a request and records what came back.
 func one(t *http.Transport, address, id string, k kind) Record {
 	rec := Record{ID: id, Kind: k, Sent: time.Now()}
-	rec.Answer = standin.Send(t, address, standin.Call{
-		Host: host, Path: paths[k] + "x", ID: id, Key: key, Left: callTime, Stream: k == stream,
+	rec.Response = standin.Send(t, address, standin.Request{
+		Host: host, Path: paths[k] + "x", ID: id, Key: key, Timeout: callTime, Stream: k == stream,
 	})
 	return rec
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -33,14 +33,14 @@
 		s.note("hang up %s", e.name)
 		e.signal(syscall.SIGHUP)
 	case 4:
-		s.storeFault("store down", last, standin.Faults{Down: true})
+		s.storeFault("store down", last, standin.StoreFaults{Down: true})
 	case 5:
-		s.storeFault("store slow", last, standin.Faults{Slow: 300 * time.Millisecond})
+		s.storeFault("store slow", last, standin.StoreFaults{Delay: 300 * time.Millisecond})
 	case 6:
-		s.storeFault("store silent", last, standin.Faults{Silent: true})
+		s.storeFault("store silent", last, standin.StoreFaults{Hang: true})
 	case 7:
 		s.note("store forgets its history")
-		s.fleet.store.Forget()
+		s.fleet.store.TrimHistory()
 	case 8:
 		s.proxyFault(e.proxy, e.name+" cut off from the store", last, proxyFaults{Refuse: true, Silent: true})
 	case 9:
@@ -49,7 +49,7 @@
 		s.note("reset %s's connections to the store", e.name)
 		e.proxy.reset()
 	case 11:
-		s.targetFault(at, last, standin.TargetFaults{Lost: 0.2, Cut: 0.2, Full: 0.2, Fail: 0.1})
+		s.targetFault(at, last, standin.TargetFaults{DropAnswer: 0.2, Truncate: 0.2, NotExecuted: 0.2, Fail: 0.1})
 	case 12:
 		s.note("target %d is replaced", at)
 		if err := s.fleet.replaceTarget(at); err != nil {
@@ -125,8 +125,8 @@
 	})
 }
 
-func (s *soak) storeFault(what string, d time.Duration, f standin.Faults) {
-	s.during(what, d, func() { s.fleet.store.SetFaults(f) }, func() { s.fleet.store.SetFaults(standin.Faults{}) })
+func (s *soak) storeFault(what string, d time.Duration, f standin.StoreFaults) {
+	s.during(what, d, func() { s.fleet.store.SetFaults(f) }, func() { s.fleet.store.SetFaults(standin.StoreFaults{}) })
 }
 
 func (s *soak) proxyFault(p *proxy, what string, d time.Duration, f proxyFaults) {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	e.config = filepath.Join(dir, e.name+".toml")
-	text := standin.Entry{
+	text := standin.EntrySettings{
 		Name:         e.name,
 		IP:           e.ip,
 		PeerPort:     portPeers,
@@ -120,8 +120,8 @@
 		Directory:    e.address(portDirectory),
 		Store:        e.proxy.address(),
 		GraceSeconds: graceSeconds,
-		BoundSeconds: boundSeconds,
-	}.Settings()
+		DrainSeconds: boundSeconds,
+	}.Text()
 	if err := os.WriteFile(e.config, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 
 func (f *fleet) start(e *entryProc) error {
 	cmd := exec.Command(f.s.opts.Program)
-	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+e.config)
+	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+e.config)
 	cmd.Stdout, cmd.Stderr = e.log, e.log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", e.name, err)
@@ -175,7 +175,7 @@
 		return standin.Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Service: service, TimeoutMS: int(callTime.Milliseconds())}
 	}
 	f.store.PutConfig(standin.Config(f.version, team, key, []string{"plain", "llm"}, []standin.Route{
-		route("once", paths[once], standin.KindOnce, "plain"),
+		route("once", paths[once], standin.KindNonIdempotent, "plain"),
 		route("idem", paths[idempotent], standin.KindIdempotent, "plain"),
 		route("stream", paths[stream], standin.KindStream, "llm"),
 		route(fmt.Sprintf("extra-%d", f.version), fmt.Sprintf("/extra%d/", f.version), standin.KindIdempotent, "plain"),
@@ -265,7 +265,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[at%len(f.targets)]
-	t.SetRate(rate)
+	t.SetRateLimit(rate)
 	if !slices.Contains(f.named, t) {
 		f.named = append(f.named, t)
 	}
@@ -277,9 +277,9 @@
 	defer f.mu.Unlock()
 	var broken []string
 	for _, t := range f.named {
-		for _, n := range t.Rates() {
+		for _, n := range t.RateLimits() {
 			allowed := rateSlack*n.PerSecond*rateWindow.Seconds() + rateBurst
-			if most := n.Most(rateWindow, rateSettles); float64(most) > allowed {
+			if most := n.MaxInWindow(rateWindow, rateSettles); float64(most) > allowed {
 				broken = append(broken, fmt.Sprintf("%s named %.1f requests a second and got %d in %s, allowed %.0f", t.ID, n.PerSecond, most, rateWindow, allowed))
 			}
 		}
@@ -305,11 +305,11 @@
 
 // heal ends all faults.
 func (f *fleet) heal() {
-	f.store.SetFaults(standin.Faults{})
+	f.store.SetFaults(standin.StoreFaults{})
 	f.mu.Lock()
 	for _, t := range f.targets {
 		t.SetFaults(standin.TargetFaults{})
-		t.SetRate(0)
+		t.SetRateLimit(0)
 		t.proxy.set(proxyFaults{})
 	}
 	f.mu.Unlock()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -21,23 +21,23 @@
 
 // Request is one request, sent as it stands.
 type Request struct {
-	Method string
-	URI    string // as the caller sent it
-	Host   string
-	Fields []Field
-	Body   []byte
-	Sized  bool // Body is to be announced even if it is empty
-	// EchoField and Echo name the field by which the answer to this request is
+	Method            string
+	URI               string // as the caller sent it
+	Host              string
+	Fields            []Field
+	Body              []byte
+	SendContentLength bool // Body is to be announced even if it is empty
+	// EchoHeader and EchoValue name the field by which the answer to this request is
 	// known, and its value.
-	EchoField string
-	Echo      string
+	EchoHeader string
+	EchoValue  string
 }
 
 // SendError is a request without a usable answer.
 type SendError struct {
-	Sent  bool // the target may have begun to work on it
-	Fresh bool // on a connection that was opened for it, or that could not be opened
-	Err   error
+	MayHaveRun    bool // the target may have begun to work on it
+	NewConnection bool // on a connection that was opened for it, or that could not be opened
+	Err           error
 }
 
 // Error implements error.
@@ -73,15 +73,15 @@
 	expires time.Time
 }
 
-// Dialed returns how many connections were opened.
-func (p *Pool) Dialed() int64 {
+// DialCount returns how many connections were opened.
+func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// Idle returns how many connections are open and wait for a request.
-func (p *Pool) Idle() int {
+// IdleCount returns how many connections are open and wait for a request.
+func (p *Pool) IdleCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
@@ -93,7 +93,7 @@
 func (p *Pool) Send(ctx context.Context, req *Request) (*Response, error) {
 	c, fresh, err := p.take(ctx)
 	if err != nil {
-		return nil, &SendError{Fresh: true, Err: fmt.Errorf("connect to %s: %w", p.addr, err)}
+		return nil, &SendError{NewConnection: true, Err: fmt.Errorf("connect to %s: %w", p.addr, err)}
 	}
 	if ctx.Err() != nil {
 		p.give(c, idleDefault)
@@ -107,7 +107,7 @@
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &SendError{Sent: true, Fresh: fresh, Err: err}
+		return nil, &SendError{MayHaveRun: true, NewConnection: fresh, Err: err}
 	}
 	r.pool, r.conn, r.stop = p, c, stop
 	return r, nil
@@ -166,7 +166,7 @@
 		b = append(b, f.Value...)
 		b = append(b, "\r\n"...)
 	}
-	if len(req.Body) > 0 || req.Sized {
+	if len(req.Body) > 0 || req.SendContentLength {
 		b = append(b, "Content-Length: "...)
 		b = fmt.Append(b, len(req.Body))
 		b = append(b, "\r\n"...)
@@ -188,8 +188,8 @@
 		if err != nil {
 			return nil, err
 		}
-		echo := string(r.Header.Peek(req.EchoField))
-		if echo == req.Echo || (echo == "" && r.Status/100 != 2) {
+		echo := string(r.Header.Peek(req.EchoHeader))
+		if echo == req.EchoValue || (echo == "" && r.Status/100 != 2) {
 			return r, nil
 		}
 		if err := r.skip(c); err != nil {
@@ -265,8 +265,8 @@
 	}
 }
 
-// Prune closes connections that the target may close soon.
-func (p *Pool) Prune(now time.Time) {
+// CloseExpired closes connections that the target may close soon.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var keep []*conn
 	var old []*conn
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -60,7 +60,7 @@
 }
 
 func send(p *Pool, id string) (string, error) {
-	r, err := p.Send(context.Background(), &Request{Method: "GET", URI: "/x", Host: "h", EchoField: "Id", Echo: id,
+	r, err := p.Send(context.Background(), &Request{Method: "GET", URI: "/x", Host: "h", EchoHeader: "Id", EchoValue: id,
 		Fields: []Field{{Name: "Id", Value: id}}})
 	if err != nil {
 		return "", err
@@ -111,7 +111,7 @@
 	defer p.Close()
 	g.Expect(send(p, "r1")).To(Equal("one"))
 	g.Expect(send(p, "r2")).To(Equal("two"))
-	g.Expect(p.Dialed()).To(Equal(int64(1)), "the connection was kept")
+	g.Expect(p.DialCount()).To(Equal(int64(1)), "the connection was kept")
 }
 
 // A target closes a kept connection. The next request must go out on a new one: on
@@ -133,7 +133,7 @@
 		_, err := send(p, "r")
 		return err
 	}).Should(Succeed())
-	g.Expect(p.Dialed()).To(BeNumerically(">=", int64(2)))
+	g.Expect(p.DialCount()).To(BeNumerically(">=", int64(2)))
 }
 
 // Answers that break off must end with an error, however they are framed; the
@@ -177,7 +177,7 @@
 	})
 	p := NewPool(s.addr)
 	defer p.Close()
-	r, err := p.Send(context.Background(), &Request{Method: "POST", URI: "/x", Host: "h", EchoField: "Id", Echo: "r",
+	r, err := p.Send(context.Background(), &Request{Method: "POST", URI: "/x", Host: "h", EchoHeader: "Id", EchoValue: "r",
 		Body: []byte(strings.Repeat("x", 3<<20))})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer r.Close()
@@ -195,7 +195,7 @@
 	var failed *SendError
 	_, err = send(NewPool(addr), "r")
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
-	g.Expect(failed.Sent).To(BeFalse())
+	g.Expect(failed.MayHaveRun).To(BeFalse())
 
 	s := serve(t, func(_ net.Conn, br *bufio.Reader, _ int) bool {
 		request(br)
@@ -203,7 +203,7 @@
 	})
 	_, err = send(NewPool(s.addr), "r")
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
-	g.Expect(failed.Sent).To(BeTrue())
+	g.Expect(failed.MayHaveRun).To(BeTrue())
 }
 
 // The caller has left before anything went out: nothing may be sent any more.
@@ -224,10 +224,10 @@
 	<-got
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := p.Send(ctx, &Request{Method: "GET", URI: "/x", Host: "h", EchoField: "Id", Echo: "r"})
+	_, err := p.Send(ctx, &Request{Method: "GET", URI: "/x", Host: "h", EchoHeader: "Id", EchoValue: "r"})
 	var failed *SendError
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
-	g.Expect(failed.Sent).To(BeFalse())
+	g.Expect(failed.MayHaveRun).To(BeFalse())
 	g.Expect(send(p, "r")).To(Equal("x"), "the connection is as good as before")
 	<-got
 	g.Expect(got).To(BeEmpty())
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -242,9 +242,9 @@
 	for {
 		now := time.Now()
 		var err error
-		if now.Sub(renewed) > c.opts.Silence/renewals {
+		if now.Sub(renewed) > c.opts.PeerTimeout/renewals {
 			renewed = now
-			err = c.nc.SetReadDeadline(now.Add(c.opts.Silence))
+			err = c.nc.SetReadDeadline(now.Add(c.opts.PeerTimeout))
 		}
 		var f Frame
 		if err == nil {
--- a/wire/options.go
+++ b/wire/options.go
@@ -8,7 +8,7 @@
 	Window       int           // bytes a peer may send on a stream before credit; zero: DefaultWindow
 	MaxStreams   int           // streams that the peer may have open at once; zero: DefaultMaxStreams
 	PingEvery    time.Duration // zero: one second
-	Silence      time.Duration // a peer silent, or not reading, for this long is lost; zero: four seconds
+	PeerTimeout  time.Duration // a peer silent, or not reading, for this long is lost; zero: four seconds
 	HelloTimeout time.Duration // TLS and hello take at most this long; zero: five seconds
 }
 
@@ -36,7 +36,7 @@
 	setDefault(&o.Window, DefaultWindow)
 	setDefault(&o.MaxStreams, DefaultMaxStreams)
 	setDefault(&o.PingEvery, defaultPingEvery)
-	setDefault(&o.Silence, defaultSilence)
+	setDefault(&o.PeerTimeout, defaultSilence)
 	setDefault(&o.HelloTimeout, defaultHelloTimeout)
 	return o
 }
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -14,10 +14,10 @@
 
 // Notes of configuration and control.
 const (
-	NoteAgentConfig Note = 20 // AgentConfig, entry to agent
-	NoteBeat        Note = 21 // Beat, entry to the few of its data centre
-	NoteSilent      Note = 22 // Silent, the few to the entries of their data centre
-	NoteSummary     Note = 23 // Summary, between data centres
+	NoteAgentConfig  Note = 20 // AgentConfig, entry to agent
+	NoteHeartbeat    Note = 21 // Heartbeat, entry to the few of its data centre
+	NoteSilentReport Note = 22 // SilentReport, the few to the entries of their data centre
+	NoteSummary      Note = 23 // Summary, between data centres
 )
 
 // Messages of configuration and control inside a stream.
@@ -66,15 +66,15 @@
 	Fence    uint64
 }
 
-// Beat is an entry's heartbeat; who it is stands in the connection's hello.
-type Beat struct {
+// Heartbeat is an entry's heartbeat; who it is stands in the connection's hello.
+type Heartbeat struct {
 	Version uint64 `msg:"v"`
 	Leaving bool   `msg:"l"`
 }
 
-// Silent names the entries of a data centre that a witness has not heard lately,
+// SilentReport names the entries of a data centre that a witness has not heard lately,
 // that leave or that have no configuration. It heard all others just now.
-type Silent struct {
+type SilentReport struct {
 	Rows []SilentRow `msg:"r"`
 }
 
--- a/wire/schema_control_gen.go
+++ b/wire/schema_control_gen.go
@@ -224,71 +224,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z Beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "v"
-	o = append(o, 0x82, 0xa1, 0x76)
-	o = msgp.AppendUint64(o, z.Version)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBool(o, z.Leaving)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > zf0a5c0f9limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "v":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "l":
-			z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Leaving")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Beat) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z DrainRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -387,6 +322,71 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z Heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "v"
+	o = append(o, 0x82, 0xa1, 0x76)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendBool(o, z.Leaving)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > zf0a5c0f9limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "v":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		case "l":
+			z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Leaving")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Heartbeat) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *LeaseInfo) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -751,7 +751,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Silent) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SilentReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "r"
@@ -768,7 +768,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Silent) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SilentReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -825,7 +825,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Silent) Msgsize() (s int) {
+func (z *SilentReport) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Rows {
 		s += z.Rows[za0001].Msgsize()
--- a/wire/schema_expert.go
+++ b/wire/schema_expert.go
@@ -7,8 +7,8 @@
 // MethodRank carries one RankOrder, answered by one RankReply.
 const MethodRank Method = 30
 
-// NoteRankStuck is a RankStuck, agent to entries.
-const NoteRankStuck Note = 30
+// NoteRankStalled is a RankStalled, agent to entries.
+const NoteRankStalled Note = 30
 
 // MessageRank is a RankReply.
 const MessageRank MessageKind = 30
@@ -27,10 +27,10 @@
 
 // RankOrder is an order, or a question, to one rank of a group.
 type RankOrder struct {
-	Group  string `msg:"g"`
-	Op     uint8  `msg:"o"`
-	Fence  uint64 `msg:"f"` // of the group's lease; 0 in a rescue
-	Rescue bool   `msg:"r"` // brings a stuck group on, by whoever sees it
+	Group    string `msg:"g"`
+	Op       uint8  `msg:"o"`
+	Fence    uint64 `msg:"f"` // of the group's lease; 0 in a rescue
+	Recovery bool   `msg:"r"` // brings a stuck group on, by whoever sees it
 
 	Round       uint64        `msg:"b"` // ballot
 	Owner       uint64        `msg:"w"` // ballot
@@ -76,9 +76,9 @@
 	Slots   []byte  `msg:"p"` // of the map in use
 }
 
-// RankStuck says that a rank has been held for long, or waits to be told where to
+// RankStalled says that a rank has been held for long, or waits to be told where to
 // join.
-type RankStuck struct {
+type RankStalled struct {
 	Target string `msg:"t"`
 	Held   bool   `msg:"h"`
 }
--- a/wire/schema_expert_gen.go
+++ b/wire/schema_expert_gen.go
@@ -27,7 +27,7 @@
 	o = msgp.AppendUint64(o, z.Fence)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Rescue)
+	o = msgp.AppendBool(o, z.Recovery)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendUint64(o, z.Round)
@@ -117,9 +117,9 @@
 				return
 			}
 		case "r":
-			z.Rescue, bts, err = msgp.ReadBoolBytes(bts)
+			z.Recovery, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Rescue")
+				err = msgp.WrapError(err, "Recovery")
 				return
 			}
 		case "b":
@@ -543,7 +543,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z RankStuck) MarshalMsg(b []byte) (o []byte, err error) {
+func (z RankStalled) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "t"
@@ -556,7 +556,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RankStuck) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RankStalled) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -602,7 +602,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RankStuck) Msgsize() (s int) {
+func (z RankStalled) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Target) + 2 + msgp.BoolSize
 	return
 }
--- a/wire/schema_outcomes.go
+++ b/wire/schema_outcomes.go
@@ -6,16 +6,16 @@
 
 // Notes of this file.
 const (
-	NoteAttest Note = 10 // Attest, entry to agent
-	NoteCrash  Note = 11 // Crash, agent to entry
-	// NoteGoodbye is empty: the agent has ended all its answers and stops. The
+	NoteDispatchReport Note = 10 // DispatchReport, entry to agent
+	NoteCrash          Note = 11 // Crash, agent to entry
+	// NoteShutdown is empty: the agent has ended all its answers and stops. The
 	// entry hangs up once it has received them.
-	NoteGoodbye Note = 12
+	NoteShutdown Note = 12
 )
 
-// Attest is an entry's statement to an agent about requests that must not run
+// DispatchReport is an entry's statement to an agent about requests that must not run
 // twice. From now on the entry dispatches none of them under an older version.
-type Attest struct {
+type DispatchReport struct {
 	Version uint64   `msg:"v"`
 	Targets []string `msg:"t"` // declared targets of the agent's fleet under Version
 	// Keys are the hashes of the keys whose home the agent is under Version and
--- a/wire/schema_outcomes_gen.go
+++ b/wire/schema_outcomes_gen.go
@@ -13,29 +13,32 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Attest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Crash) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "v"
-	o = append(o, 0x83, 0xa1, 0x76)
-	o = msgp.AppendUint64(o, z.Version)
+	// map header, size 5
+	// string "i"
+	o = append(o, 0x85, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, z.ID)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Targets)))
-	for za0001 := range z.Targets {
-		o = msgp.AppendString(o, z.Targets[za0001])
-	}
-	// string "k"
-	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Keys)))
-	for za0002 := range z.Keys {
-		o = msgp.AppendUint64(o, z.Keys[za0002])
+	o = msgp.AppendString(o, z.Target)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendBool(o, z.Alone)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Suspects)))
+	for za0001 := range z.Suspects {
+		o = msgp.AppendUint64(o, z.Suspects[za0001])
 	}
+	// string "g"
+	o = append(o, 0xa1, 0x67)
+	o = msgp.AppendInt64(o, z.AgeMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Attest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Crash) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -56,58 +59,53 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+		case "i":
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
 		case "t":
+			z.Target, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Target")
+				return
+			}
+		case "a":
+			z.Alone, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Alone")
+				return
+			}
+		case "s":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Targets")
+				err = msgp.WrapError(err, "Suspects")
 				return
 			}
 			if zb0002 > z22c97046limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Targets) >= int(zb0002) {
-				z.Targets = (z.Targets)[:zb0002]
+			if cap(z.Suspects) >= int(zb0002) {
+				z.Suspects = (z.Suspects)[:zb0002]
 			} else {
-				z.Targets = make([]string, zb0002)
+				z.Suspects = make([]uint64, zb0002)
 			}
-			for za0001 := range z.Targets {
-				z.Targets[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.Suspects {
+				z.Suspects[za0001], bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Targets", za0001)
+					err = msgp.WrapError(err, "Suspects", za0001)
 					return
 				}
 			}
-		case "k":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "g":
+			z.AgeMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Keys")
-				return
-			}
-			if zb0003 > z22c97046limitArrays {
-				err = msgp.ErrLimitExceeded
+				err = msgp.WrapError(err, "AgeMs")
 				return
 			}
-			if cap(z.Keys) >= int(zb0003) {
-				z.Keys = (z.Keys)[:zb0003]
-			} else {
-				z.Keys = make([]uint64, zb0003)
-			}
-			for za0002 := range z.Keys {
-				z.Keys[za0002], bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Keys", za0002)
-					return
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -121,42 +119,35 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Attest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Targets {
-		s += msgp.StringPrefixSize + len(z.Targets[za0001])
-	}
-	s += 2 + msgp.ArrayHeaderSize + (len(z.Keys) * (msgp.Uint64Size))
+func (z *Crash) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Target) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Suspects) * (msgp.Uint64Size)) + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Crash) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *DispatchReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "i"
-	o = append(o, 0x85, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, z.ID)
+	// map header, size 3
+	// string "v"
+	o = append(o, 0x83, 0xa1, 0x76)
+	o = msgp.AppendUint64(o, z.Version)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendString(o, z.Target)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBool(o, z.Alone)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Suspects)))
-	for za0001 := range z.Suspects {
-		o = msgp.AppendUint64(o, z.Suspects[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Targets)))
+	for za0001 := range z.Targets {
+		o = msgp.AppendString(o, z.Targets[za0001])
+	}
+	// string "k"
+	o = append(o, 0xa1, 0x6b)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Keys)))
+	for za0002 := range z.Keys {
+		o = msgp.AppendUint64(o, z.Keys[za0002])
 	}
-	// string "g"
-	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendInt64(o, z.AgeMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Crash) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *DispatchReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -177,53 +168,58 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+		case "v":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		case "t":
-			z.Target, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Target")
-				return
-			}
-		case "a":
-			z.Alone, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Alone")
-				return
-			}
-		case "s":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Suspects")
+				err = msgp.WrapError(err, "Targets")
 				return
 			}
 			if zb0002 > z22c97046limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Suspects) >= int(zb0002) {
-				z.Suspects = (z.Suspects)[:zb0002]
+			if cap(z.Targets) >= int(zb0002) {
+				z.Targets = (z.Targets)[:zb0002]
 			} else {
-				z.Suspects = make([]uint64, zb0002)
+				z.Targets = make([]string, zb0002)
 			}
-			for za0001 := range z.Suspects {
-				z.Suspects[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+			for za0001 := range z.Targets {
+				z.Targets[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Suspects", za0001)
+					err = msgp.WrapError(err, "Targets", za0001)
 					return
 				}
 			}
-		case "g":
-			z.AgeMs, bts, err = msgp.ReadInt64Bytes(bts)
+		case "k":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "AgeMs")
+				err = msgp.WrapError(err, "Keys")
 				return
 			}
+			if zb0003 > z22c97046limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Keys) >= int(zb0003) {
+				z.Keys = (z.Keys)[:zb0003]
+			} else {
+				z.Keys = make([]uint64, zb0003)
+			}
+			for za0002 := range z.Keys {
+				z.Keys[za0002], bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Keys", za0002)
+					return
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -237,7 +233,11 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Crash) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Target) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Suspects) * (msgp.Uint64Size)) + 2 + msgp.Int64Size
+func (z *DispatchReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Targets {
+		s += msgp.StringPrefixSize + len(z.Targets[za0001])
+	}
+	s += 2 + msgp.ArrayHeaderSize + (len(z.Keys) * (msgp.Uint64Size))
 	return
 }
--- a/wire/schema_placement.go
+++ b/wire/schema_placement.go
@@ -9,22 +9,22 @@
 	NoteDemand Note = 41 // Demand, entry to entry
 )
 
-// Load is an agent's account of its target, sent to an entry. Mine is the part
+// Load is an agent's account of its target, sent to an entry. FromReceiver is the part
 // of the work that the entry itself has sent: the entry subtracts it and adds
 // its own books, so that each request is counted once however late this comes.
 type Load struct {
-	Target        string  `msg:"t,omitempty"` // empty: the target that the hello named
-	Seq           uint64  `msg:"n"`           // grows with each report of this incarnation
-	Leaving       bool    `msg:"l,omitempty"`
-	EngineUp      bool    `msg:"u"`
-	Total         Work    `msg:"w"`
-	Mine          Work    `msg:"m"`
-	Queued        int     `msg:"q,omitempty"` // part of Total that waits at the agent
-	Slots         int     `msg:"s,omitempty"` // requests that the engine decodes at once
-	TokensPerSec  float32 `msg:"d,omitempty"` // decode speed learnt, of the full engine
-	PrefillPerSec float32 `msg:"f,omitempty"` // prompt tokens a second learnt
-	StepWait      float32 `msg:"b,omitempty"` // seconds to a first token that don't depend on prompts
-	AnswerTokens  float32 `msg:"a,omitempty"` // mean length of answers
+	Target            string  `msg:"t,omitempty"` // empty: the target that the hello named
+	Seq               uint64  `msg:"n"`           // grows with each report of this incarnation
+	Leaving           bool    `msg:"l,omitempty"`
+	EngineUp          bool    `msg:"u"`
+	Total             Work    `msg:"w"`
+	FromReceiver      Work    `msg:"m"`
+	Queued            int     `msg:"q,omitempty"` // part of Total that waits at the agent
+	Slots             int     `msg:"s,omitempty"` // requests that the engine decodes at once
+	TokensPerSec      float32 `msg:"d,omitempty"` // decode speed learnt, of the full engine
+	PrefillPerSec     float32 `msg:"f,omitempty"` // prompt tokens a second learnt
+	FirstTokenBaseSec float32 `msg:"b,omitempty"` // seconds to a first token that don't depend on prompts
+	AnswerTokens      float32 `msg:"a,omitempty"` // mean length of answers
 }
 
 // Work is a part of a target's load, waiting requests included.
--- a/wire/schema_placement_gen.go
+++ b/wire/schema_placement_gen.go
@@ -149,7 +149,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.StepWait == 0 {
+	if z.FirstTokenBaseSec == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -189,9 +189,9 @@
 		o = append(o, 0xa1, 0x6d)
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendInt(o, z.Mine.Requests)
-		o = msgp.AppendInt(o, z.Mine.Prompt)
-		o = msgp.AppendInt(o, z.Mine.Decode)
+		o = msgp.AppendInt(o, z.FromReceiver.Requests)
+		o = msgp.AppendInt(o, z.FromReceiver.Prompt)
+		o = msgp.AppendInt(o, z.FromReceiver.Decode)
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "q"
 			o = append(o, 0xa1, 0x71)
@@ -215,7 +215,7 @@
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "b"
 			o = append(o, 0xa1, 0x62)
-			o = msgp.AppendFloat32(o, z.StepWait)
+			o = msgp.AppendFloat32(o, z.FirstTokenBaseSec)
 		}
 		if (zb0001Mask & 0x800) == 0 { // if not omitted
 			// string "a"
@@ -302,26 +302,26 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mine")
+				err = msgp.WrapError(err, "FromReceiver")
 				return
 			}
 			if zb0003 != 3 {
 				err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 				return
 			}
-			z.Mine.Requests, bts, err = msgp.ReadIntBytes(bts)
+			z.FromReceiver.Requests, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mine", "Requests")
+				err = msgp.WrapError(err, "FromReceiver", "Requests")
 				return
 			}
-			z.Mine.Prompt, bts, err = msgp.ReadIntBytes(bts)
+			z.FromReceiver.Prompt, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mine", "Prompt")
+				err = msgp.WrapError(err, "FromReceiver", "Prompt")
 				return
 			}
-			z.Mine.Decode, bts, err = msgp.ReadIntBytes(bts)
+			z.FromReceiver.Decode, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mine", "Decode")
+				err = msgp.WrapError(err, "FromReceiver", "Decode")
 				return
 			}
 		case "q":
@@ -349,9 +349,9 @@
 				return
 			}
 		case "b":
-			z.StepWait, bts, err = msgp.ReadFloat32Bytes(bts)
+			z.FirstTokenBaseSec, bts, err = msgp.ReadFloat32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "StepWait")
+				err = msgp.WrapError(err, "FirstTokenBaseSec")
 				return
 			}
 		case "a":
--- a/wire/write.go
+++ b/wire/write.go
@@ -116,7 +116,7 @@
 // limitWrite bounds the next write. A peer that pings but does not read would
 // otherwise hold all senders of this side for good.
 func (c *Conn) limitWrite() error {
-	return c.nc.SetWriteDeadline(time.Now().Add(c.opts.Silence))
+	return c.nc.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout))
 }
 
 func (c *Conn) writePing(frame []byte) error {
