--- /dev/null
+++ b/placing/admissionqueue.go
@@ -0,0 +1,194 @@
+package placing
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/heatherrail/heatherrail/internal/ablate"
+	"github.com/heatherrail/heatherrail/serving"
+)
+
+// AdmissionQueue holds the requests of a service with model engines until targets have headroom.
+//
+// The engines of a group run each pass together. A pass takes longer with every stream that runs on
+// any of them, and far longer just after demand has shifted and before the expert map has been
+// rebalanced. With all engine slots in use such a shift makes every stream late; with fewer streams
+// it does not, and the requests that wait here meanwhile are still on time. The queue therefore
+// limits the streams of each target to what the group sustains, and admits requests by priority,
+// then in order of arrival.
+type AdmissionQueue struct {
+	mu          sync.Mutex
+	waiting     []*Waiter
+	rate        admissionRate
+	enqueued    int  // requests added so far
+	serviceDown bool // no group of the service runs requests
+	gaps        gapMean
+}
+
+// Waiter is a request in the queue.
+type Waiter struct {
+	request *Request
+	granted chan *serving.Target
+}
+
+// Granted receives the target for the request, or nil if all targets report a rate limit.
+func (w *Waiter) Granted() <-chan *serving.Target { return w.granted }
+
+// Enqueue adds a request to the queue. If the request would wait longer than its caller does, ok is
+// false and wait is the Retry-After.
+//
+// Waiting requests that can no longer be on time delay only requests like them, since requests that
+// can still be on time are admitted first.
+func (q *AdmissionQueue) Enqueue(r *Request, now time.Time) (w *Waiter, wait time.Duration, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.serviceDown {
+		return q.insert(r), 0, true
+	}
+	ahead, onTime := 0, 0
+	for _, other := range q.waiting {
+		if other.request.Priority > r.Priority {
+			continue
+		}
+		ahead++
+		if other.request.isOnTime(now) {
+			onTime++
+		}
+	}
+	if onTime == 0 || q.rate.expectedWait(onTime+1, now) <= r.MaxOnTimeWait() {
+		return q.insert(r), 0, true
+	}
+	expected := q.rate.expectedWait(ahead+1, now)
+	if expected > r.MaxWait && !ablate.Off(ablate.RefuseEarly) {
+		return nil, expected, false
+	}
+	return q.insert(r), 0, true
+}
+
+func (q *AdmissionQueue) insert(r *Request) *Waiter {
+	w := &Waiter{request: r, granted: make(chan *serving.Target, 1)}
+	q.waiting = append(q.waiting, w)
+	if !r.Requeued {
+		q.enqueued++
+	}
+	slices.SortStableFunc(q.waiting, func(a, b *Waiter) int {
+		return cmp.Or(cmp.Compare(a.request.Priority, b.request.Priority), a.request.Arrived.Compare(b.request.Arrived))
+	})
+	return w
+}
+
+// SetServiceDown records whether no group of the service runs requests. While that is so, no
+// request is refused for its expected wait, because the speed of the queue is unknown.
+func (q *AdmissionQueue) SetServiceDown(down bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.serviceDown = down
+}
+
+// Remove takes a request out of the queue. It returns false if the request has been granted a
+// target meanwhile.
+func (q *AdmissionQueue) Remove(w *Waiter) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	i := slices.Index(q.waiting, w)
+	if i < 0 {
+		return false
+	}
+	q.waiting = slices.Delete(q.waiting, i, i+1)
+	return true
+}
+
+// grant hands out targets to waiting requests until place returns nil. canAdmitLate reports whether
+// a request that can no longer be on time may be admitted.
+func (q *AdmissionQueue) grant(now time.Time, canAdmitLate func() bool, place func(r *Request) *serving.Target) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for len(q.waiting) > 0 {
+		i := q.nextIndex(now, canAdmitLate())
+		if i < 0 {
+			return
+		}
+		w := q.waiting[i]
+		t := place(w.request)
+		if t == nil {
+			return
+		}
+		q.waiting = slices.Delete(q.waiting, i, i+1)
+		if !w.request.Requeued {
+			q.rate.record(now)
+		}
+		w.granted <- t
+	}
+}
+
+// releaseAll releases all requests without a target.
+func (q *AdmissionQueue) releaseAll() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, w := range q.waiting {
+		w.granted <- nil
+	}
+	q.waiting = nil
+}
+
+// nextIndex returns the index of the request to admit next: among the most urgent ones the oldest
+// that can still have its first event on time, and only then those that can't. How late an answer
+// is does not matter for its worth, so admitting late requests first would make all requests behind
+// them late too. It returns -1 if none may be admitted.
+func (q *AdmissionQueue) nextIndex(now time.Time, admitLate bool) int {
+	if ablate.Off(ablate.InTimeFirst) {
+		return 0
+	}
+	for i, w := range q.waiting {
+		if admitLate && w.request.Priority != q.waiting[0].request.Priority {
+			break
+		}
+		if w.request.isOnTime(now) {
+			return i
+		}
+	}
+	if admitLate {
+		return 0
+	}
+	return -1
+}
+
+// demand is what one entry has to send.
+type demand struct {
+	queued            QueueCounts
+	enqueued          int // total number of requests added to the queue
+	admittedPerSecond float64
+}
+
+func (q *AdmissionQueue) demand(now time.Time) demand {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return demand{queued: q.countWaiting(now), enqueued: q.enqueued, admittedPerSecond: q.rate.perSecond(now)}
+}
+
+func (q *AdmissionQueue) countWaiting(now time.Time) (counts QueueCounts) {
+	for _, w := range q.waiting {
+		if w.request.isOnTime(now) {
+			counts.InTime++
+		} else {
+			counts.Late++
+		}
+	}
+	return counts
+}
+
+// HasWaiting reports whether any request waits.
+func (q *AdmissionQueue) HasWaiting() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting) > 0
+}
+
+// QueueCounts returns how many requests wait.
+func (q *AdmissionQueue) QueueCounts(now time.Time) QueueCounts {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.countWaiting(now)
+}
--- a/placing/admit.go
+++ b/placing/admit.go
@@ -6,37 +6,38 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// TargetPool is what requests for one service go along.
+// TargetPool holds the targets of one service and the settings by which requests are placed on
+// them.
 type TargetPool struct {
 	Service           *serving.Service
-	EventGapObjective time.Duration // for the pauses in its streams
+	EventGapObjective time.Duration // objective for the gap between two events of a stream; 0: none
 	Targets           []*serving.Target
-	Entries           int // that send to them
+	Entries           int // number of entries that send to these targets
 }
 
-// Admit hands targets to requests that wait at a gate, as far as targets have room.
+// Admit grants targets to requests in the admission queue while the targets have headroom.
 //
-// If all targets name a rate nobody waits here: how soon a request may go is then told by
-// whoever issues the permits of the targets.
-func Admit(g *AdmissionQueue, b *Tracker, l TargetPool, now time.Time) {
-	if b.AllRateLimited(l.Targets) {
-		g.release()
+// If every available target reports a rate limit, Admit releases the whole queue without targets:
+// the permits of the targets then decide when each request is sent.
+func Admit(q *AdmissionQueue, tr *Tracker, pool TargetPool, now time.Time) {
+	if tr.AllRateLimited(pool.Targets) {
+		q.releaseAll()
 		return
 	}
-	lanes := b.lanes(l, now)
-	g.noteSlowRank(b.hasSlowRank(lanes, now))
-	b.prepare(lanes, g.demand(now), now)
-	g.grant(now, func() bool { return b.lateMayGo(lanes) }, func(r *Request) *serving.Target { return b.reserve(lanes, r, now) })
+	pools := tr.groupPools(pool, now)
+	q.setSlowRank(tr.hasSlowRank(pools, now))
+	tr.updateHeadroom(pools, q.demand(now), now)
+	q.grant(now, func() bool { return tr.canAdmitLate(pools) }, func(r *Request) *serving.Target { return tr.reserve(pools, r, now) })
 }
 
-// prepare computes what this entry may send.
-func (b *Tracker) prepare(lanes []groupLane, d demand, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for i := range lanes {
-		l := &lanes[i]
-		b.lates(l.Service.Name).coming.take(d.entered, now)
-		b.assume(l, now)
-		b.renew(l, d, now)
+// updateHeadroom recomputes this entry's share of each group's headroom.
+func (tr *Tracker) updateHeadroom(pools []groupPool, d demand, now time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for i := range pools {
+		p := &pools[i]
+		tr.lateShareOf(p.Service.Name).arrivals.update(d.enqueued, now)
+		tr.assumeOtherLoad(p, now)
+		tr.updateShare(p, d, now)
 	}
 }
--- a/placing/cold.go
+++ b/placing/cold.go
@@ -6,56 +6,60 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// coldLimit is what an entry knows of the permits of a target that is cold: it has started lately
-// and takes few requests a second from all entries together.
+// coldIssuer issues the permits of a cold target: one that has started recently and takes only a
+// few requests a second from all entries together.
 //
-// Load pattern: a target comes back while the others are full. Each entry finds it idle and sends
-// it what waits, and together they overrun it before any report shows its load.
-type coldLimit struct {
-	permits permits // that this entry issues
-	used    time.Time
+// It guards against overload after a restart: while the other targets are full, each entry sees the
+// returning target idle and sends its queued requests there, before any load report shows the sum.
+type coldIssuer struct {
+	permits  permits // issued by this entry
+	lastUsed time.Time
 }
 
 const (
-	// coldTTL ends the memory of a target that nobody asks for any more.
-	coldTTL = 30 * time.Second
-	// takeOverPart of the rate is granted by an entry that begins to issue the permits of a cold
-	// target, while the one before may still do. To grant none would leave all targets idle
-	// after a loss of power, when all are cold and all entries begin to issue permits.
-	takeOverPart = 0.5
+	// coldPermitTTL is how long the state of a cold target is kept after its last permit query.
+	coldPermitTTL = 30 * time.Second
+	// takeOverRateShare is the share of the rate that an entry grants when it begins to issue the
+	// permits of a cold target, because the previous issuer may not have stopped yet. Granting none
+	// would leave all targets idle after a power loss, when every target is cold and every issuer
+	// changes.
+	takeOverRateShare = 0.5
 )
 
-// coldLimit returns the limit of a cold target; the lock must be held.
-func (b *Tracker) coldLimit(run serving.Run, now time.Time) *coldLimit {
-	known := b.limits.cold[run]
-	if known == nil {
-		known = new(coldLimit)
-		b.limits.cold[run] = known
+// coldIssuer returns the permit issuer of a cold target and creates it if needed. The lock must be
+// held.
+func (tr *Tracker) coldIssuer(run serving.Run, now time.Time) *coldIssuer {
+	issuer := tr.limits.cold[run]
+	if issuer == nil {
+		issuer = new(coldIssuer)
+		tr.limits.cold[run] = issuer
 	}
-	known.used = now
-	return known
+	issuer.lastUsed = now
+	return issuer
 }
 
-// take grants the next permit of a cold target. It has no take-over time, see takeOverPart.
-func (c *coldLimit) take(rate float64, q PermitQuery, now time.Time) Permit {
-	if c.permits.since.IsZero() {
-		c.permits.since = now
+// issue grants the next permit of a cold target. Unlike other permits it has no take-over delay,
+// see takeOverRateShare.
+func (c *coldIssuer) issue(rate float64, q PermitQuery, now time.Time) Permit {
+	if c.permits.issuingSince.IsZero() {
+		c.permits.issuingSince = now
 	}
-	if now.Sub(c.permits.since) < takeOver {
-		rate *= takeOverPart
+	if now.Sub(c.permits.issuingSince) < takeOverDelay {
+		rate *= takeOverRateShare
 	}
-	issuer := c.permits
-	issuer.since = time.Time{}
-	permit := issuer.take(rate, q, now)
-	issuer.since = c.permits.since
-	c.permits = issuer
+	ps := c.permits
+	ps.issuingSince = time.Time{}
+	permit := ps.issue(rate, q, now)
+	ps.issuingSince = c.permits.issuingSince
+	c.permits = ps
 	return permit
 }
 
-// forgetCold drops cold targets that are not known any more or were not asked for lately.
-func (l *rateLimits) forgetCold(known func(run serving.Run) bool, now time.Time) {
+// pruneCold drops cold targets that are no longer known or had no permit query within
+// coldPermitTTL.
+func (l *rateLimits) pruneCold(known func(run serving.Run) bool, now time.Time) {
 	for run, c := range l.cold {
-		if !known(run) || now.Sub(c.used) > coldTTL {
+		if !known(run) || now.Sub(c.lastUsed) > coldPermitTTL {
 			delete(l.cold, run)
 		}
 	}
--- a/placing/cold_test.go
+++ b/placing/cold_test.go
@@ -10,58 +10,59 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// What a cold target bears in a second beyond its rate, as its operators state it.
+// Requests that a cold target takes within any second, as its operators state: its rate times
+// coldBurstFactor plus coldSlack.
 const (
-	coldOver  = 1.5
-	coldSlack = 5
+	coldBurstFactor = 1.5
+	coldSlack       = 5
 )
 
-// Guards against entries that overrun a cold target together, each with a part of its rate or less,
-// and while the entry that issues its permits crashes.
-func TestAFleetKeepsAColdTargetUnderItsBoundAtAnySize(t *testing.T) {
+// Many entries must not overload a cold target together, although each sends less than its rate and
+// the entry that issues its permits crashes.
+func TestColdTargetStaysWithinItsRateAtAnyFleetSize(t *testing.T) {
 	for _, entries := range []int{8, 46, 410, 1000} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d entries, seed %d", entries, seed), func(t *testing.T) {
 				g := NewWithT(t)
 				f := newRateFleet(entries, seed)
-				f.lossy, f.cold = 0.05, 26
-				const pressed = 300.0 // requests a second for the target, at all entries together
+				f.lossRate, f.coldRate = 0.05, 26
+				const offeredRate = 300.0 // requests a second for the target, at all entries together
 				for _, e := range f.entries {
-					f.requests(e, pressed/float64(entries))
+					f.generateRequests(e, offeredRate/float64(entries))
 				}
 				f.run(3 * time.Second)
-				f.restart(0, 2*time.Second) // the owner
+				f.restart(0, 2*time.Second) // the permit owner
 				f.run(5 * time.Second)
-				g.Expect(float64(mostIn(f.target.came, time.Second))).To(BeNumerically("<=", f.cold*coldOver+coldSlack))
-				g.Expect(float64(len(f.target.came))).To(BeNumerically(">=", f.cold*8*0.5), "the target is of use")
-				f.cold = 0
-				from := len(f.target.came)
+				g.Expect(float64(maxInWindow(f.target.received, time.Second))).To(BeNumerically("<=", f.coldRate*coldBurstFactor+coldSlack))
+				g.Expect(float64(len(f.target.received))).To(BeNumerically(">=", f.coldRate*8*0.5), "the target gets enough requests")
+				f.coldRate = 0
+				from := len(f.target.received)
 				f.run(5 * time.Second)
-				g.Expect(float64(len(f.target.came)-from)).To(BeNumerically(">=", pressed*5*0.8), "it is cold no longer")
+				g.Expect(float64(len(f.target.received)-from)).To(BeNumerically(">=", offeredRate*5*0.8), "the target is no longer cold")
 			})
 		}
 	}
 }
 
-// Guards against a cold target of which nothing is granted while permits change hands: after a loss
-// of power all targets are cold and all permits do.
-func TestAColdTargetGetsWorkAsSoonAsItsPermitsChangeHands(t *testing.T) {
+// After a power loss all targets are cold and all issuers change. A target that got no permits while
+// its issuer changes would leave the whole fleet idle.
+func TestColdTargetGetsPermitsRightAfterIssuerChange(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
-	b.StopIssuingPermits(limitedRun)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(time.Second)).Granted).To(BeTrue())
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
+	tr.StopIssuingPermits(limitedRun)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(time.Second)).Granted).To(BeTrue())
 }
 
-// Guards against a target that is cold and names a rate, and gets what the higher of both allows.
-func TestTheLowerOfTwoRatesCounts(t *testing.T) {
+// A cold target that also reports a rate limit must not get requests at the higher of the two rates.
+func TestLowerOfColdRateAndRateLimitApplies(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	nameRate(b, limitedRun, 1, now)
-	b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now)
-	now = now.Add(takeOver)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(100*time.Millisecond)).Granted).To(BeFalse())
-	b.Prune(func(serving.Run) bool { return false }, now)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	reportRate(tr, limitedRun, 1, now)
+	tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now)
+	now = now.Add(takeOverDelay)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(100*time.Millisecond)).Granted).To(BeFalse())
+	tr.Prune(func(serving.Run) bool { return false }, now)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
 }
--- a/placing/evacuate_test.go
+++ b/placing/evacuate_test.go
@@ -7,16 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a group that bears a third less for the time that a third of its ranks get no work.
-func TestTheOtherRanksTakeOverWhatAnEvacuatedDataCentreDid(t *testing.T) {
+// A third of the ranks is evacuated, but these engines still do their experts' work. The capacity of
+// the group must not fall by a third.
+func TestStreamLimitRisesWhenADataCentreIsEvacuated(t *testing.T) {
 	g := NewWithT(t)
 	m := testModel()
 	m.Slots, m.ExpertShare = 100, 0.85
-	aim := 120 * time.Millisecond
-	all := limit(m, aim, 1.5, 1)
-	rest := limitAmong(m, aim, 1.5, 1, 2.0/3)
-	g.Expect(rest).To(BeNumerically(">", 1.25*all))
-	g.Expect(rest*2/3).To(BeNumerically("<", all), "each of them has its own part of a pass too")
+	gapObjective := 120 * time.Millisecond
+	all := streamLimit(m, gapObjective, 1.5, 1)
+	remaining := streamLimitAmong(m, gapObjective, 1.5, 1, 2.0/3)
+	g.Expect(remaining).To(BeNumerically(">", 1.25*all))
+	g.Expect(remaining*2/3).To(BeNumerically("<", all), "each rank also has its own part of a pass")
 	m.Slots = int(all)
-	g.Expect(limitAmong(m, aim, 1.5, 1, 2.0/3)).To(BeNumerically("<=", m.Slots), "an engine runs no more than it has places")
+	g.Expect(streamLimitAmong(m, gapObjective, 1.5, 1, 2.0/3)).To(BeNumerically("<=", m.Slots), "an engine runs no more streams than it has slots")
 }
--- a/placing/finish.go
+++ b/placing/finish.go
@@ -6,70 +6,70 @@
 	"github.com/heatherrail/heatherrail/internal/ablate"
 )
 
-// streamPace tells how fast streams get on, by the pauses between their events.
-type streamPace struct {
+// gapMean tracks the mean gap between two events of a stream, over all streams of this entry.
+type gapMean struct {
 	mean     time.Duration
-	at       time.Time // of the latest pause
-	slowRank bool      // the group has one, by the latest report
+	latest   time.Time // time of the latest gap
+	slowRank bool      // the group has a slow rank, by the latest report
 }
 
-// Figures of the pace.
+// Parameters of the mean gap.
 const (
-	// paceWeight is the weight of one pause: an entry's streams have thirty a second
-	// and more.
-	paceWeight = 32
-	// paceTTL: without a stream to see, nothing is known any more.
-	paceTTL = time.Second
-	// honouredShare of the time that callers have left is the longest that they wait
-	// before they come back. Source: the platform's statement.
-	honouredShare = 1.0 / 3
+	// gapWeight is the inverse weight of one gap in the mean. The streams of an entry have thirty
+	// gaps a second and more.
+	gapWeight = 32
+	// gapTTL is the time without any gap after which the mean no longer counts.
+	gapTTL = time.Second
+	// honouredWaitShare of the time that a caller has left is the longest Retry-After that callers
+	// honour. Source: the platform's statement.
+	honouredWaitShare = 1.0 / 3
 )
 
-func (p *streamPace) take(pause time.Duration, now time.Time) {
-	if now.Sub(p.at) > paceTTL {
-		p.mean = pause
+func (m *gapMean) record(gap time.Duration, now time.Time) {
+	if now.Sub(m.latest) > gapTTL {
+		m.mean = gap
 	}
-	p.at = now
-	p.mean += (pause - p.mean) / paceWeight
+	m.latest = now
+	m.mean += (gap - m.mean) / gapWeight
 }
 
-// canFinish tells whether a stream that begins now ends before its deadline, at the pace
-// that streams have.
+// canFinish reports whether a stream that starts now ends before its deadline at the current mean
+// gap.
 //
-// Load pattern: a rank takes many times as long, for seconds, and so do the passes of all. A
-// long stream then takes longer than its caller stays: it holds a place for all that time,
-// for nothing, while shorter ones wait that would end in time.
-// Passes that are long for another reason are short again once the map has followed,
-// within half a second, so only a slow rank counts.
-func (p *streamPace) canFinish(r *Request, now time.Time) bool {
-	if ablate.Off(ablate.CannotFinish) || !p.slowRank || r.ExpectedEvents == 0 || r.Deadline.IsZero() || now.Sub(p.at) > paceTTL {
+// It guards against streams that run for nothing: while a rank is many times slower than usual, the
+// passes of all ranks are as slow, and a long stream outlasts its caller's deadline while holding a
+// slot that shorter streams could use. Passes that are slow for other reasons recover within half a
+// second, once the expert map has been rebalanced, so only a slow rank counts.
+func (m *gapMean) canFinish(r *Request, now time.Time) bool {
+	if ablate.Off(ablate.CannotFinish) || !m.slowRank || r.ExpectedEvents == 0 || r.Deadline.IsZero() || now.Sub(m.latest) > gapTTL {
 		return true
 	}
-	return time.Duration(r.ExpectedEvents*float64(p.mean)) <= r.Deadline.Sub(now)
+	return time.Duration(r.ExpectedEvents*float64(m.mean)) <= r.Deadline.Sub(now)
 }
 
-// CanFinish tells whether a stream that begins now ends before its deadline. If it does
-// not, comeBack is when its caller does best to return: if passes are as short as usual
-// by then it can still end, and a caller that is told a longer time comes sooner.
-func (g *AdmissionQueue) CanFinish(r *Request, now time.Time) (comeBack time.Duration, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.pace.canFinish(r, now) {
+// CanFinish reports whether a stream that starts now ends before its deadline. If not, retryAfter
+// is the Retry-After for the caller: the longest that callers honour, so that the stream can still
+// end if passes are back to normal by then. A caller that is given a longer time returns sooner
+// than that.
+func (q *AdmissionQueue) CanFinish(r *Request, now time.Time) (retryAfter time.Duration, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.gaps.canFinish(r, now) {
 		return 0, true
 	}
-	return time.Duration(float64(r.Deadline.Sub(now)) * honouredShare), false
+	return time.Duration(float64(r.Deadline.Sub(now)) * honouredWaitShare), false
 }
 
-// noteSlowRank notes whether a rank of the group is many times as slow as usual.
-func (g *AdmissionQueue) noteSlowRank(slow bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.pace.slowRank = slow
+// setSlowRank records whether a rank of the group is many times slower than usual.
+func (q *AdmissionQueue) setSlowRank(hasSlowRank bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.gaps.slowRank = hasSlowRank
 }
 
-// RecordEventGap notes a pause between two events of a stream.
-func (g *AdmissionQueue) RecordEventGap(pause time.Duration, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.pace.take(pause, now)
+// RecordEventGap records a gap between two events of a stream.
+func (q *AdmissionQueue) RecordEventGap(gap time.Duration, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.gaps.record(gap, now)
 }
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -10,226 +10,226 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// A service may have several rank groups. Each runs its own passes on its own map, so each
-// has its own limit and room, and may be broken while the others run. Requests for the
-// service wait together and go to any of them.
+// A service may have several rank groups. Each runs its own passes on its own expert map, so each
+// has its own limit and headroom, and may be down while the others run. All requests for the
+// service share one queue and may go to any group.
 
-// groupKey names a rank group of a service. Targets of which no group is known yet, as before
-// the first report, count as one without a name.
+// groupKey identifies a rank group of a service. Targets whose group is not known yet, as before
+// the first report, count as one group with an empty name.
 type groupKey struct{ service, name string }
 
-// groupBook is what an entry keeps of a group.
-type groupBook struct {
+// groupTracker is the state that an entry keeps of a group.
+type groupTracker struct {
 	GroupState
-	targets int // that are of it
-	breaker breaker
-	short   shortGroup
-	share   roomShare
-	// answered is when the latest request was sent that a rank has begun to answer.
-	answered time.Time
-	// assumed are the requests of other entries at each target while nothing is
-	// reported.
-	assumed float64
+	targets  int // number of its targets
+	breaker  breaker
+	shortage engineShortage
+	headroom headroomShare
+	// latestAnsweredSend is the send time of the latest request to which a rank has begun to
+	// respond.
+	latestAnsweredSend time.Time
+	// assumedOthers estimates the requests of other entries at each target while there are no
+	// reports.
+	assumedOthers float64
 }
 
-// groupTTL is how long a group is remembered that nobody reports any more.
+// groupTTL is how long a group is kept after its last report.
 const groupTTL = time.Minute
 
-// group returns what is known of a group; the lock must be held.
-func (b *Tracker) group(k groupKey) *groupBook {
-	g := b.groups[k]
+// group returns the state of a group and creates it if needed. The lock must be held.
+func (tr *Tracker) group(key groupKey) *groupTracker {
+	g := tr.groups[key]
 	if g == nil {
-		g = new(groupBook)
-		b.groups[k] = g
+		g = new(groupTracker)
+		tr.groups[key] = g
 	}
 	return g
 }
 
-// keyOf returns the group of a target. One that no report has named is of no group that is
-// known to run, while any is reported; else it belongs to the only group of its service that
-// was told of, if there is only one. The lock must be held.
-func (b *Tracker) keyOf(t *serving.Target, now time.Time) groupKey {
-	if a := b.accounts[t.Run()]; a != nil && a.group != "" {
-		return groupKey{service: t.Service, name: a.group}
+// groupKeyOf returns the group of a target. For a target that no report has named, it is the empty
+// group while any group of the service has a current report; otherwise it is the only known group
+// of the service, if there is just one. The lock must be held.
+func (tr *Tracker) groupKeyOf(t *serving.Target, now time.Time) groupKey {
+	if ts := tr.states[t.Run()]; ts != nil && ts.group != "" {
+		return groupKey{service: t.Service, name: ts.group}
 	}
-	k, known := groupKey{service: t.Service}, 0
-	for o, g := range b.groups {
-		if o.service != t.Service || o.name == "" {
+	key, known := groupKey{service: t.Service}, 0
+	for other, g := range tr.groups {
+		if other.service != t.Service || other.name == "" {
 			continue
 		}
 		if now.Sub(g.ReportedAt) < ReportTTL {
 			return groupKey{service: t.Service}
 		}
-		k = o
+		key = other
 		known++
 	}
 	if known != 1 {
 		return groupKey{service: t.Service}
 	}
-	return k
+	return key
 }
 
-// forgetGroups drops the groups of a service that nobody has told of for long. The lock must
+// pruneGroups drops the groups of a service that have not been reported for groupTTL. The lock must
 // be held.
-func (b *Tracker) forgetGroups(service string, now time.Time) {
-	for k, g := range b.groups {
-		if k.service == service && k.name != "" && now.Sub(g.ReportedAt) > groupTTL && now.Sub(g.short.told) > groupTTL {
-			delete(b.groups, k)
+func (tr *Tracker) pruneGroups(service string, now time.Time) {
+	for key, g := range tr.groups {
+		if key.service == service && key.name != "" && now.Sub(g.ReportedAt) > groupTTL && now.Sub(g.shortage.sizeSetAt) > groupTTL {
+			delete(tr.groups, key)
 		}
 	}
 }
 
-// groupLane is the part of a lane that leads to one group.
-type groupLane struct {
+// groupPool is the part of a target pool that belongs to one group.
+type groupPool struct {
 	TargetPool
-	key  groupKey
-	most float64 // streams that a target may run, in the mean
+	key        groupKey
+	maxStreams float64 // mean number of streams that a target may run
 }
 
-// lanes divides a lane by the groups of its targets.
-func (b *Tracker) lanes(l TargetPool, now time.Time) []groupLane {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.forgetGroups(l.Service.Name, now)
-	for k, g := range b.groups {
-		if k.service == l.Service.Name {
+// groupPools divides a target pool by the groups of its targets.
+func (tr *Tracker) groupPools(pool TargetPool, now time.Time) []groupPool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.pruneGroups(pool.Service.Name, now)
+	for k, g := range tr.groups {
+		if k.service == pool.Service.Name {
 			g.targets = 0
 		}
 	}
-	var list []groupLane
-	for _, t := range l.Targets {
-		key := b.keyOf(t, now)
-		at := slices.IndexFunc(list, func(o groupLane) bool { return o.key == key })
-		if at < 0 {
-			list = append(list, groupLane{TargetPool: l, key: key})
-			at = len(list) - 1
-			list[at].Targets = nil
+	var pools []groupPool
+	for _, t := range pool.Targets {
+		key := tr.groupKeyOf(t, now)
+		i := slices.IndexFunc(pools, func(p groupPool) bool { return p.key == key })
+		if i < 0 {
+			pools = append(pools, groupPool{TargetPool: pool, key: key})
+			i = len(pools) - 1
+			pools[i].Targets = nil
 		}
-		list[at].Targets = append(list[at].Targets, t)
+		pools[i].Targets = append(pools[i].Targets, t)
 	}
-	for i := range list {
-		o := &list[i]
-		g := b.group(o.key)
-		g.targets = len(o.Targets)
-		g.short.note(len(o.Targets), now)
-		o.Targets = b.withoutSlow(o.Targets, now)
-		o.most = b.limitOf(o.key, l, openShare(o.Targets), now)
+	for n := range pools {
+		p := &pools[n]
+		g := tr.group(p.key)
+		g.targets = len(p.Targets)
+		g.shortage.update(len(p.Targets), now)
+		p.Targets = tr.withoutSlowRanks(p.Targets, now)
+		p.maxStreams = tr.groupStreamLimit(p.key, pool, acceptingShare(p.Targets), now)
 	}
-	list = b.withoutIdle(list, now)
-	b.leastUsedFirst(list, now)
-	return list
+	pools = tr.withoutIncomplete(pools, now)
+	tr.sortByUtilisation(pools, now)
+	return pools
 }
 
-// withoutIdle leaves out targets of which no report tells and groups that are told to be
-// incomplete, as long as another group runs requests: a service may have engines that are too
-// few for one more group and refuse everything, and each refusal takes one of the tries that
-// all callers share. Whether they have formed a group is told by their reports. The lock must
-// be held.
-func (b *Tracker) withoutIdle(list []groupLane, now time.Time) []groupLane {
-	runs := func(l groupLane) bool {
-		g := b.group(l.key)
-		return l.key.name != "" && now.Sub(g.ReportedAt) < ReportTTL && g.Complete
+// withoutIncomplete leaves out targets without a reported group and groups that are reported as
+// incomplete, while another group runs requests. A service may have spare engines that are too few
+// to form a group: they refuse every request, and each refusal uses up retry budget. The reports
+// say whether they have formed a group. The lock must be held.
+func (tr *Tracker) withoutIncomplete(pools []groupPool, now time.Time) []groupPool {
+	isRunning := func(p groupPool) bool {
+		g := tr.group(p.key)
+		return p.key.name != "" && now.Sub(g.ReportedAt) < ReportTTL && g.Complete
 	}
-	if !slices.ContainsFunc(list, func(l groupLane) bool { return runs(l) && !b.group(l.key).breaker.broken }) {
-		return list
+	if !slices.ContainsFunc(pools, func(p groupPool) bool { return isRunning(p) && !tr.group(p.key).breaker.open }) {
+		return pools
 	}
-	return slices.DeleteFunc(list, func(l groupLane) bool { return !runs(l) })
+	return slices.DeleteFunc(pools, func(p groupPool) bool { return !isRunning(p) })
 }
 
-// leastUsedFirst orders lanes by the part of their room that is taken. The lock must be held.
-func (b *Tracker) leastUsedFirst(list []groupLane, now time.Time) {
-	if len(list) < 2 {
+// sortByUtilisation sorts the pools by the used share of their capacity, lowest first. The lock
+// must be held.
+func (tr *Tracker) sortByUtilisation(pools []groupPool, now time.Time) {
+	if len(pools) < 2 {
 		return
 	}
-	used := make(map[groupKey]float64, len(list))
-	for _, o := range list {
-		sum := 0
-		for _, t := range o.Targets {
-			sum += b.load(t, now)
+	utilisation := make(map[groupKey]float64, len(pools))
+	for _, p := range pools {
+		requests := 0
+		for _, t := range p.Targets {
+			requests += tr.load(t, now)
 		}
-		used[o.key] = float64(sum) / math.Max(o.most*float64(openOf(o.Targets)), 1)
+		utilisation[p.key] = float64(requests) / math.Max(p.maxStreams*float64(countAccepting(p.Targets)), 1)
 	}
-	slices.SortStableFunc(list, func(x, y groupLane) int { return cmp.Compare(used[x.key], used[y.key]) })
+	slices.SortStableFunc(pools, func(x, y groupPool) int { return cmp.Compare(utilisation[x.key], utilisation[y.key]) })
 }
 
-// breaker keeps requests from a group that is broken: every engine refuses then, and each
-// refusal is an arrival that the retry budget pays for. Now and then one request is let
-// through to see.
+// breaker is a circuit breaker that stops requests to a group that is down, since each engine then
+// refuses and each refusal uses up retry budget. It lets one probe request through at intervals.
 type breaker struct {
-	broken bool
-	next   time.Time // when one may go
+	open      bool
+	nextProbe time.Time // time from which the next probe may be sent
 }
 
-// Paces of the breaker. A group is back within a second or so of its ranks.
+// Intervals of the breaker. A group recovers within about a second of its ranks.
 const (
-	probePause = 120 * time.Millisecond
-	probeLimit = 400 * time.Millisecond // without a result
+	probeInterval = 120 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond // for a probe without a result
 )
 
-// closed tells whether no request may go now.
-func (k *breaker) closed(now time.Time) bool { return k.broken && now.Before(k.next) }
+// blocks reports whether the breaker lets no request through now.
+func (b *breaker) blocks(now time.Time) bool { return b.open && now.Before(b.nextProbe) }
 
-// sent notes that a request was let through.
-func (k *breaker) sent(now time.Time) { k.next = now.Add(probeLimit) }
+// recordProbe records that a request was let through.
+func (b *breaker) recordProbe(now time.Time) { b.nextProbe = now.Add(probeTimeout) }
 
-// RecordGroupRefusal notes that a target refused a request because its group is broken.
-func (b *Tracker) RecordGroupRefusal(t *serving.Target, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecordGroupRefusal records that a target refused a request because its group is down.
+func (tr *Tracker) RecordGroupRefusal(t *serving.Target, now time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	if ablate.Off(ablate.Breaker) {
 		return
 	}
-	b.group(b.keyOf(t, now)).breaker = breaker{broken: true, next: now.Add(probePause)}
+	tr.group(tr.groupKeyOf(t, now)).breaker = breaker{open: true, nextProbe: now.Add(probeInterval)}
 }
 
-// RecordGroupResponse notes that the group of a target runs requests.
-func (b *Tracker) RecordGroupResponse(t *serving.Target, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.group(b.keyOf(t, now)).breaker.broken = false
+// RecordGroupResponse records that the group of a target runs requests.
+func (tr *Tracker) RecordGroupResponse(t *serving.Target, now time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.group(tr.groupKeyOf(t, now)).breaker.open = false
 }
 
-// IsServiceDown tells whether no group of a service runs requests, and for how long all of them
-// have lacked engines; 0 if some do not.
-func (b *Tracker) IsServiceDown(service string, now time.Time) (broken bool, short time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// IsServiceDown reports whether no group of a service runs requests, and for how long all of its
+// groups have lacked engines; 0 if at least one group does not.
+func (tr *Tracker) IsServiceDown(service string, now time.Time) (down bool, shortage time.Duration) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	first := true
-	for k, g := range b.groups {
-		if k.service != service || g.targets == 0 || k.name == "" && b.named(service) {
+	for key, g := range tr.groups {
+		if key.service != service || g.targets == 0 || key.name == "" && tr.hasNamedGroup(service) {
 			continue
 		}
-		if !g.breaker.broken && !g.incomplete(now) {
+		if !g.breaker.open && !g.isIncomplete(now) {
 			return false, 0
 		}
-		lasting := g.short.lasting(now)
-		if first || lasting < short {
-			short = lasting
+		groupShortage := g.shortage.duration(now)
+		if first || groupShortage < shortage {
+			shortage = groupShortage
 		}
 		first = false
 	}
-	return !first, short
+	return !first, shortage
 }
 
-// incomplete tells whether a group is reported to lack ranks.
-func (g *groupBook) incomplete(now time.Time) bool {
+// isIncomplete reports whether a current report says that the group lacks ranks.
+func (g *groupTracker) isIncomplete(now time.Time) bool {
 	return now.Sub(g.ReportedAt) < ReportTTL && !g.Complete
 }
 
-// named tells whether any group of a service that has targets has a name. The lock must be
+// hasNamedGroup reports whether any group of the service with targets has a name. The lock must be
 // held.
-func (b *Tracker) named(service string) bool {
-	for k, g := range b.groups {
-		if k.service == service && k.name != "" && g.targets > 0 {
+func (tr *Tracker) hasNamedGroup(service string) bool {
+	for key, g := range tr.groups {
+		if key.service == service && key.name != "" && g.targets > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// SetGroupSize notes how many ranks a group has, whether they run or not.
-func (b *Tracker) SetGroupSize(service, group string, ranks int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.group(groupKey{service: service, name: group}).short.size(ranks, now)
+// SetGroupSize records how many ranks a group has, whether they run or not.
+func (tr *Tracker) SetGroupSize(service, group string, ranks int, now time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.group(groupKey{service: service, name: group}).shortage.setSize(ranks, now)
 }
--- /dev/null
+++ b/placing/headroom.go
@@ -0,0 +1,136 @@
+package placing
+
+import (
+	"math"
+	"time"
+
+	"github.com/heatherrail/heatherrail/internal/ablate"
+	"github.com/heatherrail/heatherrail/serving"
+)
+
+// headroomShare is this entry's share of a group's headroom until the next report.
+//
+// It guards against both over- and underuse of a group that is nearly full, when many entries have
+// a request now and then and all have the same report. If each entry claimed the whole headroom, as
+// many requests as entries would queue at one engine. If each claimed an even share, most of the
+// headroom would stay with entries that have nothing to send. So the headroom is divided by demand:
+// the requests that wait at all entries, and those expected until the next report.
+type headroomShare struct {
+	known       bool
+	onTimeRatio float64 // probability that an on-time request is admitted; 1: there is headroom for all of them
+	onTimeLeft  int     // on-time requests that may still be admitted
+	enqueued    int     // total requests added to the queue when onTimeLeft was computed
+	lateRatio   float64 // same for requests that are already late
+	lateLeft    int
+}
+
+// reportInterval is the maximum time between two load reports.
+const reportInterval = 200 * time.Millisecond
+
+// updateShare computes the share after a new report, and then adds to it for requests that have
+// arrived since. The lock must be held.
+func (tr *Tracker) updateShare(p *groupPool, d demand, now time.Time) {
+	state := tr.group(p.key)
+	if now.Sub(state.ReportedAt) >= ReportTTL {
+		state.headroom = headroomShare{}
+		return
+	}
+	s := &state.headroom
+	if !s.known {
+		headroom := p.maxStreams*float64(countAccepting(p.Targets)) - float64(state.TotalRequests)
+		arriving := d.admittedPerSecond * float64(p.Entries) * reportInterval.Seconds()
+		wanted := float64(max(state.Queued.InTime, d.queued.InTime)) + arriving
+		*s = headroomShare{
+			known:       true,
+			onTimeRatio: coveredShare(headroom, wanted),
+			lateRatio:   coveredShare(headroom-wanted, float64(max(state.Queued.Late, d.queued.Late))),
+			enqueued:    d.enqueued,
+		}
+		s.onTimeLeft = tr.roundRandomly(s.onTimeRatio * float64(d.queued.InTime))
+		s.lateLeft = tr.roundRandomly(s.lateRatio * float64(d.queued.Late))
+		return
+	}
+	s.onTimeLeft += tr.roundRandomly(s.onTimeRatio * float64(d.enqueued-s.enqueued))
+	s.enqueued = d.enqueued
+}
+
+// coveredShare returns the share of a demand that the headroom covers.
+func coveredShare(headroom, demand float64) float64 { return min(max(headroom/max(demand, 1), 0), 1) }
+
+// roundRandomly returns v rounded to one of its neighbouring whole numbers at random, with mean v.
+func (tr *Tracker) roundRandomly(v float64) int { return int(v + tr.rng.Float64()) }
+
+// canAdmit reports whether one more request may be sent to the group. The lock must be held.
+//
+// Late requests are admitted only if there is headroom for all on-time requests at all entries, and
+// then as far as the remaining headroom goes.
+func (s *headroomShare) canAdmit(late bool) bool {
+	switch {
+	case !s.known || ablate.Off(ablate.Room):
+		return true
+	case late:
+		return s.onTimeRatio >= 1 && (s.lateRatio >= 1 || s.lateLeft > 0)
+	}
+	return s.onTimeRatio >= 1 || s.onTimeLeft > 0
+}
+
+// takeSlot deducts one admitted request.
+func (s *headroomShare) takeSlot(late bool) {
+	if late {
+		s.lateLeft--
+	} else {
+		s.onTimeLeft--
+	}
+}
+
+// canAdmitLate reports whether a request that is already late may be sent to any of the groups.
+func (tr *Tracker) canAdmitLate(pools []groupPool) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if len(pools) == 0 {
+		return false
+	}
+	capacity, hasHeadroom := 0.0, false
+	for i := range pools {
+		p := &pools[i]
+		capacity += p.maxStreams * float64(countAccepting(p.Targets)) / float64(max(p.Entries, 1))
+		hasHeadroom = hasHeadroom || tr.group(p.key).headroom.canAdmit(true)
+	}
+	return hasHeadroom && tr.lateShareOf(pools[0].Service.Name).canAdmit(capacity)
+}
+
+// returnSlot returns the slot of a request of this entry that has ended.
+func (s *headroomShare) returnSlot() {
+	s.onTimeLeft++
+	s.lateLeft++
+}
+
+// reserve starts an attempt at the target with the least cost among those below the stream limit of
+// their group. It returns nil if there is none, or if this entry's headroom shares are used up.
+func (tr *Tracker) reserve(pools []groupPool, r *Request, now time.Time) *serving.Target {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for i := range pools {
+		if t := tr.reserveInGroup(&pools[i], r, now); t != nil {
+			return t
+		}
+	}
+	return nil
+}
+
+func (tr *Tracker) reserveInGroup(p *groupPool, r *Request, now time.Time) *serving.Target {
+	state := tr.group(p.key)
+	late := !r.isOnTime(now)
+	if !state.headroom.canAdmit(late) || state.breaker.blocks(now) {
+		return nil
+	}
+	maxRequests := int(math.Ceil(p.maxStreams))
+	t := tr.place(tr.allowed(p.Targets, r), func(t *serving.Target) bool { return tr.load(t, now) >= maxRequests }, now)
+	if t != nil {
+		tr.startAttempt(t, r.Size)
+		state.headroom.takeSlot(late)
+		state.breaker.recordProbe(now)
+		tr.lateShareOf(p.Service.Name).recordStart(r, late, now)
+	}
+	return t
+}
--- a/placing/late.go
+++ b/placing/late.go
@@ -6,85 +6,86 @@
 	"github.com/heatherrail/heatherrail/internal/ablate"
 )
 
-// lateShare is what streams that are late already may hold of this entry's part of a
-// group.
+// lateShare limits how much of this entry's part of a group may be used by streams that are already
+// late.
 //
-// Load pattern: a group is back after an outage with all its places free, and all that
-// waited for it is late. Sent at once it fills the group for two seconds, in which the
-// requests that come wait for a place and are late too; in turn they keep the next ones
-// waiting. A late answer is worth the same a second later. So late streams get what is
-// left beside the streams that are in time: those that come, times how long they stay.
+// It guards against a self-sustaining delay after an outage: the group returns with all slots free,
+// and every queued request is late. Sent at once, these fill the group for two seconds, in which
+// new requests wait and become late too, and so on. A late answer is worth the same a second later,
+// so late streams get only the slots that on-time streams leave: the arrival rate times the mean
+// duration of a stream.
 type lateShare struct {
-	running int // of this entry's
-	coming  arrivals
-	stay    time.Duration // mean time that a stream holds its place
+	running      int // late streams of this entry
+	arrivals     arrivalRate
+	meanDuration time.Duration // of the streams that have ended
 }
 
-// stayWeight is the weight of the latest stay in its mean.
-const stayWeight = 16
+// durationWeight is the inverse weight of the latest duration in the mean.
+const durationWeight = 16
 
-func (l *lateShare) begin(r *Request, late bool, now time.Time) {
-	r.placed, r.late = now, late
+func (l *lateShare) recordStart(r *Request, late bool, now time.Time) {
+	r.placedAt, r.placedLate = now, late
 	if late {
 		l.running++
 	}
 }
 
-func (l *lateShare) end(r *Request, now time.Time) {
-	if r.placed.IsZero() {
+func (l *lateShare) recordEnd(r *Request, now time.Time) {
+	if r.placedAt.IsZero() {
 		return
 	}
-	if r.late {
+	if r.placedLate {
 		l.running--
 	}
-	l.stay += (now.Sub(r.placed) - l.stay) / stayWeight
-	r.placed = time.Time{}
+	l.meanDuration += (now.Sub(r.placedAt) - l.meanDuration) / durationWeight
+	r.placedAt = time.Time{}
 }
 
-// mayGo tells whether one more late stream may go, of a part of a group that bears so
-// many streams.
-func (l *lateShare) mayGo(part float64) bool {
+// canAdmit reports whether one more late stream may start, if capacity is the number of streams in
+// this entry's part of the group.
+func (l *lateShare) canAdmit(capacity float64) bool {
 	if ablate.Off(ablate.LateShare) {
 		return true
 	}
-	needed := l.coming.rate * l.stay.Seconds()
-	return float64(l.running) < part-needed
+	onTimeStreams := l.arrivals.perSecond * l.meanDuration.Seconds()
+	return float64(l.running) < capacity-onTimeStreams
 }
 
-// lates returns the share of late streams of a service; the lock must be held.
-func (b *Tracker) lates(service string) *lateShare {
-	l := b.late[service]
+// lateShareOf returns the share of late streams of a service and creates it if needed. The lock
+// must be held.
+func (tr *Tracker) lateShareOf(service string) *lateShare {
+	l := tr.lateShares[service]
 	if l == nil {
 		l = new(lateShare)
-		b.late[service] = l
+		tr.lateShares[service] = l
 	}
 	return l
 }
 
-// arrivals is the rate at which requests come, as a mean that fades.
-type arrivals struct {
-	seen    int
-	rate    float64
-	counted time.Time
+// arrivalRate is an exponentially decaying mean of the rate at which requests arrive.
+type arrivalRate struct {
+	total     int
+	perSecond float64
+	updatedAt time.Time
 }
 
-// Figures of the rate.
+// Parameters of the arrival rate.
 const (
-	arrivalsEvery = 250 * time.Millisecond
-	arrivalsKeep  = 0.75 // of the mean so far, each time: it follows within a second
+	arrivalUpdateInterval = 250 * time.Millisecond
+	arrivalDecay          = 0.75 // weight of the previous mean at each update, so that the rate follows within a second
 )
 
-// take records how many requests have come, all told.
-func (a *arrivals) take(total int, now time.Time) {
-	if a.counted.IsZero() {
-		a.seen, a.counted = total, now
+// update takes the total number of requests that have arrived so far.
+func (a *arrivalRate) update(total int, now time.Time) {
+	if a.updatedAt.IsZero() {
+		a.total, a.updatedAt = total, now
 		return
 	}
-	since := now.Sub(a.counted)
-	if since < arrivalsEvery {
+	elapsed := now.Sub(a.updatedAt)
+	if elapsed < arrivalUpdateInterval {
 		return
 	}
-	latest := float64(total-a.seen) / since.Seconds()
-	a.rate = a.rate*arrivalsKeep + latest*(1-arrivalsKeep)
-	a.seen, a.counted = total, now
+	latest := float64(total-a.total) / elapsed.Seconds()
+	a.perSecond = a.perSecond*arrivalDecay + latest*(1-arrivalDecay)
+	a.total, a.updatedAt = total, now
 }
--- a/placing/late_test.go
+++ b/placing/late_test.go
@@ -9,76 +9,75 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// A group of ten places an entry is back after an outage, empty, and twenty requests wait
-// that are late. Four requests come a second and stay for one: the late ones may take what
-// these leave, and not all places, or whoever comes next waits and is late too.
-func TestLateStreamsLeaveRoomForThoseThatCome(t *testing.T) {
+// A group returns empty after an outage, and twenty late requests wait. They must leave slots for
+// the four on-time requests a second that arrive, or those become late too.
+func TestLateStreamsLeaveSlotsForArrivals(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	b := testBook()
+	tr := testTracker()
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
-	l := testLane(1, target)
-	const most = 10
-	lanes := oneLane(l, most)
-	inTime := func() *Request { return &Request{Arrived: now, LatencyObjective: 500 * time.Millisecond} }
-	for n := range 80 { // twenty seconds of calm
+	pool := testPool(1, target)
+	const maxStreams = 10
+	pools := singlePool(pool, maxStreams)
+	onTime := func() *Request { return &Request{Arrived: now, LatencyObjective: 500 * time.Millisecond} }
+	for n := range 80 { // twenty seconds of steady load
 		now = now.Add(250 * time.Millisecond)
-		b.prepare(lanes, demand{entered: n}, now)
-		r := inTime()
-		g.Expect(b.reserve(lanes, r, now)).To(Equal(target))
-		b.EndAttempt(b.TargetState(target), r, now.Add(time.Second))
+		tr.updateHeadroom(pools, demand{enqueued: n}, now)
+		r := onTime()
+		g.Expect(tr.reserve(pools, r, now)).To(Equal(target))
+		tr.EndAttempt(tr.TargetState(target), r, now.Add(time.Second))
 	}
 	sent := 0
 	late := func() *Request {
 		return &Request{Arrived: now.Add(-2 * time.Second), LatencyObjective: 500 * time.Millisecond}
 	}
-	for b.lateMayGo(lanes) && b.reserve(lanes, late(), now) != nil {
+	for tr.canAdmitLate(pools) && tr.reserve(pools, late(), now) != nil {
 		sent++
 	}
-	g.Expect(sent).To(BeNumerically("~", most-4, 1))
-	for range most - sent {
-		g.Expect(b.reserve(lanes, inTime(), now)).To(Equal(target), "who comes has a place at once")
+	g.Expect(sent).To(BeNumerically("~", maxStreams-4, 1))
+	for range maxStreams - sent {
+		g.Expect(tr.reserve(pools, onTime(), now)).To(Equal(target), "an on-time request gets a slot at once")
 	}
 }
 
-// A group is full, and requests wait that can't be in time any more. Those that can
-// go first, at other entries too, so the late ones stay until there is room for all.
-func TestLateRequestsLeaveScarceRoomToOthers(t *testing.T) {
+// A nearly full group has late and on-time requests waiting, at several entries. Late ones may only
+// be sent when there is headroom for all on-time ones.
+func TestLateRequestsYieldScarceHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
-	for wanting, goes := range map[int]bool{0: true, 50: false} {
-		b := fullGroup(target, wanting, now)
-		gt := new(AdmissionQueue)
-		late := waiting(1, now.Add(-time.Second))
+	for queued, admitted := range map[int]bool{0: true, 50: false} {
+		tr := newFullGroup(target, queued, now)
+		q := new(AdmissionQueue)
+		late := newWaitingRequest(1, now.Add(-time.Second))
 		late.LatencyObjective = 500 * time.Millisecond
-		w, _, ok := gt.Enqueue(late, now)
+		w, _, ok := q.Enqueue(late, now)
 		g.Expect(ok).To(BeTrue())
-		l := testLane(fullEntries, target)
-		l.Service.Engine, l.EventGapObjective = testModel(), 120*time.Millisecond
-		Admit(gt, b, l, now)
-		g.Expect(gt.Remove(w)).To(Equal(!goes), "%d want room for a few", wanting)
+		pool := testPool(fullGroupEntries, target)
+		pool.Service.Engine, pool.EventGapObjective = testModel(), 120*time.Millisecond
+		Admit(q, tr, pool, now)
+		g.Expect(q.Remove(w)).To(Equal(!admitted), "%d on-time requests queued", queued)
 	}
 }
 
-// A group is back after an outage, and has room for a part of what waits for it by
-// then, all of it late. The entries must not send all of that at once.
-func TestLateRequestsShareWhatRoomIsLeft(t *testing.T) {
+// After an outage a group has headroom for a part of the late requests that wait. The entries must
+// not send all of these at once.
+func TestLateRequestsShareRemainingHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	target := &serving.Target{ID: "k", Service: "s", Address: "1"}
-	const rounds, each = 50, 5
+	const rounds, perEntry = 50, 5
 	sent := 0
-	for range rounds * fullEntries {
-		b := testBook()
+	for range rounds * fullGroupEntries {
+		tr := testTracker()
 		loads := map[string]RankLoad{target.Address: {Running: 6}}
-		b.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{Late: each * fullEntries}, now))
-		l := testLane(fullEntries, target)
-		lanes := oneLane(l, 10)
-		b.prepare(lanes, demand{waiting: QueueCounts{Late: each}}, now)
+		tr.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{Late: perEntry * fullGroupEntries}, now))
+		pool := testPool(fullGroupEntries, target)
+		pools := singlePool(pool, 10)
+		tr.updateHeadroom(pools, demand{queued: QueueCounts{Late: perEntry}}, now)
 		late := &Request{Arrived: now.Add(-time.Second), LatencyObjective: 500 * time.Millisecond}
-		for range each {
-			if b.lateMayGo(lanes) && b.reserve(lanes, late, now) != nil {
+		for range perEntry {
+			if tr.canAdmitLate(pools) && tr.reserve(pools, late, now) != nil {
 				sent++
 			}
 		}
--- a/placing/limit.go
+++ b/placing/limit.go
@@ -7,102 +7,104 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Figures of the limit.
+// Parameters of the stream limit.
 const (
-	// gapShare of the aim for pauses is what passes may take in the mean: prompts come
-	// in bursts, and an event has its way to the caller.
-	gapShare = 0.95
-	// copySlows: passes take longer by 15 in 100 while ranks copy experts, which they
-	// do whenever demand has moved. Source: the platform's statement.
-	copySlows = 1.15
-	// bornImbalance is the most that the gate makes room for: with fewer streams than
-	// that allows, the group would not keep up with its usual load.
-	bornImbalance = 3.5
-	// firstImbalance is what the map that engines start with has: it deals experts out in
-	// turn, and the busiest rank holds some that are wanted several times as much as the
-	// mean.
-	firstImbalance = 3.5
-	// calmImbalance is expected where nothing is known of the group's map yet.
-	calmImbalance = 2.5
-	// leastRunning keeps a target useful whatever the figures say.
-	leastRunning = 3
+	// passTimeShare is the share of the event-gap objective that passes may take in the mean. The
+	// rest covers bursts of prompts and the delivery of events to the caller.
+	passTimeShare = 0.95
+	// copySlowdown is the factor on pass time while ranks copy experts, which they do after each
+	// shift of demand. Source: the platform's statement.
+	copySlowdown = 1.15
+	// maxPlannedImbalance caps the recent peak imbalance that the limit allows for. A higher cap
+	// would admit fewer streams than the usual load of a group needs.
+	maxPlannedImbalance = 3.5
+	// initialImbalance is the imbalance of the expert map that engines start with. That map deals
+	// out experts in turn, so the busiest rank holds several experts with a multiple of the mean
+	// demand.
+	initialImbalance = 3.5
+	// defaultImbalance is assumed while no imbalance of the group is known.
+	defaultImbalance = 2.5
+	// minStreams is the smallest limit. If the objective allows fewer streams, it counts as
+	// unreachable and all slots may be used.
+	minStreams = 3
 )
 
-// limit returns how many streams a target may run, so that passes stay within the
-// aim for pauses: each has a fixed part, for which the group waits for its slowest
-// rank, and a part for each stream, most of it with the busiest expert.
+// streamLimit returns how many streams a target may run so that passes stay within the event-gap
+// objective. A pass has a fixed part, which lasts as long as the slowest rank needs, and a part per
+// stream, most of which is spent on the busiest expert.
 //
-// Load pattern: demand moves every few seconds, and until the map follows passes
-// take two to three times as long. With as many streams as targets have places each
-// of these moments makes every stream late; with the limit none.
+// It guards against late streams when demand shifts, which happens every few seconds: until the
+// expert map has been rebalanced, passes take two to three times as long, and with all slots in use
+// every stream would be late.
 //
-// If no number of streams keeps passes that short, all are late whatever is done,
-// and as many run as the target takes: what is left to save is throughput.
+// If no number of streams keeps passes short enough, all streams are late in any case, and the
+// limit is the number of slots to save throughput.
 //
-// The limit is a mean over the targets of a group, since passes last for as long as
-// all streams of the group together need, and so need not be a whole number.
-func limit(m *serving.EngineModel, gapAim time.Duration, imbalance, pace float64) float64 {
-	return limitAmong(m, gapAim, imbalance, pace, 1)
+// The limit is a mean over the targets of a group, since a pass lasts as long as all streams of the
+// group need together. It need not be a whole number.
+func streamLimit(model *serving.EngineModel, gapObjective time.Duration, imbalance, slowdown float64) float64 {
+	return streamLimitAmong(model, gapObjective, imbalance, slowdown, 1)
 }
 
-// limitAmong is limit where only a share of the targets get work.
+// streamLimitAmong is streamLimit for a group of which only a share of the targets accept requests.
 //
-// Load pattern: a data centre is evacuated, whose engines go on doing their experts' part of each
-// pass. The others may run more streams each: what experts do goes by the streams of the whole
-// group, and only the rest by those of one rank.
-func limitAmong(m *serving.EngineModel, gapAim time.Duration, imbalance, pace, share float64) float64 {
-	slots := float64(m.Slots)
-	if gapAim <= 0 || m.StepTimePerStream <= 0 || ablate.Off(ablate.Limit) {
+// It covers an evacuated data centre whose engines still run their experts' part of each pass. The
+// other targets may run more streams each: the experts' work depends on the streams of the whole
+// group, and only the rest depends on the streams of one rank.
+func streamLimitAmong(model *serving.EngineModel, gapObjective time.Duration, imbalance, slowdown, accepting float64) float64 {
+	slots := float64(model.Slots)
+	if gapObjective <= 0 || model.StepTimePerStream <= 0 || ablate.Off(ablate.Limit) {
 		return slots
 	}
-	factor := (1 - m.ExpertShare) + m.ExpertShare*max(imbalance, 1)*share
-	step := float64(gapAim) * gapShare / copySlows / float64(max(m.StepsPerPass, 1))
-	each := float64(m.StepTimePerStream) + readShare(m)
-	n := (step - float64(m.BaseStepTime)*max(pace, 1)) / (each * factor)
-	if n < leastRunning {
+	factor := (1 - model.ExpertShare) + model.ExpertShare*max(imbalance, 1)*accepting
+	stepBudget := float64(gapObjective) * passTimeShare / copySlowdown / float64(max(model.StepsPerPass, 1))
+	timePerStream := float64(model.StepTimePerStream) + prefillPerStep(model)
+	streams := (stepBudget - float64(model.BaseStepTime)*max(slowdown, 1)) / (timePerStream * factor)
+	if streams < minStreams {
 		return slots
 	}
-	return min(n, slots)
+	return min(streams, slots)
 }
 
-// readShare returns what the prompt of a stream costs each step of its answer, in
-// nanoseconds: where streams come and go steadily, that much is read in each step for
-// each that is written. It is a seventh of what writing costs.
-func readShare(m *serving.EngineModel) float64 {
-	if m.PrefillRate <= 0 || m.MeanOutputTokens <= 0 {
+// prefillPerStep returns the time in nanoseconds that the prompt of a stream adds to each step of
+// its answer: under steady load, that much prefill is done in each step for each stream. It is a
+// seventh of the cost of decoding.
+func prefillPerStep(model *serving.EngineModel) float64 {
+	if model.PrefillRate <= 0 || model.MeanOutputTokens <= 0 {
 		return 0
 	}
-	return m.MeanPromptTokens / m.PrefillRate / m.MeanOutputTokens * float64(time.Second)
+	return model.MeanPromptTokens / model.PrefillRate / model.MeanOutputTokens * float64(time.Second)
 }
 
-// openShare returns which share of some targets get work.
-func openShare(targets []*serving.Target) float64 {
-	return float64(openOf(targets)) / float64(max(len(targets), 1))
+// acceptingShare returns the share of the targets that accept requests.
+func acceptingShare(targets []*serving.Target) float64 {
+	return float64(countAccepting(targets)) / float64(max(len(targets), 1))
 }
 
-// openOf returns how many of some targets are in no evacuated data centre.
-func openOf(targets []*serving.Target) int {
-	open := 0
+// countAccepting returns how many of the targets are not in an evacuated data centre.
+func countAccepting(targets []*serving.Target) int {
+	accepting := 0
 	for _, t := range targets {
 		if !t.Evacuated {
-			open++
+			accepting++
 		}
 	}
-	return open
+	return accepting
 }
 
-// limitOf returns how many streams a target of a group may run now, in the mean, if a share of
-// them get work. The lock must be held.
-func (b *Tracker) limitOf(k groupKey, l TargetPool, share float64, now time.Time) float64 {
-	state := b.group(k)
+// groupStreamLimit returns how many streams a target of a group may run now, in the mean, if a
+// share of the targets accept requests. The lock must be held.
+func (tr *Tracker) groupStreamLimit(key groupKey, pool TargetPool, accepting float64, now time.Time) float64 {
+	state := tr.group(key)
 	if now.Sub(state.ReportedAt) > ReportTTL {
-		// Nobody reports, so the map does not follow either: what was worst lately comes.
-		return limitAmong(l.Service.Engine, l.EventGapObjective, max(calmImbalance, min(state.PeakImbalance, bornImbalance)), max(state.MaxSlowdown, 1), share)
+		// Without reports the expert map is not rebalanced either, so the recent peak imbalance is
+		// expected.
+		return streamLimitAmong(pool.Service.Engine, pool.EventGapObjective, max(defaultImbalance, min(state.PeakImbalance, maxPlannedImbalance)), max(state.MaxSlowdown, 1), accepting)
 	}
 	if state.Imbalance == 0 {
-		// The group has just been formed: it uses the map that engines start with, and
-		// what waited for it comes all at once.
-		return limitAmong(l.Service.Engine, l.EventGapObjective, firstImbalance, state.MaxSlowdown, share)
+		// The group has just formed: it uses the initial expert map, and all queued requests arrive
+		// at once.
+		return streamLimitAmong(pool.Service.Engine, pool.EventGapObjective, initialImbalance, state.MaxSlowdown, accepting)
 	}
-	return limitAmong(l.Service.Engine, l.EventGapObjective, max(state.Imbalance, min(state.PeakImbalance, bornImbalance)), state.MaxSlowdown, share)
+	return streamLimitAmong(pool.Service.Engine, pool.EventGapObjective, max(state.Imbalance, min(state.PeakImbalance, maxPlannedImbalance)), state.MaxSlowdown, accepting)
 }
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -6,108 +6,110 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// PermitQuery asks for permission to send one request to a target that names a rate.
+// PermitQuery asks for permission to send one request to a target that reports a rate limit or is
+// cold.
 type PermitQuery struct {
-	MaxWait        time.Duration // that the request may wait for it
-	RejectIfDenied bool          // without a permit its caller is refused, and told when to come back
-	ColdRate       float64       // requests a second that the target takes while it is cold; 0: it is not
+	MaxWait        time.Duration // maximum time that the request may wait for its permit
+	RejectIfDenied bool          // if denied, the caller is refused with a Retry-After
+	ColdRate       float64       // requests a second that the target takes while it is cold; 0: it is not cold
 }
 
-// Permit is the answer.
+// Permit is the response to a PermitQuery.
 type Permit struct {
 	Granted    bool
-	Wait       time.Duration // until the permit is valid, or until one may be free
+	Wait       time.Duration // until the permit is valid; if denied, until one may be available
 	RetryAfter time.Duration // for a caller that is refused
 }
 
-// permits spaces the requests that go to a target from all entries together.
+// permits spaces out the requests that all entries together send to a target.
 //
-// One entry issues the permits of a target, the others ask it for each request. A share of the
-// rate for each entry would not do: with more entries than the rate allows requests in a few
-// seconds, one request of each is too many already.
+// One entry issues the permits of a target, and the other entries ask it for each request. An even
+// share of the rate for each entry would not work: if there are more entries than the rate allows
+// requests in a few seconds, one request from each already exceeds it.
 type permits struct {
-	since    time.Time // when this entry began to issue them; zero: another one does
-	last     time.Time // when the latest one is valid
-	promised time.Time // until when refused callers were told to come back
+	issuingSince time.Time // when this entry began to issue permits; zero: another entry issues them
+	lastValid    time.Time // when the latest permit becomes valid
+	lastRetry    time.Time // latest time that was given to a refused caller as its Retry-After
 }
 
-// Figures of permits.
+// Bounds of permits.
 const (
-	// takeOver: an entry that begins to issue the permits of a target grants none for so long,
-	// in which the one that did before hears of it and stops.
-	takeOver = time.Second
-	// maxInterval is the longest time between two permits. A target that asks for next to nothing
-	// is sent a request now and then all the same, or it would never be heard to want more.
-	maxInterval = 30 * time.Second
-	// maxPromise: refused callers are told to come back one after the other over this time.
-	maxPromise = 5 * time.Second
+	// takeOverDelay is how long an entry that begins to issue the permits of a target grants none.
+	// Meanwhile the previous issuer learns of the change and stops.
+	takeOverDelay = time.Second
+	// maxPermitInterval is the longest time between two permits. A target with a rate limit near
+	// zero still gets a request now and then, since otherwise it could never report a higher limit.
+	maxPermitInterval = 30 * time.Second
+	// maxRetrySpread is the time over which the returns of refused callers are spread.
+	maxRetrySpread = 5 * time.Second
 )
 
-// interval returns the time between two permits.
-func interval(rate float64) time.Duration {
-	if rate*maxInterval.Seconds() < 1 {
-		return maxInterval
+// permitInterval returns the time between two permits at a rate in requests a second.
+func permitInterval(rate float64) time.Duration {
+	if rate*maxPermitInterval.Seconds() < 1 {
+		return maxPermitInterval
 	}
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// take grants the next permit, if it is valid in time.
-func (p *permits) take(rate float64, q PermitQuery, now time.Time) Permit {
-	every := interval(rate)
-	free := now
-	if !p.since.IsZero() {
-		free = later(now, p.since.Add(takeOver))
+// issue grants the next permit if it becomes valid within the maximum wait of the request.
+func (p *permits) issue(rate float64, q PermitQuery, now time.Time) Permit {
+	interval := permitInterval(rate)
+	validAt := now
+	if !p.issuingSince.IsZero() {
+		validAt = later(now, p.issuingSince.Add(takeOverDelay))
 	}
-	if !p.last.IsZero() {
-		free = later(free, p.last.Add(every))
+	if !p.lastValid.IsZero() {
+		validAt = later(validAt, p.lastValid.Add(interval))
 	}
-	permit := Permit{Wait: free.Sub(now)}
+	permit := Permit{Wait: validAt.Sub(now)}
 	switch {
 	case permit.Wait <= q.MaxWait:
-		permit.Granted, p.last = true, free
+		permit.Granted, p.lastValid = true, validAt
 	case q.RejectIfDenied:
-		permit.RetryAfter = p.promise(free, every).Sub(now)
+		permit.RetryAfter = p.nextRetry(validAt, interval).Sub(now)
 	}
 	return permit
 }
 
-// promise returns when the next caller that is refused should come back: each at the time of
-// another permit, or all would come for the same one.
-func (p *permits) promise(free time.Time, every time.Duration) time.Time {
-	p.promised = later(p.promised.Add(every), free)
-	if p.promised.Sub(free) > maxPromise {
-		p.promised = free
+// nextRetry returns when the next refused caller should return. Each gets the time of another
+// permit, since otherwise all would return for the same one.
+func (p *permits) nextRetry(validAt time.Time, interval time.Duration) time.Time {
+	p.lastRetry = later(p.lastRetry.Add(interval), validAt)
+	if p.lastRetry.Sub(validAt) > maxRetrySpread {
+		p.lastRetry = validAt
 	}
-	return p.promised
+	return p.lastRetry
 }
 
-// IssuePermit grants a permit as the entry that issues those of a target. part is the part of the
-// fleet that this entry sees alive: if the fleet has split, each side has that part of the rate.
-func (b *Tracker) IssuePermit(run serving.Run, part float64, q PermitQuery, now time.Time) Permit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.limits.byRun[run]
-	named := known != nil && known.rate != Unlimited
-	if q.ColdRate > 0 && (!named || q.ColdRate < known.rate) {
-		return b.coldLimit(run, now).take(q.ColdRate*part, q, now)
+// IssuePermit grants or denies a permit at the entry that issues the permits of a target. part is
+// the part of the fleet that this entry sees alive, so that after a network partition each side
+// grants only that part of the rate.
+func (tr *Tracker) IssuePermit(run serving.Run, livingShare float64, q PermitQuery, now time.Time) Permit {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	limit := tr.limits.byRun[run]
+	isLimited := limit != nil && limit.rate != Unlimited
+	if q.ColdRate > 0 && (!isLimited || q.ColdRate < limit.rate) {
+		return tr.coldIssuer(run, now).issue(q.ColdRate*livingShare, q, now)
 	}
-	if !named {
+	if !isLimited {
 		return Permit{Granted: true}
 	}
-	if known.permits.since.IsZero() {
-		known.permits.since = now
+	if limit.permits.issuingSince.IsZero() {
+		limit.permits.issuingSince = now
 	}
-	return known.permits.take(known.rate*part, q, now)
+	return limit.permits.issue(limit.rate*livingShare, q, now)
 }
 
-// StopIssuingPermits notes that another entry issues the permits of a target.
-func (b *Tracker) StopIssuingPermits(run serving.Run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known := b.limits.byRun[run]; known != nil {
-		known.permits.since = time.Time{}
+// StopIssuingPermits records that another entry issues the permits of a target.
+func (tr *Tracker) StopIssuingPermits(run serving.Run) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if limit := tr.limits.byRun[run]; limit != nil {
+		limit.permits.issuingSince = time.Time{}
 	}
-	if cold := b.limits.cold[run]; cold != nil {
-		cold.permits.since = time.Time{}
+	if cold := tr.limits.cold[run]; cold != nil {
+		cold.permits.issuingSince = time.Time{}
 	}
 }
--- a/placing/permits_test.go
+++ b/placing/permits_test.go
@@ -13,12 +13,12 @@
 
 const permitWindow = 4 * time.Second
 
-// mostIn returns the most moments in any window.
-func mostIn(at []time.Time, window time.Duration) int {
-	slices.SortFunc(at, time.Time.Compare)
+// maxInWindow returns the largest number of times that fall into one window.
+func maxInWindow(times []time.Time, window time.Duration) int {
+	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
-	for i := range at {
-		for at[i].Sub(at[first]) >= window {
+	for i := range times {
+		for times[i].Sub(times[first]) >= window {
 			first++
 		}
 		most = max(most, i+1-first)
@@ -26,150 +26,150 @@
 	return most
 }
 
-// Guards against permits that come faster than the rate, however often they are asked for and
-// whenever the rate changes.
+// Frequent permit queries and changes of the rate must not lead to more permits than the rate allows.
 func TestPermitsKeepTheRateInEveryWindow(t *testing.T) {
 	for seed := range uint64(30) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, begun := permitBook(), time.Unix(1000, 0)
+		tr, start := permitTracker(), time.Unix(1000, 0)
 		var granted []time.Time
-		now, highest := begun, 0.0
+		now, highest := start, 0.0
 		for range 4000 {
 			now = now.Add(time.Duration(rng.Int64N(int64(20 * time.Millisecond))))
-			if rng.IntN(500) == 0 || now.Equal(begun) || highest == 0 {
+			if rng.IntN(500) == 0 || now.Equal(start) || highest == 0 {
 				rate := 0.2 + 8*rng.Float64()
 				highest = max(highest, rate)
-				b.RecordRateLimit(RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Earliest: now, Latest: now.Add(1)}, now)
+				tr.RecordRateLimit(RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Earliest: now, Latest: now.Add(1)}, now)
 			}
 			q := PermitQuery{MaxWait: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), RejectIfDenied: rng.IntN(2) == 0}
-			if permit := b.IssuePermit(limitedRun, 1, q, now); permit.Granted {
+			if permit := tr.IssuePermit(limitedRun, 1, q, now); permit.Granted {
 				g.Expect(permit.Wait).To(BeNumerically("<=", q.MaxWait))
 				granted = append(granted, now.Add(permit.Wait))
 			}
 		}
 		g.Expect(granted).NotTo(BeEmpty())
-		g.Expect(float64(mostIn(granted, permitWindow))).To(BeNumerically("<=", highest*permitWindow.Seconds()+1), "seed %d", seed)
+		g.Expect(float64(maxInWindow(granted, permitWindow))).To(BeNumerically("<=", highest*permitWindow.Seconds()+1), "seed %d", seed)
 	}
 }
 
-func permitBook() *Tracker { return NewTracker("e", "a", rand.New(rand.NewPCG(1, 2))) }
+func permitTracker() *Tracker { return NewTracker("e", "a", rand.New(rand.NewPCG(1, 2))) }
 
-func nameRate(b *Tracker, run serving.Run, rate float64, now time.Time) {
-	b.RecordRateLimit(RateLimit{Run: run, Rate: rate}, TimeBounds{Earliest: now, Latest: now}, now)
+func reportRate(tr *Tracker, run serving.Run, rate float64, now time.Time) {
+	tr.RecordRateLimit(RateLimit{Run: run, Rate: rate}, TimeBounds{Earliest: now, Latest: now}, now)
 }
 
-// Guards against two entries that grant permits at a time, as one begins to issue them while the
-// other has not heard of it.
-func TestNoPermitIsGrantedRightAfterTakingOver(t *testing.T) {
+// An entry begins to issue permits and the previous issuer has not learnt of it. The two must not
+// grant permits at the same time.
+func TestNewIssuerGrantsNoPermitDuringTakeOverDelay(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	nameRate(b, limitedRun, 10, now)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now)).To(Equal(Permit{Wait: takeOver}))
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(takeOver)).Granted).To(BeTrue())
-	b.StopIssuingPermits(limitedRun)
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	reportRate(tr, limitedRun, 10, now)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{}, now)).To(Equal(Permit{Wait: takeOverDelay}))
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(takeOverDelay)).Granted).To(BeTrue())
+	tr.StopIssuingPermits(limitedRun)
 	later := now.Add(time.Minute)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, later).Granted).To(BeFalse())
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{}, later).Granted).To(BeFalse())
 }
 
-// Guards against a fleet that has split, whose sides grant the whole rate each.
-func TestEachSideOfASplitFleetHasItsPartOfTheRate(t *testing.T) {
+// The fleet is partitioned. Its sides together must not grant more than the rate.
+func TestEachSideOfAPartitionGrantsItsPartOfTheRate(t *testing.T) {
 	g := NewWithT(t)
 	var granted []time.Time
-	begun := time.Unix(1000, 0)
-	for _, part := range []float64{3.0 / 8, 5.0 / 8} {
-		b := permitBook()
-		nameRate(b, limitedRun, 2, begun)
-		for at := time.Duration(0); at < 30*time.Second; at += 10 * time.Millisecond {
-			if b.IssuePermit(limitedRun, part, PermitQuery{}, begun.Add(at)).Granted {
-				granted = append(granted, begun.Add(at))
+	start := time.Unix(1000, 0)
+	for _, livingShare := range []float64{3.0 / 8, 5.0 / 8} {
+		tr := permitTracker()
+		reportRate(tr, limitedRun, 2, start)
+		for elapsed := time.Duration(0); elapsed < 30*time.Second; elapsed += 10 * time.Millisecond {
+			if tr.IssuePermit(limitedRun, livingShare, PermitQuery{}, start.Add(elapsed)).Granted {
+				granted = append(granted, start.Add(elapsed))
 			}
 		}
 	}
 	g.Expect(len(granted)).To(BeNumerically("~", 60, 4))
-	g.Expect(mostIn(granted, permitWindow)).To(BeNumerically("<=", 10), "what the rate allows, and one for each side")
+	g.Expect(maxInWindow(granted, permitWindow)).To(BeNumerically("<=", 10), "the permits of the rate, and one more for each side")
 }
 
-// Guards against refused callers who all come back for the same permit.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// Many callers are refused at once. They must not all return at the time of the same permit.
+func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	nameRate(b, limitedRun, 2, now)
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	reportRate(tr, limitedRun, 2, now)
 	now = now.Add(2 * time.Second)
-	b.IssuePermit(limitedRun, 1, PermitQuery{}, now)
-	now = now.Add(takeOver)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, now).Granted).To(BeTrue())
-	refuse := PermitQuery{MaxWait: 100 * time.Millisecond, RejectIfDenied: true}
+	tr.IssuePermit(limitedRun, 1, PermitQuery{}, now)
+	now = now.Add(takeOverDelay)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{}, now).Granted).To(BeTrue())
+	query := PermitQuery{MaxWait: 100 * time.Millisecond, RejectIfDenied: true}
 	for i := 1; i <= 10; i++ {
-		g.Expect(b.IssuePermit(limitedRun, 1, refuse, now).RetryAfter).To(Equal(time.Duration(i) * 500 * time.Millisecond))
+		g.Expect(tr.IssuePermit(limitedRun, 1, query, now).RetryAfter).To(Equal(time.Duration(i) * 500 * time.Millisecond))
 	}
 	for range 100 {
-		g.Expect(b.IssuePermit(limitedRun, 1, refuse, now).RetryAfter).To(BeNumerically("<=", maxPromise+500*time.Millisecond))
+		g.Expect(tr.IssuePermit(limitedRun, 1, query, now).RetryAfter).To(BeNumerically("<=", maxRetrySpread+500*time.Millisecond))
 	}
 }
 
-// Guards against a target that wants nothing for a while and is never sent anything again, so
-// that nobody hears when it wants more.
-func TestATargetThatWantsNothingIsTriedNowAndThen(t *testing.T) {
+// A target reports a rate of zero for a while. If it is never sent another request, it can't report
+// a higher rate.
+func TestTargetWithRateZeroIsProbed(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	nameRate(b, limitedRun, 0, now)
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	reportRate(tr, limitedRun, 0, now)
 	var granted []time.Time
-	for at := time.Duration(0); at < 2*time.Minute; at += 50 * time.Millisecond {
-		if b.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(at)).Granted {
-			granted = append(granted, now.Add(at))
+	for elapsed := time.Duration(0); elapsed < 2*time.Minute; elapsed += 50 * time.Millisecond {
+		if tr.IssuePermit(limitedRun, 1, PermitQuery{}, now.Add(elapsed)).Granted {
+			granted = append(granted, now.Add(elapsed))
 		}
 	}
 	g.Expect(len(granted)).To(And(BeNumerically(">=", 3), BeNumerically("<=", 4)))
 	raised := granted[len(granted)-1].Add(time.Second)
-	nameRate(b, limitedRun, 5, raised)
-	g.Expect(b.IssuePermit(limitedRun, 1, PermitQuery{}, raised).Granted).To(BeTrue(), "an earlier, lower rate delays nothing")
+	reportRate(tr, limitedRun, 5, raised)
+	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{}, raised).Granted).To(BeTrue(), "the earlier, lower rate causes no delay")
 }
 
-// Guards against requests that wait at the gate for targets which none of them may go to.
-func TestNobodyWaitsAtTheGateIfAllTargetsNameARate(t *testing.T) {
+// All targets need permits, which are granted outside the admission queue. No request may be left
+// waiting there.
+func TestQueueIsReleasedWhenAllTargetsAreRateLimited(t *testing.T) {
 	g := NewWithT(t)
-	b, gt, now := permitBook(), new(AdmissionQueue), time.Unix(1000, 0)
+	tr, q, now := permitTracker(), new(AdmissionQueue), time.Unix(1000, 0)
 	targets := []*serving.Target{{ID: "i1", Service: "s"}, {ID: "i2", Service: "s"}}
-	lane := TargetPool{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, Entries: 1}
-	nameRate(b, targets[0].Run(), 1, now)
-	b.RecordPermitDenied(targets[0].Run(), now.Add(time.Second))
-	w, _, _ := gt.Enqueue(&Request{Arrived: now}, now)
-	Admit(gt, b, lane, now)
+	pool := TargetPool{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, Entries: 1}
+	reportRate(tr, targets[0].Run(), 1, now)
+	tr.RecordPermitDenied(targets[0].Run(), now.Add(time.Second))
+	w, _, _ := q.Enqueue(&Request{Arrived: now}, now)
+	Admit(q, tr, pool, now)
 	g.Expect(<-w.Granted()).To(Equal(targets[1]))
 
-	nameRate(b, targets[1].Run(), 1, now)
-	w, _, _ = gt.Enqueue(&Request{Arrived: now}, now)
-	Admit(gt, b, lane, now)
+	reportRate(tr, targets[1].Run(), 1, now)
+	w, _, _ = q.Enqueue(&Request{Arrived: now}, now)
+	Admit(q, tr, pool, now)
 	g.Expect(<-w.Granted()).To(BeNil())
-	g.Expect(gt.HasWaiting()).To(BeFalse())
-	all := func(*serving.Target) bool { return false }
-	limited, unowned := b.PermitBoundTargets(targets, all, now)
-	g.Expect(limited).To(Equal([]*serving.Target{targets[1], targets[0]}), "the one with a permit first")
-	g.Expect(unowned).To(BeZero())
-	b.RecordOwnerUnreachable(targets[1].Run(), now.Add(time.Second))
-	limited, unowned = b.PermitBoundTargets(targets, all, now)
+	g.Expect(q.HasWaiting()).To(BeFalse())
+	noneExcluded := func(*serving.Target) bool { return false }
+	limited, ownerRetry := tr.PermitBoundTargets(targets, noneExcluded, now)
+	g.Expect(limited).To(Equal([]*serving.Target{targets[1], targets[0]}), "the target with an available permit comes first")
+	g.Expect(ownerRetry).To(BeZero())
+	tr.RecordOwnerUnreachable(targets[1].Run(), now.Add(time.Second))
+	limited, ownerRetry = tr.PermitBoundTargets(targets, noneExcluded, now)
 	g.Expect(limited).To(Equal(targets[:1]))
-	g.Expect(unowned).To(Equal(time.Second))
+	g.Expect(ownerRetry).To(Equal(time.Second))
 }
 
-// Guards against news of many rates that fill messages, and against such as are never told.
-func TestAllRatesAreToldInMessagesOfAFewEach(t *testing.T) {
+// Messages must not grow with the number of rate limits, and each limit must be propagated in time.
+func TestAllRateLimitsArePropagatedInBoundedMessages(t *testing.T) {
 	g := NewWithT(t)
-	b, now := permitBook(), time.Unix(1000, 0)
-	told := make(map[string]bool)
+	tr, now := permitTracker(), time.Unix(1000, 0)
+	propagated := make(map[string]bool)
 	for i := range 200 {
-		nameRate(b, serving.Run{ID: string(rune('a'+i%20)) + string(rune('a'+i/20))}, 1, now.Add(time.Duration(i)))
+		reportRate(tr, serving.Run{ID: string(rune('a'+i%20)) + string(rune('a'+i/20))}, 1, now.Add(time.Duration(i)))
 	}
 	newest := serving.Run{ID: "newest"}
-	nameRate(b, newest, 1, now.Add(time.Second))
+	reportRate(tr, newest, 1, now.Add(time.Second))
 	for range 200 {
-		list := b.RateLimits(16)
+		list := tr.RateLimits(16)
 		g.Expect(list).To(HaveLen(16))
-		g.Expect(slices.ContainsFunc(list, func(o ReportedRateLimit) bool { return o.Run == newest })).To(BeTrue())
-		for _, o := range list {
-			told[o.Run.ID] = true
+		g.Expect(slices.ContainsFunc(list, func(limit ReportedRateLimit) bool { return limit.Run == newest })).To(BeTrue())
+		for _, limit := range list {
+			propagated[limit.Run.ID] = true
 		}
 	}
-	g.Expect(told).To(HaveLen(201))
+	g.Expect(propagated).To(HaveLen(201))
 }
--- a/placing/place.go
+++ b/placing/place.go
@@ -8,167 +8,167 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Weights of a placement, in requests running at a target.
+// Placement costs, in units of one request running at a target.
 const (
-	distanceWeight = 0.1    // another data centre; decides only between equals
-	readWeight     = 0.0015 // a prompt token that is still to be read
-	// slowWeight is for each time that a target takes as long as usual beyond the
-	// first: all ranks of a group wait for a slow one, so it gets work last.
-	slowWeight = 10.0
-	slowPace   = 1.3
-	// avoidPace is where a rank is so slow that it gets nothing. Each of its streams, and
-	// each prompt that it reads, makes the passes of all ranks longer by that many times
-	// what it would elsewhere.
-	avoidPace = 2.0
+	remoteCost      = 0.1    // target in another data centre; only breaks ties
+	promptTokenCost = 0.0015 // per prompt token that is still to be prefilled
+	// slowdownCost applies per unit of slowdown above 1: all ranks of a group wait for a slow rank,
+	// so it gets requests last.
+	slowdownCost      = 10.0
+	slowdownThreshold = 1.3
+	// maxSlowdown is the slowdown from which a rank gets no requests. Each of its streams and each
+	// of its prompts would prolong the passes of all ranks by that factor.
+	maxSlowdown = 2.0
 )
 
-// withoutSlow leaves out the targets on ranks that are many times as slow as usual, as
-// long as they are few.
+// withoutSlowRanks leaves out targets whose rank is many times slower than usual, as long as they
+// are at most half of the targets.
 //
-// Load pattern: one rank of a full group takes many times as long. Streams on that rank make
-// the passes of all so long that none can end in time; its fixed part alone is longer than
-// passes usually are, so the other ranks may be full beside it at no cost.
+// It guards against one slow rank in a full group: streams on that rank prolong all passes so much
+// that no stream can end on time. The fixed part of its passes alone exceeds a usual pass, so the
+// other ranks may be full at no extra cost.
 //
 // The lock must be held.
-func (b *Tracker) withoutSlow(targets []*serving.Target, now time.Time) []*serving.Target {
-	left := make([]*serving.Target, 0, len(targets))
+func (tr *Tracker) withoutSlowRanks(targets []*serving.Target, now time.Time) []*serving.Target {
+	remaining := make([]*serving.Target, 0, len(targets))
 	for _, t := range targets {
-		a := b.accounts[t.Run()]
-		if a == nil || now.Sub(a.others.at) >= ReportTTL || a.others.Slowdown < avoidPace {
-			left = append(left, t)
+		ts := tr.states[t.Run()]
+		if ts == nil || now.Sub(ts.reported.reportedAt) >= ReportTTL || ts.reported.Slowdown < maxSlowdown {
+			remaining = append(remaining, t)
 		}
 	}
-	if 2*len(left) < len(targets) || ablate.Off(ablate.SlowLeftOut) {
+	if 2*len(remaining) < len(targets) || ablate.Off(ablate.SlowLeftOut) {
 		return targets
 	}
-	return left
+	return remaining
 }
 
-// Place chooses the target of a try: the one with the least work of those that
-// drop does not exclude; nil if there is none. drop must not use the book.
-func (b *Tracker) Place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.place(targets, drop, now)
+// Place chooses the target of an attempt: the target with the least cost among those that exclude
+// does not reject, or nil if there is none. exclude must not call the tracker.
+func (tr *Tracker) Place(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) *serving.Target {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.place(targets, exclude, now)
 }
 
-func (b *Tracker) place(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
+func (tr *Tracker) place(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) *serving.Target {
 	runs := make([]serving.Run, 0, len(targets))
 	for _, t := range targets {
 		runs = append(runs, t.Run())
 	}
-	skip := b.ejector.Excluded(runs, now, b.rng.Float64)
-	best := b.least(targets, func(t *serving.Target) bool { return drop(t) || skip[t.Run()] }, now)
-	if best == nil && len(skip) > 0 {
-		best = b.least(targets, drop, now)
+	ejected := tr.ejector.Excluded(runs, now, tr.rng.Float64)
+	best := tr.leastCost(targets, func(t *serving.Target) bool { return exclude(t) || ejected[t.Run()] }, now)
+	if best == nil && len(ejected) > 0 {
+		best = tr.leastCost(targets, exclude, now)
 	}
 	return best
 }
 
-// hasSlowRank tells whether a rank of some group is many times as slow as usual.
-func (b *Tracker) hasSlowRank(lanes []groupLane, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.ContainsFunc(lanes, func(l groupLane) bool {
-		state := b.group(l.key)
-		return now.Sub(state.ReportedAt) < ReportTTL && state.MaxSlowdown >= avoidPace
+// hasSlowRank reports whether any group has a rank that is many times slower than usual.
+func (tr *Tracker) hasSlowRank(pools []groupPool, now time.Time) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return slices.ContainsFunc(pools, func(p groupPool) bool {
+		state := tr.group(p.key)
+		return now.Sub(state.ReportedAt) < ReportTTL && state.MaxSlowdown >= maxSlowdown
 	})
 }
 
-// usable tells whether a target takes requests at all, as far as is known.
-func (b *Tracker) usable(t *serving.Target) bool {
-	a := b.accounts[t.Run()]
-	return t.IsAvailable() && (a == nil || !a.gone)
+// isUsable reports whether a target accepts requests, as far as this entry knows.
+func (tr *Tracker) isUsable(t *serving.Target) bool {
+	ts := tr.states[t.Run()]
+	return t.IsAvailable() && (ts == nil || !ts.replaced)
 }
 
-// sample is how many targets a placement compares. All entries have the same
-// reports, a moment old; if each compared all targets they would all send to the
-// same one until the next report.
-const sample = 3
+// sampleSize is the number of targets that a placement compares. All entries have the same,
+// slightly stale reports: if each compared all targets, all would choose the same one until the
+// next report.
+const sampleSize = 3
 
-// least returns the target with the least work among some that are drawn.
-func (b *Tracker) least(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) *serving.Target {
+// leastCost returns the target with the least cost in a random sample.
+func (tr *Tracker) leastCost(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) *serving.Target {
 	usable := make([]*serving.Target, 0, len(targets))
 	for _, t := range targets {
-		if b.usable(t) && !b.limits.closed(t.Run(), now) && !drop(t) {
+		if tr.isUsable(t) && !tr.limits.isBlocked(t.Run(), now) && !exclude(t) {
 			usable = append(usable, t)
 		}
 	}
-	compared := sample
+	samples := sampleSize
 	if ablate.Off(ablate.Sample) {
-		compared = len(usable)
+		samples = len(usable)
 	}
-	kept, dial := b.keptOf(usable), 0.0
-	if len(kept) > 0 {
-		compared, dial = compared-1, dialWeight
+	idle, newConnCost := tr.withIdleConn(usable), 0.0
+	if len(idle) > 0 {
+		samples, newConnCost = samples-1, dialCost
 	}
-	candidates := append(b.drawTargets(usable, compared), b.drawTargets(kept, 1)...)
+	candidates := append(tr.sampleTargets(usable, samples), tr.sampleTargets(idle, 1)...)
 	var best *serving.Target
-	var bestWork float64
+	var bestCost float64
 	for _, t := range candidates {
-		work := b.work(t, now)
-		if dial > 0 && !b.kept(t.Run()) {
-			work += dial
+		cost := tr.cost(t, now)
+		if newConnCost > 0 && !tr.hasIdleConn(t.Run()) {
+			cost += newConnCost
 		}
-		if best == nil || work < bestWork {
-			best, bestWork = t, work
+		if best == nil || cost < bestCost {
+			best, bestCost = t, cost
 		}
 	}
 	return best
 }
 
 const (
-	// fewTargets are no more than two samples. An entry that keeps connections to more is busy
-	// enough to have one to most targets that it draws.
-	fewTargets = 2 * sample
-	// dialWeight decides only between targets with as many requests.
-	dialWeight = 0.25
+	// maxIdleConnTargets is the number of targets with idle connections above which these get no
+	// preference. An entry that keeps connections to more than two samples is busy enough to have
+	// one to most targets that it samples.
+	maxIdleConnTargets = 2 * sampleSize
+	// dialCost only breaks ties between targets with equally many requests.
+	dialCost = 0.25
 )
 
-// drawTargets draws some of the targets, whose order it changes.
-func (b *Tracker) drawTargets(targets []*serving.Target, count int) []*serving.Target {
+// sampleTargets returns a random sample of the targets. It reorders targets.
+func (tr *Tracker) sampleTargets(targets []*serving.Target, count int) []*serving.Target {
 	count = min(count, len(targets))
 	for i := range count {
-		j := i + b.rng.IntN(len(targets)-i)
+		j := i + tr.rng.IntN(len(targets)-i)
 		targets[i], targets[j] = targets[j], targets[i]
 	}
 	return slices.Clone(targets[:count])
 }
 
-// keptOf returns the targets to which a connection is open and idle, if they are few among many.
+// withIdleConn returns the targets with an open and idle connection, if they are few among many.
 //
-// Load pattern: each of many entries has a request now and then, for one of many targets. Drawn
-// anew for each request, a target has hardly ever been sent to from here a moment ago, so every
-// request waits for a new connection and its target pays for it.
-func (b *Tracker) keptOf(targets []*serving.Target) []*serving.Target {
-	if b.kept == nil || len(targets) <= fewTargets {
+// It guards against a new connection for each request: with many entries that each have a request
+// now and then, and many targets, a random target has hardly ever been used by this entry recently,
+// so every request would wait for a connection and its target would pay for it.
+func (tr *Tracker) withIdleConn(targets []*serving.Target) []*serving.Target {
+	if tr.hasIdleConn == nil || len(targets) <= maxIdleConnTargets {
 		return nil
 	}
-	var kept []*serving.Target
+	var idle []*serving.Target
 	for _, t := range targets {
-		if b.kept(t.Run()) {
-			kept = append(kept, t)
+		if tr.hasIdleConn(t.Run()) {
+			idle = append(idle, t)
 		}
 	}
-	if len(kept) > fewTargets {
+	if len(idle) > maxIdleConnTargets {
 		return nil
 	}
-	return kept
+	return idle
 }
 
-// work rates what a target has to do.
-func (b *Tracker) work(t *serving.Target, now time.Time) float64 {
-	work := float64(b.load(t, now))
-	if t.DataCentre != b.dataCentre {
-		work += distanceWeight
+// cost rates the load of a target for placement.
+func (tr *Tracker) cost(t *serving.Target, now time.Time) float64 {
+	cost := float64(tr.load(t, now))
+	if t.DataCentre != tr.dataCentre {
+		cost += remoteCost
 	}
-	a := b.accounts[t.Run()]
-	if a == nil {
-		return work
+	ts := tr.states[t.Run()]
+	if ts == nil {
+		return cost
 	}
-	work += readWeight * a.reading
-	if now.Sub(a.others.at) < ReportTTL && a.others.Slowdown > slowPace && !ablate.Off(ablate.SlowWeight) {
-		work += slowWeight * (a.others.Slowdown - 1)
+	cost += promptTokenCost * ts.pendingPromptTokens
+	if now.Sub(ts.reported.reportedAt) < ReportTTL && ts.reported.Slowdown > slowdownThreshold && !ablate.Off(ablate.SlowWeight) {
+		cost += slowdownCost * (ts.reported.Slowdown - 1)
 	}
-	return work
+	return cost
 }
--- a/placing/rate.go
+++ b/placing/rate.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// rate tells how fast requests are admitted.
-type rate struct {
-	times [rateMemory]time.Time
-	n     int
+// admissionRate tracks how fast requests are admitted, over the last rateSamples admissions.
+type admissionRate struct {
+	admittedAt [rateSamples]time.Time
+	count      int
 }
 
-const rateMemory = 16
+const rateSamples = 16
 
-func (r *rate) count(now time.Time) {
-	r.times[r.n%rateMemory] = now
-	r.n++
+func (r *admissionRate) record(now time.Time) {
+	r.admittedAt[r.count%rateSamples] = now
+	r.count++
 }
 
-// expect returns how long it takes until so many more have been admitted; 0 as long
-// as too few have been to tell.
-func (r *rate) expect(n int, now time.Time) time.Duration {
-	if r.n < rateMemory {
+// expectedWait returns the expected time until n more requests have been admitted; 0 while there
+// are too few admissions to tell.
+func (r *admissionRate) expectedWait(n int, now time.Time) time.Duration {
+	if r.count < rateSamples {
 		return 0
 	}
-	span := now.Sub(r.times[r.n%rateMemory])
-	return span / rateMemory * time.Duration(n)
+	span := now.Sub(r.admittedAt[r.count%rateSamples])
+	return span / rateSamples * time.Duration(n)
 }
 
-// perSecond returns how many requests are admitted a second.
-func (r *rate) perSecond(now time.Time) float64 {
-	each := r.expect(1, now)
+// perSecond returns the admissions a second; 0 while there are too few to tell.
+func (r *admissionRate) perSecond(now time.Time) float64 {
+	each := r.expectedWait(1, now)
 	if each <= 0 {
 		return 0
 	}
--- a/placing/ratelimit.go
+++ b/placing/ratelimit.go
@@ -9,66 +9,65 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// RateLimit is how many requests a target takes from all entries together, as it says in its
-// answers.
+// RateLimit is the rate of requests that a target takes from all entries together, as reported in
+// its responses.
 type RateLimit struct {
 	Run  serving.Run
-	Rate float64 // requests a second; Unlimited: it names none any more
+	Rate float64 // requests a second; Unlimited: it reports no limit any more
 }
 
-// Unlimited is the rate of a target that names none.
+// Unlimited is the rate of a target that reports no limit.
 const Unlimited = -1
 
-// TimeBounds is when a target said something. An answer can't be dated exactly: it is known to be
-// written no earlier and no later than these.
+// TimeBounds bounds the time at which a target wrote a response, which is not known exactly.
 type TimeBounds struct{ Earliest, Latest time.Time }
 
-// RateLimitUpdate is what follows from something that a target said.
+// RateLimitUpdate is the effect of a reported rate limit.
 type RateLimitUpdate struct {
-	Propagate    bool // others should hear of it at once
-	OrderUnknown bool // it may be newer than what is known, and allows more
+	Propagate    bool // other entries must be notified at once
+	OrderUnknown bool // it allows more, and it is not certain that it is newer than the known limit
 }
 
-// Figures of rate limits.
+// Parameters of rate limits.
 const (
-	// endedTTL is for how long it is remembered that a target names no rate any more, for
-	// entries that have not heard so.
-	endedTTL = 30 * time.Second
-	// rateNews is the part by which a rate must change for others to hear of it at once: a
-	// target may name another one in each answer.
-	rateNews = 0.1
+	// removedLimitTTL is how long the removal of a rate limit is remembered, for entries that have
+	// not learnt of it yet.
+	removedLimitTTL = 30 * time.Second
+	// minRateChange is the relative change of a rate from which other entries are notified at once.
+	// A target may report another rate in each response.
+	minRateChange = 0.1
 )
 
-// rateLimits are the rates that targets have named.
+// rateLimits are the reported rate limits by run.
 type rateLimits struct {
-	byRun map[serving.Run]*rateLimit
-	cold  map[serving.Run]*coldLimit // of which this entry issues the permits
-	waits map[serving.Run]permitWait
+	byRun    map[serving.Run]*rateLimit
+	cold     map[serving.Run]*coldIssuer // targets of which this entry issues the permits
+	backoffs map[serving.Run]permitBackoff
 }
 
 type rateLimit struct {
-	rate    float64
-	said    time.Time // the latest time at which the target is taken to have said so
-	learnt  time.Time // when this entry learnt of the latest change
-	permits permits
+	rate       float64
+	reportedAt time.Time // latest time at which the target is taken to have reported the rate
+	learntAt   time.Time // when this entry learnt of the latest change
+	permits    permits
 }
 
-// permitWait is for how long a target gets nothing from this entry.
-type permitWait struct {
-	closed  time.Time // no permit is to be had before
-	unowned time.Time // whoever issues permits did not answer, and is not asked before
-	cold    bool      // since the target is cold; else for the rate that it names, if it still does
+// permitBackoff is the time during which this entry sends nothing to a target for lack of a permit.
+type permitBackoff struct {
+	until        time.Time // no permit is available before
+	ownerRetryAt time.Time // the permit owner did not respond, and is not asked before
+	cold         bool      // the target is cold; otherwise the backoff is due to its rate limit and ends with it
 }
 
 func newRateLimits() rateLimits {
 	return rateLimits{
-		byRun: make(map[serving.Run]*rateLimit),
-		cold:  make(map[serving.Run]*coldLimit),
-		waits: make(map[serving.Run]permitWait),
+		byRun:    make(map[serving.Run]*rateLimit),
+		cold:     make(map[serving.Run]*coldIssuer),
+		backoffs: make(map[serving.Run]permitBackoff),
 	}
 }
 
-// rate returns the rate that a target names; Unlimited if it names none.
+// rate returns the rate limit that a target reports; Unlimited if it reports none.
 func (l *rateLimits) rate(run serving.Run) float64 {
 	if known := l.byRun[run]; known != nil {
 		return known.rate
@@ -76,152 +75,156 @@
 	return Unlimited
 }
 
-// limited tells whether a target names a rate.
-func (l *rateLimits) limited(run serving.Run) bool { return l.rate(run) != Unlimited }
+// isLimited reports whether a target has a rate limit.
+func (l *rateLimits) isLimited(run serving.Run) bool { return l.rate(run) != Unlimited }
 
-// closed tells whether this entry gets no permit of a target now.
-func (l *rateLimits) closed(run serving.Run, now time.Time) bool {
-	w := l.waits[run]
-	return now.Before(w.closed) && (w.cold || l.limited(run))
+// isBlocked reports whether this entry gets no permit of a target now.
+func (l *rateLimits) isBlocked(run serving.Run, now time.Time) bool {
+	backoff := l.backoffs[run]
+	return now.Before(backoff.until) && (backoff.cold || l.isLimited(run))
 }
 
-// bounded tells whether a target names a rate, or a permit of it was denied lately since it is
-// cold.
-func (l *rateLimits) bounded(run serving.Run, now time.Time) bool {
-	return l.limited(run) || l.closed(run, now)
+// needsPermit reports whether a target has a rate limit, or has denied this entry a permit recently
+// because it is cold.
+func (l *rateLimits) needsPermit(run serving.Run, now time.Time) bool {
+	return l.isLimited(run) || l.isBlocked(run, now)
 }
 
-// take takes what a target said.
+// update takes in a reported rate limit.
 //
-// Answers overtake each other, and entries tell each other late. A lower rate counts if it may
-// be newer than what is known, a higher one or none at all only if it certainly is: a rate that
-// is kept for too long costs some room, one that is dropped too early overruns the target.
-func (l *rateLimits) take(said RateLimit, at TimeBounds, now time.Time) (taken RateLimitUpdate) {
-	known := l.byRun[said.Run]
+// Responses may arrive out of order, and gossip arrives late. A lower rate counts if it may be
+// newer than the known one; a higher rate, or none, counts only if it is certainly newer. A limit
+// that is kept too long costs some capacity, while a limit that is dropped too early overloads the
+// target.
+func (l *rateLimits) update(reported RateLimit, bounds TimeBounds, now time.Time) (u RateLimitUpdate) {
+	known := l.byRun[reported.Run]
 	if known == nil {
-		if said.Rate == Unlimited {
+		if reported.Rate == Unlimited {
 			return RateLimitUpdate{}
 		}
-		l.byRun[said.Run] = &rateLimit{rate: said.Rate, said: at.Latest, learnt: now}
+		l.byRun[reported.Run] = &rateLimit{rate: reported.Rate, reportedAt: bounds.Latest, learntAt: now}
 		return RateLimitUpdate{Propagate: true}
 	}
 	switch {
-	case !at.Latest.After(known.said):
+	case !bounds.Latest.After(known.reportedAt):
 		return RateLimitUpdate{}
-	case said.Rate == known.rate:
-		known.said = at.Latest
+	case reported.Rate == known.rate:
+		known.reportedAt = bounds.Latest
 		return RateLimitUpdate{}
-	case tighter(said.Rate, known.rate):
-		known.said = at.Latest
-	case at.Earliest.After(known.said):
-		known.said = at.Earliest
+	case isLower(reported.Rate, known.rate):
+		known.reportedAt = bounds.Latest
+	case bounds.Earliest.After(known.reportedAt):
+		known.reportedAt = bounds.Earliest
 	default:
 		return RateLimitUpdate{OrderUnknown: true}
 	}
-	taken.Propagate = differs(said.Rate, known.rate)
-	known.rate, known.learnt = said.Rate, now
-	known.permits.promised = time.Time{}
-	delete(l.waits, said.Run)
-	return taken
+	u.Propagate = isSignificantChange(reported.Rate, known.rate)
+	known.rate, known.learntAt = reported.Rate, now
+	known.permits.lastRetry = time.Time{}
+	delete(l.backoffs, reported.Run)
+	return u
 }
 
-// tighter tells whether a rate allows less than another.
-func tighter(rate, than float64) bool {
-	return rate != Unlimited && (than == Unlimited || rate < than)
+// isLower reports whether a rate allows less than another.
+func isLower(a, b float64) bool {
+	return a != Unlimited && (b == Unlimited || a < b)
 }
 
-// differs tells whether two rates are so far apart that others should hear of it at once.
-func differs(a, b float64) bool {
-	return a == Unlimited || b == Unlimited || max(a, b)-min(a, b) > rateNews*max(a, b)
+// isSignificantChange reports whether two rates differ so much that other entries must be notified
+// at once.
+func isSignificantChange(a, b float64) bool {
+	return a == Unlimited || b == Unlimited || max(a, b)-min(a, b) > minRateChange*max(a, b)
 }
 
-// forget drops what targets said that are not known any more, and ends that all have heard of.
-func (l *rateLimits) forget(known func(run serving.Run) bool, now time.Time) {
-	l.forgetCold(known, now)
-	maps.DeleteFunc(l.waits, func(run serving.Run, w permitWait) bool { return !known(run) || !now.Before(w.closed) })
-	for run, o := range l.byRun {
-		if !known(run) || o.rate == Unlimited && now.Sub(o.learnt) > endedTTL {
+// prune drops the limits of targets that are no longer known, and removals of limits that are older
+// than removedLimitTTL.
+func (l *rateLimits) prune(known func(run serving.Run) bool, now time.Time) {
+	l.pruneCold(known, now)
+	maps.DeleteFunc(l.backoffs, func(run serving.Run, backoff permitBackoff) bool { return !known(run) || !now.Before(backoff.until) })
+	for run, limit := range l.byRun {
+		if !known(run) || limit.rate == Unlimited && now.Sub(limit.learntAt) > removedLimitTTL {
 			delete(l.byRun, run)
 		}
 	}
 }
 
-// RecordRateLimit takes the rate that a target named.
-func (b *Tracker) RecordRateLimit(said RateLimit, at TimeBounds, now time.Time) RateLimitUpdate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.limits.take(said, at, now)
+// RecordRateLimit takes in a rate limit that a target reported.
+func (tr *Tracker) RecordRateLimit(reported RateLimit, bounds TimeBounds, now time.Time) RateLimitUpdate {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.limits.update(reported, bounds, now)
 }
 
-// RateLimitOf returns the rate that a target names, and when it said so last; Unlimited if it names
-// none.
-func (b *Tracker) RateLimitOf(run serving.Run) (rate float64, said time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known := b.limits.byRun[run]; known != nil {
-		return known.rate, known.said
+// RateLimitOf returns the rate limit of a target and when the target last reported it; Unlimited if
+// there is none.
+func (tr *Tracker) RateLimitOf(run serving.Run) (rate float64, reportedAt time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if known := tr.limits.byRun[run]; known != nil {
+		return known.rate, known.reportedAt
 	}
 	return Unlimited, time.Time{}
 }
 
-// ReportedRateLimit is a rate that a target has named, for other entries.
+// ReportedRateLimit is a rate limit with its time, as propagated to other entries.
 type ReportedRateLimit struct {
 	RateLimit
 	ReportedAt time.Time
 }
 
-// RateLimits returns at most so many of the rates that targets have named. What was learnt last goes
-// first; the rest is drawn anew each time, so that what another entry has missed comes again.
-func (b *Tracker) RateLimits(most int) []ReportedRateLimit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	runs := make([]serving.Run, 0, len(b.limits.byRun))
-	for run := range b.limits.byRun {
+// RateLimits returns at most count of the known rate limits. Half of them are the most recently
+// learnt ones; the rest is sampled anew on each call, so that an entry that has missed one gets it
+// later.
+func (tr *Tracker) RateLimits(count int) []ReportedRateLimit {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	runs := make([]serving.Run, 0, len(tr.limits.byRun))
+	for run := range tr.limits.byRun {
 		runs = append(runs, run)
 	}
-	if len(runs) > most {
+	if len(runs) > count {
 		slices.SortFunc(runs, func(x, y serving.Run) int {
-			return b.limits.byRun[y].learnt.Compare(b.limits.byRun[x].learnt)
+			return tr.limits.byRun[y].learntAt.Compare(tr.limits.byRun[x].learntAt)
 		})
-		older := runs[most/2:]
-		b.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
-		runs = runs[:most]
+		older := runs[count/2:]
+		tr.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
+		runs = runs[:count]
 	}
 	list := make([]ReportedRateLimit, 0, len(runs))
 	for _, run := range runs {
-		known := b.limits.byRun[run]
-		list = append(list, ReportedRateLimit{RateLimit: RateLimit{Run: run, Rate: known.rate}, ReportedAt: known.said})
+		known := tr.limits.byRun[run]
+		list = append(list, ReportedRateLimit{RateLimit: RateLimit{Run: run, Rate: known.rate}, ReportedAt: known.reportedAt})
 	}
 	return list
 }
 
-// AllowedTargets returns the targets that a request may go to: without those that name a rate, if it
-// avoids these.
-func (b *Tracker) AllowedTargets(targets []*serving.Target, r *Request) []*serving.Target {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.allowed(targets, r)
+// AllowedTargets returns the targets that a request may be sent to: all of them, or those without a
+// rate limit if the request avoids rate-limited targets.
+func (tr *Tracker) AllowedTargets(targets []*serving.Target, r *Request) []*serving.Target {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.allowed(targets, r)
 }
 
-func (b *Tracker) allowed(targets []*serving.Target, r *Request) []*serving.Target {
-	if !r.AvoidRateLimited || len(b.limits.byRun) == 0 {
+func (tr *Tracker) allowed(targets []*serving.Target, r *Request) []*serving.Target {
+	if !r.AvoidRateLimited || len(tr.limits.byRun) == 0 {
 		return targets
 	}
-	return slices.DeleteFunc(slices.Clone(targets), func(t *serving.Target) bool { return b.limits.limited(t.Run()) })
+	return slices.DeleteFunc(slices.Clone(targets), func(t *serving.Target) bool { return tr.limits.isLimited(t.Run()) })
 }
 
-// AllRateLimited tells whether every target that could be used names a rate.
-func (b *Tracker) AllRateLimited(targets []*serving.Target) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.limits.byRun) == 0 {
+// AllRateLimited reports whether every usable target has a rate limit.
+func (tr *Tracker) AllRateLimited(targets []*serving.Target) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if len(tr.limits.byRun) == 0 {
 		return false
 	}
 	limited := false
 	for _, t := range targets {
 		switch {
-		case !b.usable(t):
-		case !b.limits.limited(t.Run()):
+		case !tr.isUsable(t):
+		case !tr.limits.isLimited(t.Run()):
 			return false
 		default:
 			limited = true
@@ -230,34 +233,34 @@
 	return limited
 }
 
-// PermitBoundTargets returns the targets that could be used and are bounded by permits, those first of which a permit is
-// to be had soonest; targets that failed lately come last. Targets for which nobody issues permits
-// are left out; unowned is how long it takes until one of them is asked for again, 0 if there are
-// none. drop must not use the book.
-func (b *Tracker) PermitBoundTargets(targets []*serving.Target, drop func(*serving.Target) bool, now time.Time) (list []*serving.Target, unowned time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// PermitBoundTargets returns the usable targets that need permits, sorted by when a permit may be
+// available; targets that failed recently come last. Targets whose permit owner did not respond are
+// left out; ownerRetry is the time until the first of these owners is asked again, 0 if there are
+// none. exclude must not call the tracker.
+func (tr *Tracker) PermitBoundTargets(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) (list []*serving.Target, ownerRetry time.Duration) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	var runs []serving.Run
 	for _, t := range targets {
-		if !b.usable(t) || !b.limits.bounded(t.Run(), now) || drop(t) {
+		if !tr.isUsable(t) || !tr.limits.needsPermit(t.Run(), now) || exclude(t) {
 			continue
 		}
-		if left := b.limits.waits[t.Run()].unowned.Sub(now); left > 0 {
-			if unowned == 0 || left < unowned {
-				unowned = left
+		if wait := tr.limits.backoffs[t.Run()].ownerRetryAt.Sub(now); wait > 0 {
+			if ownerRetry == 0 || wait < ownerRetry {
+				ownerRetry = wait
 			}
 			continue
 		}
 		list = append(list, t)
 		runs = append(runs, t.Run())
 	}
-	skip := b.ejector.Excluded(runs, now, b.rng.Float64)
-	b.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	ejected := tr.ejector.Excluded(runs, now, tr.rng.Float64)
+	tr.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(x, y *serving.Target) int {
-		return cmp.Or(compareBool(skip[x.Run()], skip[y.Run()]),
-			later(now, b.limits.waits[x.Run()].closed).Compare(later(now, b.limits.waits[y.Run()].closed)))
+		return cmp.Or(compareBool(ejected[x.Run()], ejected[y.Run()]),
+			later(now, tr.limits.backoffs[x.Run()].until).Compare(later(now, tr.limits.backoffs[y.Run()].until)))
 	})
-	return list, unowned
+	return list, ownerRetry
 }
 
 func compareBool(x, y bool) int {
@@ -270,24 +273,24 @@
 	return -1
 }
 
-// RecordPermitDenied notes that this entry gets no permit of a target for a time.
-func (b *Tracker) RecordPermitDenied(run serving.Run, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.limits.waits[run] = permitWait{closed: until}
+// RecordPermitDenied records that this entry gets no permit of a target before until.
+func (tr *Tracker) RecordPermitDenied(run serving.Run, until time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.limits.backoffs[run] = permitBackoff{until: until}
 }
 
-// RecordColdPermitDenied notes that this entry gets no permit of a cold target for a time.
-func (b *Tracker) RecordColdPermitDenied(run serving.Run, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.limits.waits[run] = permitWait{closed: until, cold: true}
+// RecordColdPermitDenied records that this entry gets no permit of a cold target before until.
+func (tr *Tracker) RecordColdPermitDenied(run serving.Run, until time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.limits.backoffs[run] = permitBackoff{until: until, cold: true}
 }
 
-// RecordOwnerUnreachable notes that whoever issues the permits of a target does not answer, and that this entry
-// asks for none for a time.
-func (b *Tracker) RecordOwnerUnreachable(run serving.Run, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.limits.waits[run] = permitWait{closed: until, unowned: until}
+// RecordOwnerUnreachable records that the entry that issues the permits of a target does not
+// respond, and is not asked before until.
+func (tr *Tracker) RecordOwnerUnreachable(run serving.Run, until time.Time) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.limits.backoffs[run] = permitBackoff{until: until, ownerRetryAt: until}
 }
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -6,63 +6,63 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// ReportTTL is how long a report is believed.
+// ReportTTL is how long a load report counts.
 const ReportTTL = 2 * time.Second
 
-// RankLoad is what is reported of one target of a group.
+// RankLoad is the reported load of one target of a group.
 type RankLoad struct {
 	Running, Waiting int
-	Slowdown         float64 // how many times as long as usual it takes
+	Slowdown         float64 // pass time as a multiple of the usual pass time
 }
 
-// QueueCounts counts requests that wait at gates.
+// QueueCounts counts requests in admission queues.
 type QueueCounts struct {
-	InTime int // those that can still be in time
-	Late   int // those that can't
+	InTime int // requests that can still have their first event on time
+	Late   int // requests that can't
 }
 
-// GroupState is what is reported of a group.
+// GroupState is the reported state of a group.
 type GroupState struct {
 	Name          string
-	Complete      bool        // all ranks are there, and it runs passes
-	Imbalance     float64     // how many times as long as even loads the ranks take for their experts
-	PeakImbalance float64     // the most of it lately
-	MaxSlowdown   float64     // of the slowest rank, in times as long as usual
-	MeanRequests  int         // requests of a target, running and waiting
-	TotalRequests int         // requests of all targets
-	Queued        QueueCounts // requests that wait at all entries
+	Complete      bool        // all ranks are present and the group runs passes
+	Imbalance     float64     // time that ranks need for their experts, as a multiple of the time with even loads
+	PeakImbalance float64     // recent peak of Imbalance
+	MaxSlowdown   float64     // slowdown of the slowest rank
+	MeanRequests  int         // mean requests per target, running and waiting
+	TotalRequests int         // requests at all targets
+	Queued        QueueCounts // requests in the queues of all entries
 	ReportedAt    time.Time
 }
 
-// reportedLoad is what a target's agent says that runs there.
+// reportedLoad is the load that a target's agent reports.
 type reportedLoad struct {
 	RankLoad
-	at      time.Time
-	ownThen int // requests of this entry that the report counts
+	reportedAt  time.Time
+	ownAtReport int // requests of this entry that were running at the time of the report
 }
 
-// ApplyLoadReport takes what is reported of a service's group and of its targets, by their
-// addresses.
-func (b *Tracker) ApplyLoadReport(service string, targets []*serving.Target, loads map[string]RankLoad, state GroupState) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// ApplyLoadReport takes in a report on a group of a service and on its targets. loads is by target
+// address.
+func (tr *Tracker) ApplyLoadReport(service string, targets []*serving.Target, loads map[string]RankLoad, state GroupState) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	for _, t := range targets {
 		l, ok := loads[t.Address]
 		if !ok {
 			continue
 		}
 		l.Slowdown = max(l.Slowdown, 1)
-		a := b.account(t)
-		a.group = state.Name
-		a.others = reportedLoad{RankLoad: l, at: state.ReportedAt, ownThen: a.running}
+		ts := tr.targetState(t)
+		ts.group = state.Name
+		ts.reported = reportedLoad{RankLoad: l, reportedAt: state.ReportedAt, ownAtReport: ts.running}
 	}
-	g := b.group(groupKey{service: service, name: state.Name})
-	g.GroupState, g.share, g.assumed = state, roomShare{}, 0
+	g := tr.group(groupKey{service: service, name: state.Name})
+	g.GroupState, g.headroom, g.assumedOthers = state, headroomShare{}, 0
 }
 
-// NewGroupState sums up the loads of a group's ranks.
-func NewGroupState(loads map[string]RankLoad, imbalance, worst float64, wanting QueueCounts, at time.Time) GroupState {
-	s := GroupState{Complete: true, Imbalance: imbalance, PeakImbalance: worst, MaxSlowdown: 1, Queued: wanting, ReportedAt: at}
+// NewGroupState returns the state of a complete group from the loads of its ranks.
+func NewGroupState(loads map[string]RankLoad, imbalance, peakImbalance float64, queued QueueCounts, reportedAt time.Time) GroupState {
+	s := GroupState{Complete: true, Imbalance: imbalance, PeakImbalance: peakImbalance, MaxSlowdown: 1, Queued: queued, ReportedAt: reportedAt}
 	total := 0
 	for _, l := range loads {
 		total += l.Running + l.Waiting
@@ -73,66 +73,66 @@
 	return s
 }
 
-// assume estimates what other entries have running at each target, as long as nobody
-// reports it: as much as this one.
+// assumeOtherLoad estimates the requests of other entries at each target while there are no
+// reports: as many as this entry has.
 //
-// Failure: the agent that reports for a group stands still. Symptom: every entry
-// sees only its own requests, fills all targets by itself, and those that wait
-// inside the engines are late or given up by their callers. Entries get about the
-// same share of the callers, so what each assumes adds up to about what runs.
+// It guards against a group's leader agent that has stalled: each entry would see only its own
+// requests and fill all targets by itself, and requests that wait inside the engines would be late
+// or abandoned by their callers. Entries get about the same share of the callers, so the estimates
+// add up to about the real load.
 //
 // The lock must be held.
-func (b *Tracker) assume(l *groupLane, now time.Time) {
-	state := b.group(l.key)
-	state.assumed = 0
-	if now.Sub(state.ReportedAt) >= ReportTTL && len(l.Targets) > 0 {
+func (tr *Tracker) assumeOtherLoad(p *groupPool, now time.Time) {
+	state := tr.group(p.key)
+	state.assumedOthers = 0
+	if now.Sub(state.ReportedAt) >= ReportTTL && len(p.Targets) > 0 {
 		own := 0
-		for _, a := range b.accounts {
-			if b.keyOf(a.target, now) == l.key {
-				own += a.running
+		for _, ts := range tr.states {
+			if tr.groupKeyOf(ts.target, now) == p.key {
+				own += ts.running
 			}
 		}
-		state.assumed = float64(own*(l.Entries-1)) / float64(len(l.Targets))
+		state.assumedOthers = float64(own*(p.Entries-1)) / float64(len(p.Targets))
 	}
 }
 
-// TargetSnapshot is what placing knows of a target.
+// TargetSnapshot is what the tracker knows of a target.
 type TargetSnapshot struct {
-	Requests    int           // requests there
-	ReportAge   time.Duration // of the report that this comes from
+	Requests    int           // requests at the target
+	ReportAge   time.Duration // age of the report behind these figures
 	Imbalance   float64       // of its group
-	MaxSlowdown float64       // of its group's slowest rank
-	RateLimit   float64       // that it names; Unlimited: none
+	MaxSlowdown float64       // slowdown of the slowest rank of its group
+	RateLimit   float64       // reported by the target, in requests a second; Unlimited: none
 }
 
 // Snapshot returns what is known of a target.
-func (b *Tracker) Snapshot(t *serving.Target, now time.Time) TargetSnapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	state := b.group(b.keyOf(t, now))
-	k := TargetSnapshot{Requests: b.load(t, now), Imbalance: state.Imbalance, MaxSlowdown: state.MaxSlowdown, RateLimit: b.limits.rate(t.Run())}
+func (tr *Tracker) Snapshot(t *serving.Target, now time.Time) TargetSnapshot {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	state := tr.group(tr.groupKeyOf(t, now))
+	s := TargetSnapshot{Requests: tr.load(t, now), Imbalance: state.Imbalance, MaxSlowdown: state.MaxSlowdown, RateLimit: tr.limits.rate(t.Run())}
 	if !state.ReportedAt.IsZero() {
-		k.ReportAge = now.Sub(state.ReportedAt)
+		s.ReportAge = now.Sub(state.ReportedAt)
 	}
-	return k
+	return s
 }
 
-// load returns how many requests a target has: this entry's, and those of others
-// by the latest report. A target that the reports of its group leave out, since its
-// agent is away, counts as one like the others: if it counted as empty, all entries
-// would send to it.
-func (b *Tracker) load(t *serving.Target, now time.Time) int {
+// load returns the number of requests at a target: those of this entry, plus those of other entries
+// by the latest report. A target that is missing from the reports of its group, because its agent
+// is unreachable, counts with at least the mean load of the group. If it counted as empty, all entries would
+// send to it.
+func (tr *Tracker) load(t *serving.Target, now time.Time) int {
 	own := 0
-	a := b.accounts[t.Run()]
-	if a != nil {
-		own = a.running
-		if now.Sub(a.others.at) < ReportTTL {
-			return own + max(a.others.Running+a.others.Waiting-a.others.ownThen, 0)
+	ts := tr.states[t.Run()]
+	if ts != nil {
+		own = ts.running
+		if now.Sub(ts.reported.reportedAt) < ReportTTL {
+			return own + max(ts.reported.Running+ts.reported.Waiting-ts.reported.ownAtReport, 0)
 		}
 	}
-	state := b.group(b.keyOf(t, now))
+	state := tr.group(tr.groupKeyOf(t, now))
 	if now.Sub(state.ReportedAt) < ReportTTL {
 		return max(own, state.MeanRequests)
 	}
-	return own + int(state.assumed+0.5)
+	return own + int(state.assumedOthers+0.5)
 }
--- a/placing/request.go
+++ b/placing/request.go
@@ -1,46 +1,47 @@
-// Package placing decides which target each request goes to, and when: how many
-// requests a target takes, who waits, who goes first and who is refused. It knows
-// no sockets and reads no clock: times are arguments, so the same decisions are
-// played in virtual time by tests and by the load bench.
+// Package placing decides to which target each request is sent and when: how many requests a target
+// takes, and which requests wait, are admitted or are refused. It uses no sockets and no clock:
+// times are arguments, so tests and the load bench run the same decisions in virtual time.
 package placing
 
 import "time"
 
-// Request is what a decision needs to know of a request.
+// Request is the part of a request that placement decisions depend on.
 type Request struct {
 	Arrived          time.Time
 	Priority         int           // 0 is the most urgent
-	LatencyObjective time.Duration // for the first event; 0: none
-	MaxWait          time.Duration // that the request may wait for a target
+	LatencyObjective time.Duration // objective for the first event; 0: none
+	MaxWait          time.Duration // maximum time in the admission queue
 	Size             Size
-	ExpectedEvents   float64   // that its answer has, as far as can be told; 0: not known
-	Deadline         time.Time // the caller leaves then; zero: never
+	ExpectedEvents   float64   // estimated number of events in the response; 0: unknown
+	Deadline         time.Time // when the caller gives up; zero: never
 
-	// AvoidRateLimited: it goes to no target that names a rate.
+	// AvoidRateLimited excludes targets with a rate limit.
 	AvoidRateLimited bool
-	// Requeued: it was admitted before and not sent, so it counts neither as coming nor as admitted.
+	// Requeued: the request was admitted before and not sent, so it counts neither as an arrival
+	// nor as an admission.
 	Requeued bool
 
-	placed time.Time // when it got its place
-	late   bool      // it was late already then
+	placedAt   time.Time // when it was granted its slot
+	placedLate bool      // it was already late at placedAt
 }
 
-// Size is the work that a request asks of a model engine.
+// Size is the work that a request requires of a model engine.
 type Size struct {
-	PromptTokens float64 // tokens to read
-	OutputTokens float64 // tokens to write, as far as can be told
+	PromptTokens float64 // tokens to prefill
+	OutputTokens float64 // estimated tokens to decode
 }
 
-// inTimeShare of the aim for the first event may pass at the gate; the rest is what
-// engines take for it at usual load.
-const inTimeShare = 0.5
+// queueTimeShare of the latency objective may be spent in the admission queue. The rest is what
+// engines need for the first event at usual load.
+const queueTimeShare = 0.5
 
-// inTime tells whether a request that waits can still have its first event in time.
-func (r *Request) inTime(now time.Time) bool {
+// isOnTime reports whether a waiting request can still have its first event within its latency
+// objective.
+func (r *Request) isOnTime(now time.Time) bool {
 	return r.LatencyObjective == 0 || now.Sub(r.Arrived) < r.MaxOnTimeWait()
 }
 
-// MaxOnTimeWait is how long the request may wait for a target and still be in time.
+// MaxOnTimeWait returns how long the request may wait for a target and still be on time.
 func (r *Request) MaxOnTimeWait() time.Duration {
-	return time.Duration(float64(r.LatencyObjective) * inTimeShare)
+	return time.Duration(float64(r.LatencyObjective) * queueTimeShare)
 }
