--- a/route/blocks.go
+++ b/route/blocks.go
@@ -6,29 +6,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prompts are compared by blocks of BlockTokens tokens; a request looks at its
-// first MaxBlocks blocks.
+// Prompts are compared in blocks of BlockTokens tokens. Only the first MaxBlocks
+// blocks of a request are compared.
 const (
 	BlockTokens = 64
 	MaxBlocks   = 64
 	blockBytes  = BlockTokens * bytesPerToken
 )
 
-// BlockHashes appends the chained hashes of a prompt's whole blocks to into. Each
-// hash covers all text up to its block. The team is the salt: a team that sends
-// another's text finds nothing, so its waits tell nothing about that text.
-func BlockHashes(team string, prompt []byte, into []uint64) []uint64 {
+// BlockHashes appends the chained hashes of a prompt's whole blocks to dst. Each
+// hash covers all text up to the end of its block. The team name is the salt: a team
+// that sends another team's text gets no match, so it can't learn from its waiting
+// times whether that text is cached.
+func BlockHashes(team string, prompt []byte, dst []uint64) []uint64 {
 	chain := xxhash.Sum64String(team)
 	var seed [8]byte
 	var d xxhash.Digest
-	for len(prompt) >= blockBytes && len(into) < MaxBlocks {
+	for len(prompt) >= blockBytes && len(dst) < MaxBlocks {
 		binary.LittleEndian.PutUint64(seed[:], chain)
 		d.Reset()
 		_, _ = d.Write(seed[:]) // a Digest never fails
 		_, _ = d.Write(prompt[:blockBytes])
 		chain = d.Sum64()
-		into = append(into, chain)
+		dst = append(dst, chain)
 		prompt = prompt[blockBytes:]
 	}
-	return into
+	return dst
 }
--- a/route/cacheindex.go
+++ b/route/cacheindex.go
@@ -5,162 +5,164 @@
 	"unsafe"
 )
 
-// CacheIndex is what an entry believes about prompts that engines hold: for each
-// block a bit mask of targets. Events come late and with gaps, so it is a belief:
-// every target has a trust by which its matches are discounted. Memory is fixed:
-// a full set forgets in turn, which costs a match and nothing else.
+// CacheIndex is an entry's estimate of which prompt blocks the engines have cached: a
+// bit mask of targets for each block. Cache events arrive late and some are lost, so
+// matches are discounted by a confidence for each target. Memory is fixed: a full set
+// evicts its blocks in turn, and an evicted block only costs a match.
 type CacheIndex struct {
-	sets  []cacheSet
-	trust [IndexTargets]float64
-	next  [IndexTargets]uint64 // sequence number of the next events
+	sets       []cacheSet
+	confidence [IndexTargets]float64
+	nextSeq    [IndexTargets]uint64 // expected sequence number of the next event batch
 }
 
-// IndexTargets is how many targets one index can tell apart.
+// IndexTargets is the number of targets that one index can hold.
 const IndexTargets = 64
 
-// cacheWays is how many blocks share a set.
+// cacheWays is the number of blocks in a set.
 const cacheWays = 8
 
-// cacheSet holds the blocks with one beginning of their hash.
+// cacheSet holds blocks that map to the same set by their hash.
 type cacheSet struct {
-	keys  [cacheWays]uint64
-	masks [cacheWays]uint64
-	hand  uint8
+	keys   [cacheWays]uint64
+	masks  [cacheWays]uint64
+	victim uint8 // way that is evicted next
 }
 
-// Trust falls by half with each gap and grows back with each event batch that
-// follows without one.
+// Confidence in a target is halved by each gap in its event batches, and recovers with
+// each batch that follows without a gap.
 const (
-	trustGap    = 0.5
-	trustRepair = 0.05
-	trustMin    = 0.05
+	gapFactor     = 0.5
+	recoveryStep  = 0.05 // part of the missing confidence regained with a batch
+	minConfidence = 0.05
 )
 
-// NewCacheIndex returns an index for about the given number of blocks.
+// NewCacheIndex returns an empty index with room for about the given number of blocks.
 func NewCacheIndex(blocks int) *CacheIndex {
 	n := 1 << bits.Len(uint(max(1, blocks/cacheWays)-1))
 	x := &CacheIndex{sets: make([]cacheSet, n)}
-	for i := range x.trust {
-		x.trust[i] = 1
+	for i := range x.confidence {
+		x.confidence[i] = 1
 	}
 	return x
 }
 
-// Bytes returns the memory that the index takes, and for how many blocks.
+// Bytes returns the memory of the index in bytes and its capacity in blocks.
 func (x *CacheIndex) Bytes() (bytes, blocks int) {
 	return int(unsafe.Sizeof(*x)) + len(x.sets)*int(unsafe.Sizeof(cacheSet{})), len(x.sets) * cacheWays
 }
 
-// Add notes that a target holds a block.
+// Add records that a target has cached a block.
 func (x *CacheIndex) Add(target int, block uint64) {
-	b := x.cacheSet(block)
-	for i, k := range b.keys {
+	set := x.setOf(block)
+	for i, k := range set.keys {
 		if k == block {
-			b.masks[i] |= 1 << target
+			set.masks[i] |= 1 << target
 			return
 		}
 	}
-	for i, m := range b.masks {
+	for i, m := range set.masks {
 		if m == 0 {
-			b.keys[i], b.masks[i] = block, 1<<target
+			set.keys[i], set.masks[i] = block, 1<<target
 			return
 		}
 	}
-	b.keys[b.hand], b.masks[b.hand] = block, 1<<target
-	b.hand = (b.hand + 1) % cacheWays
+	set.keys[set.victim], set.masks[set.victim] = block, 1<<target
+	set.victim = (set.victim + 1) % cacheWays
 }
 
-// Remove notes that a target dropped a block.
+// Remove records that a target has evicted a block.
 func (x *CacheIndex) Remove(target int, block uint64) {
-	b := x.cacheSet(block)
-	for i, k := range b.keys {
+	set := x.setOf(block)
+	for i, k := range set.keys {
 		if k == block {
-			b.masks[i] &^= 1 << target
+			set.masks[i] &^= 1 << target
 		}
 	}
 }
 
-// RemoveTarget forgets a target: its engine is new.
+// RemoveTarget drops all blocks of a target whose engine has restarted, and resets its
+// confidence and sequence number.
 func (x *CacheIndex) RemoveTarget(target int) {
 	for i := range x.sets {
 		for w := range x.sets[i].masks {
 			x.sets[i].masks[w] &^= 1 << target
 		}
 	}
-	x.trust[target], x.next[target] = 1, 0
+	x.confidence[target], x.nextSeq[target] = 1, 0
 }
 
-// AcceptBatch takes the sequence number of a batch of events and reports whether the
-// batch is new. A gap lowers the trust in the target; a batch that came before
-// is not new.
+// AcceptBatch records the sequence number of a batch of cache events and reports whether
+// the batch is new. A gap in the sequence lowers the confidence in the target.
 func (x *CacheIndex) AcceptBatch(target int, seq uint64) bool {
-	want := x.next[target]
-	if want != 0 && seq < want {
+	expected := x.nextSeq[target]
+	if expected != 0 && seq < expected {
 		return false
 	}
-	if want != 0 && seq > want {
-		x.trust[target] = max(trustMin, x.trust[target]*trustGap)
+	if expected != 0 && seq > expected {
+		x.confidence[target] = max(minConfidence, x.confidence[target]*gapFactor)
 	} else {
-		x.trust[target] += trustRepair * (1 - x.trust[target])
+		x.confidence[target] += recoveryStep * (1 - x.confidence[target])
 	}
-	x.next[target] = seq + 1
+	x.nextSeq[target] = seq + 1
 	return true
 }
 
-// Confidence returns the trust in a target's events, from 0 to 1.
-func (x *CacheIndex) Confidence(target int) float64 { return x.trust[target] }
+// Confidence returns the confidence in a target's cache events, from 0 to 1.
+func (x *CacheIndex) Confidence(target int) float64 { return x.confidence[target] }
 
-// CachedTokens returns how many leading tokens a target is believed to hold,
-// discounted by trust.
+// CachedTokens returns how many leading tokens of the blocks the index shows as cached at
+// a target, multiplied by the confidence in the target.
 func (x *CacheIndex) CachedTokens(target int, blocks []uint64) float64 {
 	n := 0
 	for _, block := range blocks {
-		if x.mask(block)&(1<<target) == 0 {
+		if x.targetsOf(block)&(1<<target) == 0 {
 			break
 		}
 		n++
 	}
-	return float64(n*BlockTokens) * x.trust[target]
+	return float64(n*BlockTokens) * x.confidence[target]
 }
 
-// LongestMatch writes targets that hold the longest beginning of the blocks, and
-// returns how many it wrote. Of several, rnd decides.
-func (x *CacheIndex) LongestMatch(blocks []uint64, rnd uint64, into []int) int {
-	held := ^uint64(0)
+// LongestMatch writes to dst the targets that have cached the longest prefix of the
+// blocks, and returns how many it wrote. If more targets match than dst has room for,
+// rnd selects among them.
+func (x *CacheIndex) LongestMatch(blocks []uint64, rnd uint64, dst []int) int {
+	matching := ^uint64(0)
 	depth := 0
 	for _, block := range blocks {
-		m := x.mask(block)
-		if held&m == 0 {
+		m := x.targetsOf(block)
+		if matching&m == 0 {
 			break
 		}
-		held &= m
+		matching &= m
 		depth++
 	}
 	if depth == 0 {
 		return 0
 	}
-	turn := int(rnd % IndexTargets)
-	held = bits.RotateLeft64(held, -turn)
+	shift := int(rnd % IndexTargets)
+	matching = bits.RotateLeft64(matching, -shift)
 	n := 0
-	for held != 0 && n < len(into) {
-		at := bits.TrailingZeros64(held)
-		into[n] = (at + turn) % IndexTargets
-		held &^= 1 << at
+	for matching != 0 && n < len(dst) {
+		bit := bits.TrailingZeros64(matching)
+		dst[n] = (bit + shift) % IndexTargets
+		matching &^= 1 << bit
 		n++
 	}
 	return n
 }
 
-func (x *CacheIndex) mask(block uint64) uint64 {
-	b := x.cacheSet(block)
-	for i, k := range b.keys {
+// targetsOf returns the mask of targets that have cached a block.
+func (x *CacheIndex) targetsOf(block uint64) uint64 {
+	set := x.setOf(block)
+	for i, k := range set.keys {
 		if k == block {
-			return b.masks[i]
+			return set.masks[i]
 		}
 	}
 	return 0
 }
 
-func (x *CacheIndex) cacheSet(block uint64) *cacheSet {
+func (x *CacheIndex) setOf(block uint64) *cacheSet {
 	return &x.sets[block>>1&uint64(len(x.sets)-1)]
 }
--- a/route/cost.go
+++ b/route/cost.go
@@ -8,41 +8,42 @@
 	Decode float64 // tokens to generate
 }
 
-// PromptTokenWeight is what a prompt token costs in generated tokens: engines compute
-// prompts many tokens a step.
+// PromptTokenWeight is the cost of a prompt token in generated tokens. It is below 1
+// because engines compute many prompt tokens in a step.
 const PromptTokenWeight = 0.1
 
-// DecodeEquivalent returns one figure for shares and limits, in generated tokens.
+// DecodeEquivalent returns the cost in generated tokens, for shares and rate limits.
 func (c Cost) DecodeEquivalent() float64 { return c.Prompt*PromptTokenWeight + c.Decode }
 
-// PlainCost is the cost of a request of a plain service.
+// PlainCost is the cost of a request to a plain service.
 var PlainCost = Cost{Decode: 1}
 
-// bytesPerToken converts a body's size; tokenizers differ, shares and waits
-// need the order only.
+// bytesPerToken converts the size of a text to tokens. Tokenizers differ, but shares and
+// estimated waits need only the order of magnitude.
 const bytesPerToken = 4
 
-// expectedDecode is taken for a request that names no limit.
-const expectedDecode = 128
+// defaultDecodeTokens is the assumed answer length while no mean is known.
+const defaultDecodeTokens = 128
 
-// EstimateCost returns the cost of a model request from the bytes of its prompt
-// and the limit of tokens that it names (0: none). expected is the mean length
-// of answers learnt so far (0: unknown); most answers end long before the limit.
-func EstimateCost(promptBytes, maxTokens int, expected float64) Cost {
-	decode := orDefault(expected, expectedDecode)
+// EstimateCost estimates the cost of a model request from the size of its prompt and
+// its limit of generated tokens (0: none). meanAnswerTokens is the observed mean length
+// of answers (0: unknown). It takes precedence over a larger limit because most answers
+// end long before their limit.
+func EstimateCost(promptBytes, maxTokens int, meanAnswerTokens float64) Cost {
+	decode := orDefault(meanAnswerTokens, defaultDecodeTokens)
 	if maxTokens > 0 {
 		decode = min(decode, float64(maxTokens))
 	}
 	return Cost{Prompt: float64(promptBytes / bytesPerToken), Decode: decode}
 }
 
-var eventMark = []byte("data:")
+var eventPrefix = []byte("data:")
 
-// EstimateTokens estimates the tokens in a piece of an answer: one for each event
-// of a stream, else by bytes. streamed tells which.
-func EstimateTokens(piece []byte) (n int, streamed bool) {
-	if n := bytes.Count(piece, eventMark); n > 0 {
+// EstimateTokens estimates the tokens in a chunk of an answer: one for each event of a
+// stream, else by its size. streamed reports whether the chunk holds stream events.
+func EstimateTokens(chunk []byte) (n int, streamed bool) {
+	if n := bytes.Count(chunk, eventPrefix); n > 0 {
 		return n, true
 	}
-	return max(1, len(piece)/bytesPerToken), false
+	return max(1, len(chunk)/bytesPerToken), false
 }
--- a/route/eject.go
+++ b/route/eject.go
@@ -5,102 +5,103 @@
 	"time"
 )
 
-// Ejector keeps failing targets, named by T, out for a time. It is not safe for
-// concurrent use.
+// Ejector does outlier ejection: it takes failing targets, identified by T, out of
+// rotation for a time. It is not safe for concurrent use.
 type Ejector[T comparable] struct {
-	targets map[T]*health
+	targets map[T]*targetHealth
 }
 
-type health struct {
-	failures int // in a row
-	times    int // ejections without a good spell between
-	until    time.Time
+type targetHealth struct {
+	consecutiveFailures int
+	ejections           int // reset by a success later than rampUp after the last ejection
+	ejectedUntil        time.Time
 }
 
-// Bounds of ejection.
 const (
-	ejectAfter  = 5 // failures in a row
-	ejectFirst  = 2 * time.Second
-	ejectMax    = time.Minute
-	rampUp      = 10 * time.Second
-	rampMinimum = 0.1 // share of draws that a target gets right after its ejection
+	failuresToEject = 5 // consecutive failures
+	minEjection     = 2 * time.Second
+	maxEjection     = time.Minute
+	rampUp          = 10 * time.Second
+	minRampShare    = 0.1 // share of its requests that a target gets right after its ejection
 )
 
-// NewEjector returns an Ejector that knows no target.
-func NewEjector[T comparable]() *Ejector[T] { return &Ejector[T]{targets: make(map[T]*health)} }
+// NewEjector returns an Ejector without any recorded results.
+func NewEjector[T comparable]() *Ejector[T] { return &Ejector[T]{targets: make(map[T]*targetHealth)} }
 
-// RecordResult books the end of one try.
+// RecordResult records the result of one attempt at a target. The target is ejected after
+// failuresToEject consecutive failures.
 func (j *Ejector[T]) RecordResult(target T, ok bool, now time.Time) {
 	h := j.targets[target]
 	switch {
 	case ok && h == nil:
 	case ok:
-		h.failures = 0
-		if now.After(h.until.Add(rampUp)) {
+		h.consecutiveFailures = 0
+		if now.After(h.ejectedUntil.Add(rampUp)) {
 			delete(j.targets, target)
 		}
 	default:
 		if h == nil {
-			h = new(health)
+			h = new(targetHealth)
 			j.targets[target] = h
 		}
-		if h.failures++; h.failures >= ejectAfter {
+		if h.consecutiveFailures++; h.consecutiveFailures >= failuresToEject {
 			j.Eject(target, now)
 		}
 	}
 }
 
-// Eject keeps a target out from now on, each time longer.
+// Eject ejects a target, unless it is ejected already. Each ejection lasts twice as long
+// as the one before, up to maxEjection.
 func (j *Ejector[T]) Eject(target T, now time.Time) {
 	h := j.targets[target]
 	if h == nil {
-		h = new(health)
+		h = new(targetHealth)
 		j.targets[target] = h
 	}
-	h.failures = 0
-	if now.Before(h.until) {
+	h.consecutiveFailures = 0
+	if now.Before(h.ejectedUntil) {
 		return
 	}
-	h.until = now.Add(min(ejectFirst<<min(h.times, 16), ejectMax))
-	h.times++
+	h.ejectedUntil = now.Add(min(minEjection<<min(h.ejections, 16), maxEjection))
+	h.ejections++
 }
 
-// EjectMinimum keeps a target out for the shortest time from now on.
+// EjectMinimum ejects a target for minEjection from now on.
 func (j *Ejector[T]) EjectMinimum(target T, now time.Time) {
 	h := j.targets[target]
 	if h == nil {
-		h = new(health)
+		h = new(targetHealth)
 		j.targets[target] = h
 	}
-	if until := now.Add(ejectFirst); until.After(h.until) {
-		h.until = until
+	if until := now.Add(minEjection); until.After(h.ejectedUntil) {
+		h.ejectedUntil = until
 	}
 }
 
-// Excluded returns the targets to keep out of one placement. draw gives a number in
-// [0,1) for each target that is coming back: its share grows from a tenth to the
-// whole, so that a target that is not well yet fails few requests. At most half
-// of the targets are kept out: if more fail, the cause is not in them, and the
-// rest would break under the load of all.
+// Excluded returns the targets to leave out of one placement. A target whose ejection has
+// ended is included with a probability that grows from minRampShare to 1 over rampUp, so
+// that a target that still fails costs few requests; draw returns a random number in
+// [0,1) for each such target. At most half of the targets are excluded: if more fail, the
+// cause is not in the targets, and the rest would be overloaded by all requests.
 func (j *Ejector[T]) Excluded(names []T, now time.Time, draw func() float64) map[T]bool {
-	skip := make(map[T]bool)
+	excluded := make(map[T]bool)
 	if len(j.targets) == 0 {
-		return skip
+		return excluded
 	}
-	var out []T
+	var candidates []T
 	for _, name := range names {
 		h := j.targets[name]
-		if h == nil || h.until.IsZero() {
+		if h == nil || h.ejectedUntil.IsZero() {
 			continue
 		}
-		back := float64(now.Sub(h.until)) / float64(rampUp)
-		if back < 0 || (back < 1 && draw() >= max(back, rampMinimum)) {
-			out = append(out, name)
+		ramp := float64(now.Sub(h.ejectedUntil)) / float64(rampUp)
+		if ramp < 0 || (ramp < 1 && draw() >= max(ramp, minRampShare)) {
+			candidates = append(candidates, name)
 		}
 	}
-	slices.SortFunc(out, func(a, b T) int { return j.targets[b].until.Compare(j.targets[a].until) })
-	for _, name := range out[:min(len(out), len(names)/2)] {
-		skip[name] = true
+	slices.SortFunc(candidates, func(a, b T) int { return j.targets[b].ejectedUntil.Compare(j.targets[a].ejectedUntil) })
+	for _, name := range candidates[:min(len(candidates), len(names)/2)] {
+		excluded[name] = true
 	}
-	return skip
+	return excluded
 }
--- a/route/fairqueue.go
+++ b/route/fairqueue.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// FairQueue orders waiting requests: between teams by weighted shares of cost
-// (start-time fair queueing), strictly by priority within a team. A share that a
-// team leaves idle goes to the others; it gets back at most fairCredit of it.
-// It keeps state only for teams that wait or are ahead of their share. Times are
-// durations from any one origin.
+// FairQueue orders queued requests: between teams by weighted shares of cost
+// (start-time fair queueing), and strictly by priority within a team. Other teams use
+// the share that a team leaves idle; the team regains at most fairCreditTokens of it.
+// State is kept only for teams that have queued requests or are ahead of their share.
+// Times are durations since an arbitrary origin.
 type FairQueue struct {
-	teams  map[string]*fairTeam
-	heads  fairTeams // teams with waiting requests
-	now    float64   // virtual time: start tag of the latest request taken
-	length int
-	price  float64
-	order  uint64
+	teams       map[string]*teamQueue
+	waiting     teamHeap // teams with queued requests
+	virtualTime float64  // start tag of the latest request popped
+	length      int
+	queuedCost  float64
+	lastOrder   uint64
 }
 
-// fairCredit is how many tokens a team may be behind its share. Without it a team
-// within its share would wait after each of its long answers as if it had too
-// much; with it a team that was idle goes first for at most these tokens.
-const fairCredit = 4000.0
-
-type fairTeam struct {
-	name   string
-	start  float64 // virtual time at which its next request is due
-	items  fairItems
-	index  int     // in heads, -1 if nothing waits
-	price  float64 // waiting
-	weight float64
-
-	since  time.Duration // start of the window in which served counts
-	served float64
-	rate   float64 // price a second while it waits; 0: unknown
+// fairCreditTokens bounds how far a team may fall behind its share. Without it a team
+// within its share would wait after each of its long answers as if it were over its
+// share. With it a team that was idle goes first for at most this many tokens.
+const fairCreditTokens = 4000.0
+
+// teamQueue holds the queued requests and the share of one team.
+type teamQueue struct {
+	name       string
+	startTag   float64 // virtual time at which the next request of the team is due
+	items      itemHeap
+	heapIndex  int     // in FairQueue.waiting, -1 if the team has no queued requests
+	queuedCost float64 // in tokens
+	weight     float64
+
+	windowStart time.Duration // start of the window of servedCost
+	servedCost  float64
+	costRate    float64 // tokens a second served while the team has queued requests; 0: unknown
 }
 
-// rateWindow is how long a team must have waited before its rate is believed.
+// rateWindow is how long a team must have had queued requests before its rate counts.
 const rateWindow = time.Second
 
-// serve counts what a waiting team got. Its rate is its share of the target: what
-// others will send meanwhile can't be known, what the team got can.
-func (t *fairTeam) serve(now time.Duration, price float64) {
-	t.served += price
-	d := now - t.since
+// recordServed counts the cost of a request popped for a team, and updates the team's
+// rate. The rate is the team's measured share of the target: future requests of other
+// teams can't be known, but the service that the team received can.
+func (t *teamQueue) recordServed(now time.Duration, cost float64) {
+	t.servedCost += cost
+	d := now - t.windowStart
 	if d < rateWindow {
 		return
 	}
-	rate := t.served / d.Seconds()
-	if t.rate > 0 {
-		rate = (rate + t.rate) / 2
+	rate := t.servedCost / d.Seconds()
+	if t.costRate > 0 {
+		rate = (rate + t.costRate) / 2
 	}
-	t.rate, t.since, t.served = rate, now, 0
+	t.costRate, t.windowStart, t.servedCost = rate, now, 0
 }
 
-// FairItem is one waiting request. It belongs to the caller.
+// FairItem is one queued request. The caller allocates and owns it.
 type FairItem struct {
 	Team      string
 	Weight    float64
@@ -64,135 +66,136 @@
 	Value     any
 
 	order uint64
-	index int // in its team, -1 if it does not wait
+	index int // in its team's heap, -1 if not queued
 }
 
 // NewFairQueue returns an empty queue.
 func NewFairQueue() *FairQueue {
-	return &FairQueue{teams: make(map[string]*fairTeam)}
+	return &FairQueue{teams: make(map[string]*teamQueue)}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of queued requests.
 func (q *FairQueue) Len() int { return q.length }
 
-// QueuedCost returns the cost of all waiting requests.
-func (q *FairQueue) QueuedCost() float64 { return q.price }
+// QueuedCost returns the cost of all queued requests in tokens.
+func (q *FairQueue) QueuedCost() float64 { return q.queuedCost }
 
-// Push adds a request.
+// Push queues a request.
 func (q *FairQueue) Push(now time.Duration, it *FairItem) {
 	t := q.team(it.Team)
 	t.weight = max(1, it.Weight)
-	q.order++
-	it.order = q.order
+	q.lastOrder++
+	it.order = q.lastOrder
 	heap.Push(&t.items, it)
-	t.price += it.TokenCost
-	q.price += it.TokenCost
+	t.queuedCost += it.TokenCost
+	q.queuedCost += it.TokenCost
 	q.length++
-	if t.index < 0 {
-		t.start = max(t.start, q.earliest(t.weight))
-		t.since, t.served, t.rate = now, 0, 0
-		heap.Push(&q.heads, t)
+	if t.heapIndex < 0 {
+		t.startTag = max(t.startTag, q.earliestStartTag(t.weight))
+		t.windowStart, t.servedCost, t.costRate = now, 0, 0
+		heap.Push(&q.waiting, t)
 	}
 }
 
-// earliest returns the start tag of a team that has used nothing lately.
-func (q *FairQueue) earliest(weight float64) float64 {
-	return q.now - fairCredit/max(1, weight)
+// earliestStartTag returns the start tag of a team that has been idle: fairCreditTokens
+// behind the virtual time.
+func (q *FairQueue) earliestStartTag(weight float64) float64 {
+	return q.virtualTime - fairCreditTokens/max(1, weight)
 }
 
-// Pop takes the next request, nil if none waits.
+// Pop removes and returns the next request, nil if the queue is empty.
 func (q *FairQueue) Pop(now time.Duration) *FairItem {
-	if len(q.heads) == 0 {
+	if len(q.waiting) == 0 {
 		return nil
 	}
-	t := q.heads[0]
+	t := q.waiting[0]
 	it := heap.Pop(&t.items).(*FairItem)
-	q.took(t, it)
-	t.serve(now, it.TokenCost)
-	q.now = max(q.now, t.start)
-	t.start += it.TokenCost / t.weight
-	q.settle(t)
+	q.countRemoved(t, it)
+	t.recordServed(now, it.TokenCost)
+	q.virtualTime = max(q.virtualTime, t.startTag)
+	t.startTag += it.TokenCost / t.weight
+	q.updateHeap(t)
 	return it
 }
 
-// HeadIsUnderserved tells whether the next request is of a team that has had less than its
-// share, while another waits or has waited with more.
+// HeadIsUnderserved reports whether the next request belongs to a team that has received
+// less than its share, relative to a team that is or was queued.
 func (q *FairQueue) HeadIsUnderserved() bool {
-	return len(q.heads) > 0 && q.heads[0].start < q.now
+	return len(q.waiting) > 0 && q.waiting[0].startTag < q.virtualTime
 }
 
-// WouldBeNext tells whether a new request of a team would be the next one, with a
-// right to what is kept for teams that have had less than their share.
+// WouldBeNext reports whether a new request of a team would be the next one and could use
+// the capacity that is reserved for underserved teams.
 func (q *FairQueue) WouldBeNext(team string, weight float64) bool {
 	if q.length == 0 {
 		return true
 	}
 	t := q.teams[team]
-	return (t == nil || t.index < 0) && q.IsUnderserved(team, weight) && q.due(team, weight) < q.heads[0].start
+	return (t == nil || t.heapIndex < 0) && q.IsUnderserved(team, weight) && q.startTagOf(team, weight) < q.waiting[0].startTag
 }
 
-// IsUnderserved tells whether a team has had less than its share.
+// IsUnderserved reports whether a team has received less than its share.
 func (q *FairQueue) IsUnderserved(team string, weight float64) bool {
-	return q.due(team, weight) < q.now
+	return q.startTagOf(team, weight) < q.virtualTime
 }
 
-// due returns the start tag of a team's next request.
-func (q *FairQueue) due(team string, weight float64) float64 {
-	due := q.earliest(weight)
+// startTagOf returns the start tag of a team's next request.
+func (q *FairQueue) startTagOf(team string, weight float64) float64 {
+	startTag := q.earliestStartTag(weight)
 	if t := q.teams[team]; t != nil {
-		due = max(due, t.start)
+		startTag = max(startTag, t.startTag)
 	}
-	return due
+	return startTag
 }
 
-// Remove takes a request out that no longer wants to wait; false: it did not wait.
+// Remove removes a queued request. It returns false if the request is not queued.
 func (q *FairQueue) Remove(it *FairItem) bool {
 	t := q.teams[it.Team]
 	if t == nil || it.index < 0 || it.index >= len(t.items) || t.items[it.index] != it {
 		return false
 	}
 	heap.Remove(&t.items, it.index)
-	q.took(t, it)
-	q.settle(t)
+	q.countRemoved(t, it)
+	q.updateHeap(t)
 	return true
 }
 
-// Charge corrects a team's share once the true cost of a request is known;
-// extra may be negative.
+// Charge corrects the service that a team has received once the true cost of a request is
+// known. extra is the difference to the estimated cost in tokens and may be negative.
 func (q *FairQueue) Charge(team string, weight, extra float64) {
 	if t := q.teams[team]; t != nil || extra > 0 {
 		t = q.team(team)
-		t.start = max(t.start, q.earliest(weight)) + extra/max(1, weight)
-		q.settle(t)
+		t.startTag = max(t.startTag, q.earliestStartTag(weight)) + extra/max(1, weight)
+		q.updateHeap(t)
 	}
 }
 
-// WaitSeconds returns how many seconds a new request of a team would wait here if the
-// target serves speed in price a second. A team that has waited for a while goes
-// by what it got; else its own waiting requests are before it and, for each other
-// team, the smaller of what it has waiting and what its weight entitles it to
-// meanwhile.
+// WaitSeconds estimates how many seconds a new request of a team would be queued, if the
+// target serves speed tokens a second. If the rate of the team is known, the estimate
+// uses that rate. Otherwise the request waits for the team's own queued requests and, for
+// each other team, for the smaller of its queued cost and what its weight entitles it to
+// in that time.
 func (q *FairQueue) WaitSeconds(team string, weight float64, priority int8, speed float64) float64 {
-	own, due := 0.0, q.earliest(weight)
+	ownCost, startTag := 0.0, q.earliestStartTag(weight)
 	if t := q.teams[team]; t != nil {
-		due = max(due, t.start)
-		own = t.before(priority)
-		if t.index >= 0 && t.rate > 0 {
-			return own / min(t.rate, speed)
+		startTag = max(startTag, t.startTag)
+		ownCost = t.costAhead(priority)
+		if t.heapIndex >= 0 && t.costRate > 0 {
+			return ownCost / min(t.costRate, speed)
 		}
 	}
-	due += own / max(1, weight)
-	sum := own
-	for _, t := range q.heads {
-		if t.name != team && t.start < due {
-			sum += min(t.price, (due-t.start)*t.weight)
+	startTag += ownCost / max(1, weight)
+	sum := ownCost
+	for _, t := range q.waiting {
+		if t.name != team && t.startTag < startTag {
+			sum += min(t.queuedCost, (startTag-t.startTag)*t.weight)
 		}
 	}
 	return sum / speed
 }
 
-// before returns the cost of a team's waiting requests of at least a priority.
-func (t *fairTeam) before(priority int8) float64 {
+// costAhead returns the cost of the team's queued requests of a priority or higher.
+func (t *teamQueue) costAhead(priority int8) float64 {
 	sum := 0.0
 	for _, it := range t.items {
 		if it.Priority >= priority {
@@ -202,102 +205,104 @@
 	return sum
 }
 
-// EvictIdleTeams drops the state of teams that neither wait nor are ahead of their
-// share. Call it now and then; its cost is the number of teams held.
+// EvictIdleTeams drops the state of teams that have no queued requests and are not ahead
+// of their share. Call it periodically; it visits all teams with state.
 func (q *FairQueue) EvictIdleTeams() {
 	for name, t := range q.teams {
-		if t.index < 0 && t.start <= q.earliest(t.weight) {
+		if t.heapIndex < 0 && t.startTag <= q.earliestStartTag(t.weight) {
 			delete(q.teams, name)
 		}
 	}
 }
 
-// TeamCount returns how many teams have state here.
+// TeamCount returns the number of teams with state.
 func (q *FairQueue) TeamCount() int { return len(q.teams) }
 
-func (q *FairQueue) team(name string) *fairTeam {
+func (q *FairQueue) team(name string) *teamQueue {
 	t := q.teams[name]
 	if t == nil {
-		t = &fairTeam{name: name, start: q.now - fairCredit, index: -1}
+		t = &teamQueue{name: name, startTag: q.virtualTime - fairCreditTokens, heapIndex: -1}
 		q.teams[name] = t
 	}
 	return t
 }
 
-func (q *FairQueue) took(t *fairTeam, it *FairItem) {
-	t.price -= it.TokenCost
-	q.price -= it.TokenCost
+// countRemoved updates the totals for a request that left the queue.
+func (q *FairQueue) countRemoved(t *teamQueue, it *FairItem) {
+	t.queuedCost -= it.TokenCost
+	q.queuedCost -= it.TokenCost
 	q.length--
 	if q.length == 0 {
-		q.price = 0 // rounding errors don't add up
+		q.queuedCost = 0 // so that rounding errors don't accumulate
 	}
 }
 
-// settle puts a team where its start and its waiting requests say.
-func (q *FairQueue) settle(t *fairTeam) {
+// updateHeap restores the position of a team in the heap after its start tag or its queued
+// requests have changed.
+func (q *FairQueue) updateHeap(t *teamQueue) {
 	switch {
-	case t.index >= 0 && len(t.items) == 0:
-		heap.Remove(&q.heads, t.index)
-		t.price = 0
-	case t.index >= 0:
-		heap.Fix(&q.heads, t.index)
+	case t.heapIndex >= 0 && len(t.items) == 0:
+		heap.Remove(&q.waiting, t.heapIndex)
+		t.queuedCost = 0
+	case t.heapIndex >= 0:
+		heap.Fix(&q.waiting, t.heapIndex)
 	}
 }
 
-type fairTeams []*fairTeam
+type teamHeap []*teamQueue
 
-func (h fairTeams) Len() int { return len(h) }
-func (h fairTeams) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+func (h teamHeap) Len() int { return len(h) }
+func (h teamHeap) Less(i, j int) bool {
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].name < h[j].name
 }
-func (h fairTeams) Swap(i, j int) {
+func (h teamHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *fairTeams) Push(x any) {
-	t := x.(*fairTeam)
-	t.index = len(*h)
+func (h *teamHeap) Push(x any) {
+	t := x.(*teamQueue)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
 // Pop implements heap.Interface.
-func (h *fairTeams) Pop() any {
+func (h *teamHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.index = -1
+	t.heapIndex = -1
 	return t
 }
 
-type fairItems []*FairItem
+type itemHeap []*FairItem
 
-func (h fairItems) Len() int { return len(h) }
-func (h fairItems) Less(i, j int) bool {
+func (h itemHeap) Len() int { return len(h) }
+func (h itemHeap) Less(i, j int) bool {
 	if h[i].Priority != h[j].Priority {
 		return h[i].Priority > h[j].Priority
 	}
 	return h[i].order < h[j].order
 }
-func (h fairItems) Swap(i, j int) {
+func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *fairItems) Push(x any) {
+func (h *itemHeap) Push(x any) {
 	it := x.(*FairItem)
 	it.index = len(*h)
 	*h = append(*h, it)
 }
 
 // Pop implements heap.Interface.
-func (h *fairItems) Pop() any {
+func (h *itemHeap) Pop() any {
 	old := *h
 	it := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/route/filter.go
+++ b/route/filter.go
@@ -1,6 +1,6 @@
 package route
 
-// Usable keeps targets that can take new work.
+// Usable is the filter that keeps targets which can take new work.
 type Usable struct{}
 
 // Keep implements Filter.
--- a/route/home.go
+++ b/route/home.go
@@ -2,16 +2,19 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// DedupKey joins what names a request that must not run twice.
+// DedupKey returns the key of a non-repeatable request in deduplication tables: its
+// idempotency key within a team and service.
 func DedupKey(team, service, key string) string {
 	return team + "\x00" + service + "\x00" + key
 }
 
-// KeyHash is the short name of a DedupKey between processes. Two keys with one
-// hash make a false doubt, never a second run.
-func KeyHash(homeKey string) uint64 { return xxhash.Sum64String(homeKey) }
+// KeyHash returns the hash by which processes name a DedupKey to each other. A hash
+// collision can make the outcome of a request look uncertain, but never makes a request
+// run twice.
+func KeyHash(dedupKey string) uint64 { return xxhash.Sum64String(dedupKey) }
 
-// Fingerprint names a caller's request over repeats, which have new ids.
+// Fingerprint returns a hash that identifies a request of a caller over repeats, which
+// have new request ids.
 func Fingerprint(team, service string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -20,9 +23,10 @@
 	return d.Sum64()
 }
 
-// HomeIndex returns the index of the one target that runs a non-repeatable request:
-// the highest hash of key and name. It depends on the declared targets alone,
-// not on who seems alive, so two entries can't choose different ones.
+// HomeIndex returns the index of the home of a non-repeatable request, the one target that
+// may run it, by rendezvous hashing of key and target name. It depends only on the
+// declared targets and not on which of them seem alive, so two entries can't choose
+// different homes. It returns -1 if names is empty.
 func HomeIndex(key string, names []string) int {
 	best, bestHash := -1, uint64(0)
 	for i, name := range names {
--- a/route/limit.go
+++ b/route/limit.go
@@ -5,186 +5,192 @@
 	"time"
 )
 
-// Limits are a team's limits over all entries; zero: none.
+// Limits are a team's limits over all entries; zero means no limit.
 type Limits struct {
-	Requests float64 // a second
-	Tokens   float64 // a second
-	InFlight int
+	Requests float64 // requests a second
+	Tokens   float64 // tokens a second
+	InFlight int     // concurrent requests
 }
 
-// HasLimit tells whether there is a limit at all.
+// HasLimit reports whether any limit is set.
 func (l Limits) HasLimit() bool { return l.Requests > 0 || l.Tokens > 0 || l.InFlight > 0 }
 
-// DemandPeriod is how often the entries of a team tell each other its demand. For
-// one period after demand has moved from one entry to another both may spend it,
-// so a team can get up to twice its limit for that long.
+// DemandPeriod is the period at which the members of a team, the entries that keep its
+// limits, propagate its demand to each other. For one period after demand has moved from
+// one entry to another both may admit it, so a team can get up to twice its limit for
+// that long.
 const DemandPeriod = time.Second
 
 const (
-	demandStep    = 0.5              // weight of the newest period
-	demandMemory  = 4 * DemandPeriod // a member not heard for longer has none
-	demandChange  = 0.02             // of the limit, that is told at once
-	demandRefresh = 2                // periods after which an unchanged demand is told again
-	demandLeast   = 0.01             // requests a second; less is none
-	shareFloor    = 0.02             // of the sum, for a member without demand: its first request is not refused
-	outsideShare  = 0.04             // of a limit, for all entries together that are not members
-	burstPeriod   = DemandPeriod     // a bucket holds what its rate gives in this time
+	demandWeight         = 0.5              // weight of the latest period in the smoothed demand
+	demandTTL            = 4 * DemandPeriod // after this time without a report the demand of a member counts as none
+	minDemandChange      = 0.02             // part of the limit; a smaller change is not propagated at once
+	demandRefreshPeriods = 2                // periods after which an unchanged demand is propagated again
+	minDemand            = 0.01             // requests a second; less counts as none
+	minShare             = 0.02             // part of the total demand for a member without demand, so that its first request is not refused
+	nonMemberShare       = 0.04             // part of a limit for all entries together that are not members
+	burstPeriod          = DemandPeriod     // a full bucket holds the tokens of this time
 )
 
-// bucket is a token bucket whose rate may change at any time. It may go below
-// zero: a request larger than the bucket is taken and paid for afterwards.
-type bucket struct {
-	level float64
-	at    time.Duration
-	used  bool
+// tokenBucket is a token bucket whose rate may change at any time. Its level may fall below
+// zero: a request larger than the bucket is admitted, and later requests wait for the
+// deficit.
+type tokenBucket struct {
+	level       float64
+	filledAt    time.Duration
+	initialized bool
 }
 
-func (b *bucket) fill(now time.Duration, rate float64) {
-	top := max(1, rate*burstPeriod.Seconds())
-	if !b.used {
-		b.used, b.level, b.at = true, top, now
+func (b *tokenBucket) refill(now time.Duration, rate float64) {
+	capacity := max(1, rate*burstPeriod.Seconds())
+	if !b.initialized {
+		b.initialized, b.level, b.filledAt = true, capacity, now
 		return
 	}
-	b.level = min(top, b.level+rate*(now-b.at).Seconds())
-	b.at = now
+	b.level = min(capacity, b.level+rate*(now-b.filledAt).Seconds())
+	b.filledAt = now
 }
 
-// wait returns how long until the next request may pass; zero: now.
-func (b *bucket) wait(need, rate float64) time.Duration {
+// waitFor returns the time until the bucket holds enough tokens for a request; zero: it does
+// already.
+func (b *tokenBucket) waitFor(need, rate float64) time.Duration {
 	need = min(need, max(1, rate*burstPeriod.Seconds()))
 	if b.level >= need {
 		return 0
 	}
 	if rate <= 0 {
-		return outsideWait
+		return nonMemberRetryAfter
 	}
 	return seconds((need - b.level) / rate)
 }
 
-// outsideWait is told where no wait would help.
-const outsideWait = 5 * time.Second
+// nonMemberRetryAfter is the retry delay where the rate is zero, so that no wait suffices.
+const nonMemberRetryAfter = 5 * time.Second
 
-// TeamLimiter keeps one team's limits at one entry. Times grow from any origin.
+// TeamLimiter enforces one entry's share of a team's limits. Times are durations since an
+// arbitrary origin.
 type TeamLimiter struct {
-	requests, tokens bucket
-	inFlight         int
-	seen             float64 // requests asked for in this period
-	demand           float64 // requests a second, smoothed
-	told             float64 // demand as last told to the others
-	silent           int     // periods since then
-	limits           Limits  // as last seen
-	heard            map[string]heardDemand
-	lastSeen         time.Duration
+	requests, tokens       tokenBucket
+	inFlight               int
+	requestsInPeriod       float64                 // in this period, refused ones included
+	smoothedDemand         float64                 // requests a second
+	propagatedDemand       float64                 // requests a second, as last propagated to the other members
+	periodsSincePropagated int                     // periods since the last propagation
+	limits                 Limits                  // as of the latest request
+	memberDemands          map[string]memberDemand // by name of the member
+	lastRequestAt          time.Duration
 }
 
-type heardDemand struct {
-	demand float64
-	at     time.Duration
+// memberDemand is the demand that another member has reported.
+type memberDemand struct {
+	demand     float64 // requests a second
+	receivedAt time.Duration
 }
 
-// NewTeamLimiter returns the state of a team that was not seen yet.
-func NewTeamLimiter() *TeamLimiter { return &TeamLimiter{heard: make(map[string]heardDemand)} }
+// NewTeamLimiter returns the limiter of a team without requests so far.
+func NewTeamLimiter() *TeamLimiter { return &TeamLimiter{memberDemands: make(map[string]memberDemand)} }
 
-// LimitMembership is which part of a team's limits an entry keeps.
+// LimitMembership determines an entry's share of a team's limits.
 type LimitMembership struct {
-	Self    string
-	Members []string // of the team, in any order
-	Entries int      // in all
+	Self    string   // name of this entry
+	Members []string // names of the team's members, in any order
+	Entries int      // number of all entries
 }
 
-// Admit takes a request with a price in tokens, or returns how long to wait
-// before asking again.
-func (t *TeamLimiter) Admit(now time.Duration, l Limits, p LimitMembership, price float64) (bool, time.Duration) {
-	t.seen++
-	t.lastSeen = now
+// Admit admits a request with an estimated cost in tokens, or returns how long to wait
+// before the next attempt.
+func (t *TeamLimiter) Admit(now time.Duration, l Limits, m LimitMembership, cost float64) (bool, time.Duration) {
+	t.requestsInPeriod++
+	t.lastRequestAt = now
 	t.limits = l
-	share, slots := t.share(now, l.InFlight, p)
+	share, slots := t.share(now, l.InFlight, m)
 	if l.InFlight > 0 && t.inFlight >= slots {
 		return false, DemandPeriod
 	}
-	t.requests.fill(now, l.Requests*share)
-	t.tokens.fill(now, l.Tokens*share)
+	t.requests.refill(now, l.Requests*share)
+	t.tokens.refill(now, l.Tokens*share)
 	wait := time.Duration(0)
 	if l.Requests > 0 {
-		wait = t.requests.wait(1, l.Requests*share)
+		wait = t.requests.waitFor(1, l.Requests*share)
 	}
 	if l.Tokens > 0 {
-		wait = max(wait, t.tokens.wait(price, l.Tokens*share))
+		wait = max(wait, t.tokens.waitFor(cost, l.Tokens*share))
 	}
 	if wait > 0 {
 		return false, wait
 	}
 	t.requests.level--
-	t.tokens.level -= price
+	t.tokens.level -= cost
 	t.inFlight++
 	return true, 0
 }
 
-// Release takes the end of an admitted request; extra is what it cost beyond its
-// price, and may be negative.
+// Release records the end of an admitted request. extra is its true cost minus the
+// estimated cost in tokens, and may be negative.
 func (t *TeamLimiter) Release(extra float64) {
 	t.inFlight--
 	t.tokens.level -= extra
 }
 
-// EndPeriod ends a period. It returns the demand and whether the other members must be
-// told: when it has changed by a part of the limit that matters, and now and then
-// while there is any. Most teams ask for a small part of their limits and cost
-// nothing.
-func (t *TeamLimiter) EndPeriod() (demand float64, tell bool) {
-	t.demand += demandStep * (t.seen/DemandPeriod.Seconds() - t.demand)
-	t.seen = 0
-	t.silent++
-	change := t.demand - t.told
+// EndPeriod ends a period. It returns the demand in requests a second and whether to
+// propagate it to the other members. A change is propagated if it is a relevant part of
+// the limit, and a demand above zero is propagated again every demandRefreshPeriods. Most
+// teams use a small part of their limits and cause no messages.
+func (t *TeamLimiter) EndPeriod() (demand float64, propagate bool) {
+	t.smoothedDemand += demandWeight * (t.requestsInPeriod/DemandPeriod.Seconds() - t.smoothedDemand)
+	t.requestsInPeriod = 0
+	t.periodsSincePropagated++
+	change := t.smoothedDemand - t.propagatedDemand
 	if change < 0 {
 		change = -change
 	}
-	matters := demandChange * t.limits.Requests
+	threshold := minDemandChange * t.limits.Requests
 	if t.limits.Requests == 0 {
-		matters = demandChange * max(t.demand, t.told)
+		threshold = minDemandChange * max(t.smoothedDemand, t.propagatedDemand)
 	}
-	if change <= matters && (t.told == 0 || t.silent < demandRefresh) {
-		return t.told, false
+	if change <= threshold && (t.propagatedDemand == 0 || t.periodsSincePropagated < demandRefreshPeriods) {
+		return t.propagatedDemand, false
 	}
-	t.told, t.silent = t.demand, 0
-	if t.told < demandLeast {
-		t.told = 0
+	t.propagatedDemand, t.periodsSincePropagated = t.smoothedDemand, 0
+	if t.propagatedDemand < minDemand {
+		t.propagatedDemand = 0
 	}
-	return t.told, true
+	return t.propagatedDemand, true
 }
 
-// RecordDemand takes what another member told.
+// RecordDemand records the demand that another member has propagated, in requests a second.
 func (t *TeamLimiter) RecordDemand(now time.Duration, member string, demand float64) {
-	t.heard[member] = heardDemand{demand: demand, at: now}
+	t.memberDemands[member] = memberDemand{demand: demand, receivedAt: now}
 }
 
-// IsIdle tells whether nothing is known of the team that is worth keeping.
+// IsIdle reports whether the team has no requests in flight and sent none for the given time,
+// so that its limiter can be dropped.
 func (t *TeamLimiter) IsIdle(now, after time.Duration) bool {
-	return t.inFlight == 0 && now-t.lastSeen > after
+	return t.inFlight == 0 && now-t.lastRequestAt > after
 }
 
-// share returns the part of the rates, and how many requests at once, that this
-// entry may give. All members work with what was told, their own told demand
-// included, so that their parts add up to the limit.
-func (t *TeamLimiter) share(now time.Duration, inFlight int, p LimitMembership) (float64, int) {
-	at := slices.Index(p.Members, p.Self)
-	if at < 0 {
-		part := outsideShare / float64(max(1, p.Entries-len(p.Members)))
+// share returns this entry's part of the rate limits and its number of concurrent requests.
+// All members compute with propagated demands, also for themselves, so that their shares
+// add up to the limit.
+func (t *TeamLimiter) share(now time.Duration, inFlight int, m LimitMembership) (float64, int) {
+	index := slices.Index(m.Members, m.Self)
+	if index < 0 {
+		part := nonMemberShare / float64(max(1, m.Entries-len(m.Members)))
 		return part, int(part * float64(inFlight))
 	}
-	demands := make([]float64, len(p.Members))
-	for i, m := range p.Members {
-		if m == p.Self {
-			demands[i] = t.told
-		} else if h, ok := t.heard[m]; ok && now-h.at <= demandMemory {
+	demands := make([]float64, len(m.Members))
+	for i, name := range m.Members {
+		if name == m.Self {
+			demands[i] = t.propagatedDemand
+		} else if h, ok := t.memberDemands[name]; ok && now-h.receivedAt <= demandTTL {
 			demands[i] = h.demand
 		}
 	}
 	shares := DemandShares(demands)
-	return shares[at], Apportion(inFlight, shares)[at]
+	return shares[index], Apportion(inFlight, shares)[index]
 }
 
-// DemandShares divides one limit by demand; the parts add up to 1.
+// DemandShares divides a limit in proportion to demands. The shares add up to 1.
 func DemandShares(demands []float64) []float64 {
 	sum := 0.0
 	for _, d := range demands {
@@ -197,34 +203,34 @@
 			shares[i] = 1 / n
 			continue
 		}
-		shares[i] = (d + shareFloor*sum) / (sum * (1 + n*shareFloor))
+		shares[i] = (d + minShare*sum) / (sum * (1 + n*minShare))
 	}
 	return shares
 }
 
-// Apportion divides whole places by shares, the rest to the largest remainders;
-// the parts add up to n.
+// Apportion divides n slots by shares with the largest remainder method. The result adds up
+// to n.
 func Apportion(n int, shares []float64) []int {
-	places := make([]int, len(shares))
+	slots := make([]int, len(shares))
 	order := make([]int, len(shares))
 	left := n
 	for i, s := range shares {
-		places[i] = int(s * float64(n))
-		left -= places[i]
+		slots[i] = int(s * float64(n))
+		left -= slots[i]
 		order[i] = i
 	}
-	rest := func(i int) float64 { return shares[i]*float64(n) - float64(places[i]) }
+	remainder := func(i int) float64 { return shares[i]*float64(n) - float64(slots[i]) }
 	slices.SortStableFunc(order, func(a, b int) int {
 		switch {
-		case rest(a) > rest(b):
+		case remainder(a) > remainder(b):
 			return -1
-		case rest(a) < rest(b):
+		case remainder(a) < remainder(b):
 			return 1
 		}
 		return a - b
 	})
 	for k := range max(0, left) {
-		places[order[k%len(order)]]++
+		slots[order[k%len(order)]]++
 	}
-	return places
+	return slots
 }
--- a/route/outcomes_test.go
+++ b/route/outcomes_test.go
@@ -11,30 +11,31 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// However requests and failures follow each other, retries stay a share of the
-// requests: what was saved up and the overdraft are the only addition.
-func TestRetriesAreAShareOfRequests(t *testing.T) {
+// In any sequence of requests and failures, retries stay within their share of the requests
+// plus the overdraft.
+func TestRetriesStayWithinShareOfRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		var b route.RetryBudget
-		asked, retried := 0, 0
-		for _, wanted := range rapid.SliceOfN(rapid.IntRange(0, 5), 1, 500).Draw(t, "retries wanted") {
-			asked++
+		requests, retried := 0, 0
+		for _, retries := range rapid.SliceOfN(rapid.IntRange(0, 5), 1, 500).Draw(t, "retries wanted") {
+			requests++
 			b.RecordRequest(share)
-			for range wanted {
+			for range retries {
 				if b.TakeRetry() {
 					retried++
 				}
 			}
 		}
-		if limit := share*float64(asked) + 3 + 1e-6; float64(retried) > limit {
-			t.Fatalf("%d retries of %d requests, limit %f", retried, asked, limit)
+		if limit := share*float64(requests) + 3 + 1e-6; float64(retried) > limit {
+			t.Fatalf("%d retries of %d requests, limit %f", retried, requests, limit)
 		}
 	})
 }
 
-// What must not run twice is retried only if it did not run, or at its home.
-func TestNothingThatMayHaveRunIsRetriedElsewhere(t *testing.T) {
+// A non-repeatable request that may have run is never retried, except at its home after a
+// lost connection.
+func TestNonRepeatableRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	g := NewWithT(t)
 	for _, info := range result.All() {
 		if info.Run != result.RunMaybe || info.Code == result.WireClosed || info.Code == result.TargetLost {
@@ -44,48 +45,49 @@
 	}
 }
 
-// Failing targets are kept out, come back slowly, and never all of them.
-func TestEjection(t *testing.T) {
+// Failing targets are ejected, return gradually, and at most half are ejected at once.
+func TestFailingTargetIsEjectedAndReturnsGradually(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	names := []string{"a", "b", "c", "d"}
 	always, never := func() float64 { return 0 }, func() float64 { return 0.999 }
-	j := route.NewEjector[string]()
+	ejector := route.NewEjector[string]()
 	for range 5 {
-		j.RecordResult("a", false, now)
+		ejector.RecordResult("a", false, now)
 	}
-	g.Expect(j.Excluded(names, now.Add(time.Second), always)).To(HaveKey("a"))
-	g.Expect(j.Excluded(names, now.Add(3*time.Second), always)).To(BeEmpty())
-	g.Expect(j.Excluded(names, now.Add(3*time.Second), never)).To(HaveKey("a"), "it comes back slowly")
-	g.Expect(j.Excluded(names, now.Add(time.Minute), never)).To(BeEmpty())
+	g.Expect(ejector.Excluded(names, now.Add(time.Second), always)).To(HaveKey("a"))
+	g.Expect(ejector.Excluded(names, now.Add(3*time.Second), always)).To(BeEmpty())
+	g.Expect(ejector.Excluded(names, now.Add(3*time.Second), never)).To(HaveKey("a"), "returns gradually")
+	g.Expect(ejector.Excluded(names, now.Add(time.Minute), never)).To(BeEmpty())
 	for _, name := range names {
-		j.Eject(name, now.Add(time.Minute))
+		ejector.Eject(name, now.Add(time.Minute))
 	}
-	g.Expect(j.Excluded(names, now.Add(time.Minute+time.Second), always)).To(HaveLen(2))
-	g.Expect(route.IsTargetFault(result.DeadlinePast)).To(BeFalse(), "slow is not dead")
+	g.Expect(ejector.Excluded(names, now.Add(time.Minute+time.Second), always)).To(HaveLen(2))
+	g.Expect(route.IsTargetFault(result.DeadlinePast)).To(BeFalse(), "a timeout is not a target fault")
 }
 
-// Suspicion, conviction and acquittal.
-func TestQuarantine(t *testing.T) {
+// A request on a crashed target becomes a suspect. It is cleared when it completes, and
+// rejected for a time when it crashes a target alone.
+func TestRequestThatCrashesTargetAloneIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	verdict := func(q *route.Quarantine, f uint64) route.QuarantineAction {
+	check := func(q *route.Quarantine, f uint64) route.QuarantineAction {
 		v, _ := q.Check(f, now)
 		return v
 	}
 	q := route.NewQuarantine()
 	q.RecordCrash(1, false, []uint64{10, 11}, now, now)
-	q.RecordCrash(1, false, []uint64{10, 11}, now, now) // heard twice
-	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineRunAlone))
+	q.RecordCrash(1, false, []uint64{10, 11}, now, now) // repeated report
+	g.Expect(check(q, 10)).To(Equal(route.QuarantineRunAlone))
 	q.Clear(11)
-	g.Expect(verdict(q, 11)).To(Equal(route.QuarantineAllow))
+	g.Expect(check(q, 11)).To(Equal(route.QuarantineAllow))
 	g.Expect(q.RecordCrash(2, true, []uint64{10}, now, now)).To(Equal(1))
-	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineReject))
+	g.Expect(check(q, 10)).To(Equal(route.QuarantineReject))
 	now = now.Add(6 * time.Minute)
-	g.Expect(verdict(q, 10)).To(Equal(route.QuarantineAllow), "for a time only")
+	g.Expect(check(q, 10)).To(Equal(route.QuarantineAllow), "the rejection expires")
 	for id := range uint64(4) {
 		q.RecordCrash(100+id, false, []uint64{1000 + id}, now, now)
 	}
 	q.RecordCrash(200, true, []uint64{1000}, now, now)
-	g.Expect(verdict(q, 1000)).To(Equal(route.QuarantineRunAlone), "others crash too")
+	g.Expect(check(q, 1000)).To(Equal(route.QuarantineRunAlone), "targets crash without the request too")
 }
--- a/route/place_test.go
+++ b/route/place_test.go
@@ -9,111 +9,111 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// fixedSet is a set of targets with known loads.
-type fixedSet struct {
+// fixedPool is a TargetPool with given loads.
+type fixedPool struct {
 	targets []route.Target
 	near    int
 	index   *route.CacheIndex
 }
 
-func (s *fixedSet) Len() int       { return len(s.targets) }
-func (s *fixedSet) NearCount() int { return s.near }
-func (s *fixedSet) Read(i int, r *route.Request, t *route.Target) {
-	*t = s.targets[i]
-	if s.index != nil && i < route.IndexTargets {
-		t.CachedTokens = s.index.CachedTokens(i, r.Blocks)
+func (pool *fixedPool) Len() int       { return len(pool.targets) }
+func (pool *fixedPool) NearCount() int { return pool.near }
+func (pool *fixedPool) Read(i int, r *route.Request, t *route.Target) {
+	*t = pool.targets[i]
+	if pool.index != nil && i < route.IndexTargets {
+		t.CachedTokens = pool.index.CachedTokens(i, r.Blocks)
 	}
 }
-func (s *fixedSet) LongestCached(r *route.Request, into []int) int {
-	if s.index == nil {
+func (pool *fixedPool) LongestCached(r *route.Request, dst []int) int {
+	if pool.index == nil {
 		return 0
 	}
-	return s.index.LongestMatch(r.Blocks, r.Seed, into)
+	return pool.index.LongestMatch(r.Blocks, r.Seed, dst)
 }
 
-func newSet(n, near int) *fixedSet {
-	s := &fixedSet{near: near}
+func newPool(n, near int) *fixedPool {
+	pool := &fixedPool{near: near}
 	for i := range n {
 		dc := "far"
 		if i < near {
 			dc = "near"
 		}
-		s.targets = append(s.targets, route.Target{
+		pool.targets = append(pool.targets, route.Target{
 			Name: fmt.Sprintf("t%d", i), DataCentre: dc, Reachable: true, EngineUp: true,
 			Slots: 32, TokensPerSec: 3000, PrefillPerSec: 30000,
 		})
 	}
-	return s
+	return pool
 }
 
-func pick(s *fixedSet, r route.Request) (*route.Decision, string) {
+func pick(pool *fixedPool, r route.Request) (*route.Decision, string) {
 	d := new(route.Decision)
-	route.DefaultPlacer().Pick(&r, s, d)
+	route.DefaultPlacer().Pick(&r, pool, d)
 	if best := d.Best(); best != nil {
 		return d, best.Target.Name
 	}
 	return d, ""
 }
 
-func TestPickUsesOnlyUsableTargets(t *testing.T) {
+func TestPickSelectsOnlyUsableTargets(t *testing.T) {
 	g := NewWithT(t)
-	s := newSet(6, 3)
-	s.targets[0].Leaving = true
-	s.targets[1].EngineUp = false
-	s.targets[2].Reachable = false
-	s.targets[3].Ejected = true
+	pool := newPool(6, 3)
+	pool.targets[0].Leaving = true
+	pool.targets[1].EngineUp = false
+	pool.targets[2].Reachable = false
+	pool.targets[3].Ejected = true
 	for seed := range uint64(200) {
-		_, got := pick(s, route.Request{DataCentre: "near", Seed: seed, Avoid: map[string]bool{"t4": true}})
-		g.Expect(got).To(Equal("t5"))
+		_, picked := pick(pool, route.Request{DataCentre: "near", Seed: seed, Avoid: map[string]bool{"t4": true}})
+		g.Expect(picked).To(Equal("t5"))
 	}
-	s.targets[5].Leaving = true
-	d, got := pick(s, route.Request{Avoid: map[string]bool{"t4": true}})
-	g.Expect(got).To(BeEmpty())
+	pool.targets[5].Leaving = true
+	d, picked := pick(pool, route.Request{Avoid: map[string]bool{"t4": true}})
+	g.Expect(picked).To(BeEmpty())
 	g.Expect(d.Best()).To(BeNil())
 }
 
-func TestPickSpillsWhenItPays(t *testing.T) {
+func TestPickSelectsRemoteTargetsWhenLocalOnesAreFull(t *testing.T) {
 	g := NewWithT(t)
-	s := newSet(4, 2)
+	pool := newPool(4, 2)
 	for seed := range uint64(100) {
-		_, got := pick(s, route.Request{DataCentre: "near", Seed: seed})
-		g.Expect(got).To(BeElementOf("t0", "t1"), "equal load: the entry's data centre")
+		_, picked := pick(pool, route.Request{DataCentre: "near", Seed: seed})
+		g.Expect(picked).To(BeElementOf("t0", "t1"), "with equal load a target in the entry's data centre")
 	}
 	for i := range 2 {
-		s.targets[i].Others = route.Work{Requests: 40, Prompt: 20000, Decode: 4000}
+		pool.targets[i].Others = route.Work{Requests: 40, Prompt: 20000, Decode: 4000}
 	}
 	for seed := range uint64(100) {
-		_, got := pick(s, route.Request{DataCentre: "near", Seed: seed})
-		g.Expect(got).To(BeElementOf("t2", "t3"), "full nearby: elsewhere")
+		_, picked := pick(pool, route.Request{DataCentre: "near", Seed: seed})
+		g.Expect(picked).To(BeElementOf("t2", "t3"), "a target elsewhere if the local ones are full")
 	}
 }
 
-// A prompt's holder is chosen although it is not sampled, and left when its queue
-// costs more than computing the prompt again: sticky only while it pays.
-func TestPickFollowsThePrefixWhileItPays(t *testing.T) {
+// The target that has cached the prompt is chosen although it is not sampled, but not when
+// the wait in its queue is longer than the prefill of the prompt elsewhere.
+func TestPickPrefersCachedPrefixUnlessQueueIsLonger(t *testing.T) {
 	g := NewWithT(t)
-	s := newSet(60, 60)
-	s.index = route.NewCacheIndex(1024)
+	pool := newPool(60, 60)
+	pool.index = route.NewCacheIndex(1024)
 	prompt := make([]byte, 40*route.BlockTokens*4)
 	blocks := route.BlockHashes("team", prompt, nil)
 	for _, b := range blocks {
-		s.index.Add(17, b)
+		pool.index.Add(17, b)
 	}
 	req := route.Request{DataCentre: "near", Cost: route.Cost{Prompt: 2560}, Blocks: blocks}
 	for seed := range uint64(50) {
 		req.Seed = seed
-		_, got := pick(s, req)
-		g.Expect(got).To(Equal("t17"))
+		_, picked := pick(pool, req)
+		g.Expect(picked).To(Equal("t17"))
 	}
-	s.targets[17].Own = route.Work{Requests: 31, Prompt: 12000, Decode: 3000}
-	_, got := pick(s, req)
-	g.Expect(got).NotTo(Equal("t17"))
+	pool.targets[17].Own = route.Work{Requests: 31, Prompt: 12000, Decode: 3000}
+	_, picked := pick(pool, req)
+	g.Expect(picked).NotTo(Equal("t17"))
 }
 
-// A report that is a second old says that one target is a little emptier than
-// the mean. Eight entries read it; if each believed it, the target would get all
-// their work. A target that was wholly idle among full ones is believed.
-func TestOldReportsAreBelievedInPart(t *testing.T) {
+// By a report that is one second old a target has slightly less load than the mean. If each
+// of eight entries acted on it in full, the target would get all their requests. The report
+// of an idle target among full ones keeps its weight.
+func TestStaleReportsAreDiscounted(t *testing.T) {
 	g := NewWithT(t)
 	var m route.LoadMeans
 	for range 200 {
@@ -128,31 +128,31 @@
 	g.Expect(idle.Requests).To(BeNumerically("<", 80))
 }
 
-func TestTrailEndsAtTheBestTold(t *testing.T) {
+func TestRejectedRequestEndsAtTargetWithShortestWait(t *testing.T) {
 	g := NewWithT(t)
-	var trail route.RejectionHistory
-	patient := route.DefaultWaitSlack
-	g.Expect(trail.MaxWait(patient)).To(Equal(patient))
-	trail.Add("a", 3*patient)
-	trail.Add("b", 2*patient)
-	g.Expect(trail.MaxWait(patient)).To(Equal(2 * patient))
-	_, settled := trail.FinalTarget()
-	g.Expect(settled).To(BeFalse())
-	trail.Add("c", 4*patient)
-	target, settled := trail.FinalTarget()
-	g.Expect(settled).To(BeTrue())
+	var history route.RejectionHistory
+	slack := route.DefaultWaitSlack
+	g.Expect(history.MaxWait(slack)).To(Equal(slack))
+	history.Add("a", 3*slack)
+	history.Add("b", 2*slack)
+	g.Expect(history.MaxWait(slack)).To(Equal(2 * slack))
+	_, isFinal := history.FinalTarget()
+	g.Expect(isFinal).To(BeFalse())
+	history.Add("c", 4*slack)
+	target, isFinal := history.FinalTarget()
+	g.Expect(isFinal).To(BeTrue())
 	g.Expect(target).To(Equal("b"))
 }
 
-// Targets choose their entries, so each is used by the same number of them, and an
-// entry that leaves changes only the targets that it had.
-func TestSubsetsCoverEvenlyAndStayStable(t *testing.T) {
+// Each target is used by the same number of entries, and an entry that leaves changes only
+// the subsets that it was in.
+func TestSubsetsAreEvenAndStable(t *testing.T) {
 	g := NewWithT(t)
 	var entries []route.Node
 	for i := range 110 {
 		entries = append(entries, route.Node{Name: fmt.Sprintf("e%d", i), DataCentre: fmt.Sprintf("dc%d", i%5)})
 	}
-	serves := func(list []route.Node, target int) map[string]bool {
+	usedBy := func(list []route.Node, target int) map[string]bool {
 		used := make(map[string]bool)
 		for _, e := range list {
 			if route.UsesTarget(e, list, fmt.Sprintf("t%d", target), fmt.Sprintf("dc%d", target%5), 300) {
@@ -162,9 +162,9 @@
 		return used
 	}
 	for target := range 300 {
-		before := serves(entries, target)
+		before := usedBy(entries, target)
 		g.Expect(before).To(HaveLen(route.EntriesNear + route.EntriesFar))
-		after := serves(entries[1:], target)
+		after := usedBy(entries[1:], target)
 		for name := range before {
 			g.Expect(name == "e0" || after[name]).To(BeTrue())
 		}
@@ -174,11 +174,11 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 157, 1100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := newSet(n, n/3)
-			s.index = route.NewCacheIndex(1 << 15)
+			pool := newPool(n, n/3)
+			pool.index = route.NewCacheIndex(1 << 15)
 			blocks := route.BlockHashes("team", make([]byte, route.MaxBlocks*route.BlockTokens*4), nil)
 			for _, block := range blocks {
-				s.index.Add(3, block)
+				pool.index.Add(3, block)
 			}
 			p := route.DefaultPlacer()
 			r := route.Request{DataCentre: "near", Cost: route.Cost{Prompt: 600, Decode: 100}, Blocks: blocks}
@@ -186,7 +186,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Seed++
-				p.Pick(&r, s, d)
+				p.Pick(&r, pool, d)
 			}
 		})
 	}
@@ -194,11 +194,11 @@
 
 func TestPickAllocatesNothing(t *testing.T) {
 	g := NewWithT(t)
-	s := newSet(157, 50)
+	pool := newPool(157, 50)
 	p, d := route.DefaultPlacer(), new(route.Decision)
 	r := route.Request{DataCentre: "near"}
 	g.Expect(testing.AllocsPerRun(100, func() {
 		r.Seed++
-		p.Pick(&r, s, d)
+		p.Pick(&r, pool, d)
 	})).To(BeZero())
 }
--- a/route/quarantine.go
+++ b/route/quarantine.go
@@ -5,78 +5,79 @@
 	"time"
 )
 
-// QuarantineAction is what the quarantine says about a request.
+// QuarantineAction is the decision of a Quarantine about a request.
 type QuarantineAction uint8
 
-// Verdicts.
+// Decisions about a request.
 const (
 	QuarantineAllow    QuarantineAction = iota
-	QuarantineRunAlone                  // suspected: runs alone or not at all
-	QuarantineReject                    // crashed a target alone
+	QuarantineRunAlone                  // suspected: may only run alone on a target
+	QuarantineReject                    // crashed a target while it ran alone
 )
 
-// Quarantine remembers requests that ran on targets which crashed. It is not
-// safe for concurrent use.
+// Quarantine records the requests that ran on targets which crashed. It is not safe for
+// concurrent use.
 //
-// Failure: one request crashes each target that runs it and its caller sends it
-// again. Symptom: targets of a service die one after the other. All that ran on
-// a crashed target are suspects; each runs once more, alone, so a second crash
-// has one culprit and whoever ended well is cleared.
+// It guards against a request that crashes every target that runs it, while its caller
+// sends it again: the targets of a service would crash one after the other. All requests
+// that ran on a crashed target become suspects. Each suspect may run again, but only alone
+// on its target, so a second crash identifies the request that causes it. A suspect that
+// completes is cleared.
 type Quarantine struct {
 	suspects map[uint64]*suspect
-	crashes  []crashSeen
+	crashes  []crashRecord
 }
 
+// suspect is the state of one request by its fingerprint.
 type suspect struct {
-	refused bool
-	until   time.Time
+	rejected  bool
+	expiresAt time.Time
 }
 
-type crashSeen struct {
-	id       uint64
+type crashRecord struct {
+	id       uint64 // of the crash report
 	at       time.Time
-	suspects []uint64
+	suspects []uint64 // fingerprints
 }
 
-// Bounds of the quarantine.
 const (
-	suspectFor   = time.Minute
-	refuseFor    = 5 * time.Minute
-	wideWindow   = 30 * time.Second
-	crashMemory  = 10 * time.Minute // longer than agents repeat a report
-	wideCrashes  = 3                // that a suspect had no part in
-	suspectLimit = 4096
+	suspectTTL          = time.Minute
+	rejectTTL           = 5 * time.Minute
+	unrelatedWindow     = 30 * time.Second
+	crashTTL            = 10 * time.Minute // longer than agents repeat a crash report
+	minUnrelatedCrashes = 3                // crashes that the suspect was not running at
+	maxSuspects         = 4096
 )
 
-// NewQuarantine returns a quarantine that suspects nobody.
+// NewQuarantine returns a quarantine without suspects.
 func NewQuarantine() *Quarantine { return &Quarantine{suspects: make(map[uint64]*suspect)} }
 
-// RecordCrash books the crash of a target at an instant. alone: the only suspect was
-// running alone on purpose, so another crash came before. Doubled reports of one
-// crash count once. It returns how many requests are refused from now on.
+// RecordCrash records the crash of a target at a time. alone reports whether the only
+// suspect ran alone because of an earlier crash. Repeated reports of one crash count once.
+// RecordCrash returns how many requests are rejected from now on.
 func (q *Quarantine) RecordCrash(id uint64, alone bool, suspects []uint64, at, now time.Time) int {
 	q.expire(now)
-	if slices.ContainsFunc(q.crashes, func(c crashSeen) bool { return c.id == id }) {
+	if slices.ContainsFunc(q.crashes, func(c crashRecord) bool { return c.id == id }) {
 		return 0
 	}
-	q.crashes = append(q.crashes, crashSeen{id: id, at: at, suspects: suspects})
-	refused := 0
-	for _, f := range suspects {
-		s := q.suspects[f]
-		if s == nil && len(q.suspects) < suspectLimit {
+	q.crashes = append(q.crashes, crashRecord{id: id, at: at, suspects: suspects})
+	rejected := 0
+	for _, fingerprint := range suspects {
+		s := q.suspects[fingerprint]
+		if s == nil && len(q.suspects) < maxSuspects {
 			s = new(suspect)
-			q.suspects[f] = s
+			q.suspects[fingerprint] = s
 		}
 		switch {
-		case s == nil || s.refused:
-		case alone && !q.wide(f, at):
-			s.refused, s.until = true, at.Add(refuseFor)
-			refused++
+		case s == nil || s.rejected:
+		case alone && !q.hasUnrelatedCrashes(fingerprint, at):
+			s.rejected, s.expiresAt = true, at.Add(rejectTTL)
+			rejected++
 		default:
-			s.until = later(s.until, at.Add(suspectFor))
+			s.expiresAt = later(s.expiresAt, at.Add(suspectTTL))
 		}
 	}
-	return refused
+	return rejected
 }
 
 func later(a, b time.Time) time.Time {
@@ -86,42 +87,44 @@
 	return b
 }
 
-// wide tells whether targets crash all over the fleet without the suspect. Then
-// its second crash proves nothing, and refusing would add to the damage.
-func (q *Quarantine) wide(f uint64, at time.Time) bool {
-	others := 0
+// hasUnrelatedCrashes reports whether other targets crashed around the same time without
+// the suspect. Then its second crash proves nothing, and rejecting the request would only
+// add to the outage.
+func (q *Quarantine) hasUnrelatedCrashes(fingerprint uint64, at time.Time) bool {
+	unrelated := 0
 	for _, c := range q.crashes {
-		if at.Sub(c.at).Abs() <= wideWindow && !slices.Contains(c.suspects, f) {
-			others++
+		if at.Sub(c.at).Abs() <= unrelatedWindow && !slices.Contains(c.suspects, fingerprint) {
+			unrelated++
 		}
 	}
-	return others >= wideCrashes
+	return unrelated >= minUnrelatedCrashes
 }
 
+// expire removes old crashes and suspects.
 func (q *Quarantine) expire(now time.Time) {
-	q.crashes = slices.DeleteFunc(q.crashes, func(c crashSeen) bool { return now.Sub(c.at) > crashMemory })
-	for f, s := range q.suspects {
-		if now.After(s.until) {
-			delete(q.suspects, f)
+	q.crashes = slices.DeleteFunc(q.crashes, func(c crashRecord) bool { return now.Sub(c.at) > crashTTL })
+	for fingerprint, s := range q.suspects {
+		if now.After(s.expiresAt) {
+			delete(q.suspects, fingerprint)
 		}
 	}
 }
 
-// Check returns the verdict on a request, and until when it stands.
-func (q *Quarantine) Check(f uint64, now time.Time) (QuarantineAction, time.Time) {
-	s := q.suspects[f]
+// Check returns the action for a request and the time until which it holds.
+func (q *Quarantine) Check(fingerprint uint64, now time.Time) (QuarantineAction, time.Time) {
+	s := q.suspects[fingerprint]
 	switch {
-	case s == nil || now.After(s.until):
+	case s == nil || now.After(s.expiresAt):
 		return QuarantineAllow, time.Time{}
-	case s.refused:
-		return QuarantineReject, s.until
+	case s.rejected:
+		return QuarantineReject, s.expiresAt
 	}
-	return QuarantineRunAlone, s.until
+	return QuarantineRunAlone, s.expiresAt
 }
 
-// Clear takes the suspicion from a request that ended well.
-func (q *Quarantine) Clear(f uint64) {
-	if s := q.suspects[f]; s != nil && !s.refused {
-		delete(q.suspects, f)
+// Clear removes a request that completed from the suspects, unless it is rejected.
+func (q *Quarantine) Clear(fingerprint uint64) {
+	if s := q.suspects[fingerprint]; s != nil && !s.rejected {
+		delete(q.suspects, fingerprint)
 	}
 }
--- a/route/random.go
+++ b/route/random.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// random is a small generator on the stack (splitmix64): a decision takes its
-// seed as an argument and allocates nothing.
+// random is a splitmix64 generator. It lives on the stack, so a placement decision with a
+// seed as its argument allocates nothing.
 type random uint64
 
 func (r *random) next() uint64 {
@@ -19,7 +19,8 @@
 	return int(hi)
 }
 
-// coprime returns a stride that visits all n places once.
+// coprime returns a stride that is coprime to n, so that steps of it visit each of n
+// positions once.
 func (r *random) coprime(n int) int {
 	if n <= 2 {
 		return 1
--- a/route/retry.go
+++ b/route/retry.go
@@ -7,74 +7,74 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// RetryBudget allows retries as a share of requests, so that a service that
-// fails as a whole gets little more load than its callers send. The zero value
-// is the budget of a service without traffic so far.
+// RetryBudget limits retries to a share of requests, so that a service that fails as a
+// whole gets little more load than its callers send. The zero value is the budget of a
+// service without traffic so far.
 type RetryBudget struct {
-	tokens float64 // may go down to -retryOverdraft
+	tokens float64 // at least -maxOverdraft
 }
 
 const (
-	// retryBurst bounds the retries saved up in quiet times: enough for what was in
-	// flight on one target that dies, too few to be felt in a full outage.
-	retryBurst = 20
-	// retryOverdraft lets the first failures of a service with little traffic be
-	// retried; later requests pay it back.
-	retryOverdraft = 3
+	// maxSavedRetries bounds the retries that accumulate without failures: enough for the
+	// requests in flight at one target that crashes, too few to add noticeable load in a
+	// full outage.
+	maxSavedRetries = 20
+	// maxOverdraft allows the first failures of a service with little traffic to be
+	// retried. Later requests repay it.
+	maxOverdraft = 3
 )
 
-// RecordRequest books one request of a caller.
+// RecordRequest adds the share of a retry that one request earns.
 func (b *RetryBudget) RecordRequest(share float64) {
-	b.tokens = min(b.tokens+share, retryBurst)
+	b.tokens = min(b.tokens+share, maxSavedRetries)
 }
 
-// TakeRetry books one retry; false if the budget is spent.
+// TakeRetry takes one retry from the budget. It returns false if the budget is spent.
 func (b *RetryBudget) TakeRetry() bool {
-	if b.tokens-1 < -retryOverdraft {
+	if b.tokens-1 < -maxOverdraft {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Backoff bounds of retries.
 const (
 	backoffBase = 10 * time.Millisecond
-	backoffMax  = time.Second
+	maxBackoff  = time.Second
 )
 
-// Backoff returns how long to wait before retry n (from zero): anything up to a
-// bound that doubles, so that entries which failed together don't return
-// together.
+// Backoff returns the backoff before retry n, counted from zero: a random time up to a
+// bound that doubles with n. Full jitter keeps entries whose requests failed together
+// from retrying together.
 func Backoff(n int, rng *rand.Rand) time.Duration {
-	bound := min(backoffBase<<min(n, 16), backoffMax)
+	bound := min(backoffBase<<min(n, 16), maxBackoff)
 	return time.Duration(rng.Int64N(int64(bound)))
 }
 
-// RetryRule says what a failed try allows.
+// RetryRule is the rule for a retry after a failed attempt.
 type RetryRule uint8
 
-// Rules for a failed try.
+// Rules for a retry after a failed attempt.
 const (
 	RetryNever    RetryRule = iota
-	RetryBudgeted           // a retry costs budget and waits
-	RetryFree               // the try cost its target nothing; go elsewhere at once
+	RetryBudgeted           // retry after a backoff, if the retry budget allows it
+	RetryFree               // the attempt cost its target nothing; retry elsewhere at once
 )
 
-// RetryRuleFor decides about a failed try. A request that may not be repeated is
-// sent again only with proof that the try did not run, or, to the same home,
-// after a lost connection: the home knows the key, so the repeat joins the first
-// run and can't become a second one.
+// RetryRuleFor returns the rule for a failed attempt with a result code. A non-repeatable
+// request is retried only if it is certain that the attempt did not run, or at the same
+// home after a lost connection: the home has the key in its deduplication table, so the
+// retry joins the first run and can't become a second one.
 func RetryRuleFor(code result.Code, repeatable bool) RetryRule {
 	switch code {
 	case result.TargetLeaving:
-		if repeatable { // a home that leaves has no substitute yet
+		if repeatable { // there is no other home yet for a home that leaves
 			return RetryFree
 		}
 	case result.StaleAgent, result.TargetIsolated, result.WaitTooLong:
 		return RetryFree
 	case result.NoTarget, result.Unreachable, result.TargetBusy:
-		if repeatable { // a home that is away has no substitute either
+		if repeatable { // there is no other home for an unavailable home either
 			return RetryBudgeted
 		}
 	case result.StaleVersion:
@@ -89,8 +89,8 @@
 	return RetryNever
 }
 
-// IsTargetFault tells whether a result speaks against the health of the target
-// that gave it. Slowness does not: a slow target is not dead.
+// IsTargetFault reports whether a result code counts as a failure of the target for outlier
+// detection. Timeouts do not count: a slow target is not a failed one.
 func IsTargetFault(code result.Code) bool {
 	switch code {
 	case result.EngineLost, result.TargetLost, result.WireClosed, result.Unreachable, result.AnswerBroken,
--- a/route/speed.go
+++ b/route/speed.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// SpeedEstimator learns how fast an engine is from what its agent sees.
+// SpeedEstimator estimates the speed of an engine from the progress that its agent observes.
 type SpeedEstimator struct {
-	first    line    // time to the first token by the prompt tokens up to it
-	decode   float64 // tokens a second and busy slot
-	answer   float64 // tokens of an answer, mean
-	window   time.Duration
-	tokens   float64 // generated in the current window
-	slotTime float64 // slots x seconds of the current window
-	last     time.Duration
+	firstToken       lineFit // seconds to the first token by prompt tokens up to it
+	tokensPerSlotSec float64 // decode speed for each busy slot
+	meanAnswerTokens float64
+	window           time.Duration // length of the current window so far
+	windowTokens     float64       // generated in the current window
+	slotSeconds      float64       // busy slots times seconds in the current window
+	lastAt           time.Duration // of the latest RecordRunning
 }
 
-// line is a base and a slope through observations, older ones counting less. The
-// quotient of time and tokens would not do: each first token takes a step at
-// least, so an engine with much work before it would look faster than an idle one
-// and draw still more work. Nor would a fit of both at once: where all
-// observations are alike it can give any base, and a target that looks slow by
-// chance gets no work by which it could show that it is not.
-type line struct {
-	base   float64 // close to the shortest time seen
+// lineFit fits a base and a slope to observations with exponentially decaying weights.
+//
+// The quotient of time and tokens does not work as an estimate: each first token takes at
+// least one step, so an engine with many prompts queued would look faster than an idle one
+// and attract even more requests. A joint fit of base and slope does not work either: if
+// all observations are similar it can return any base, and a target that looks slow by
+// chance would get no requests that could correct the estimate.
+type lineFit struct {
+	base   float64 // close to the shortest time observed
 	xx, xy float64
 }
 
-func (l *line) learn(x, y float64) {
+func (l *lineFit) add(x, y float64) {
 	switch {
 	case l.base == 0 || y < l.base:
 		l.base = y
 	default:
-		l.base += baseStep * (y - l.base)
+		l.base += baseRise * (y - l.base)
 	}
-	l.xx = l.xx*lineMemory + x*x
-	l.xy = l.xy*lineMemory + x*max(0, y-l.base)
+	l.xx = l.xx*lineDecay + x*x
+	l.xy = l.xy*lineDecay + x*max(0, y-l.base)
 }
 
-// fit returns the base and the slope; 0, 0: unknown.
-func (l *line) fit() (float64, float64) {
+// fit returns the base and the slope, both 0 if unknown.
+func (l *lineFit) fit() (float64, float64) {
 	if l.xx == 0 || l.xy == 0 {
 		return 0, 0
 	}
@@ -44,75 +45,76 @@
 }
 
 const (
-	lineMemory = 0.98  // so about 50 requests count
-	baseStep   = 0.002 // how fast the base forgets a short time
+	lineDecay = 0.98  // averages over about 50 requests
+	baseRise  = 0.002 // part of the difference by which the base rises towards a longer time
 )
 
 const (
-	speedStep   = 0.1 // weight of a new observation
+	speedWeight = 0.1 // weight of a new observation
 	speedWindow = time.Second
 )
 
-func learn(old *float64, seen float64) {
-	if *old == 0 {
-		*old = seen
+// updateMean moves an exponential moving average towards an observation.
+func updateMean(mean *float64, observed float64) {
+	if *mean == 0 {
+		*mean = observed
 		return
 	}
-	*old += speedStep * (seen - *old)
+	*mean += speedWeight * (observed - *mean)
 }
 
-// RecordFirstToken takes the time from the start of a request in the engine to its
-// first token, and the prompt tokens, its own included, that were before it.
-func (s *SpeedEstimator) RecordFirstToken(ahead float64, took time.Duration) {
-	if took <= 0 || ahead <= 0 {
+// RecordFirstToken records the time from the start of a request in the engine to its first
+// token, and how many prompt tokens the engine had to compute before it, its own included.
+func (s *SpeedEstimator) RecordFirstToken(promptTokens float64, elapsed time.Duration) {
+	if elapsed <= 0 || promptTokens <= 0 {
 		return
 	}
-	seen := took.Seconds()
-	if base, slope := s.first.fit(); slope > 0 {
-		seen = min(seen, surprise*(base+slope*ahead))
+	observed := elapsed.Seconds()
+	if base, slope := s.firstToken.fit(); slope > 0 {
+		observed = min(observed, maxOutlierFactor*(base+slope*promptTokens))
 	}
-	s.first.learn(ahead, seen)
+	s.firstToken.add(promptTokens, observed)
 }
 
-// surprise bounds how much worse than expected one observation may be. An engine
-// that stalls for a minute and recovers would else look hundreds of times too slow
-// and get no work by which it could show that it is not; a slow engine is still
-// learnt within a few dozen requests.
-const surprise = 4
+// maxOutlierFactor bounds how much slower than the estimate one observation counts. Without
+// it an engine that stalls for a minute and recovers would look hundreds of times too slow
+// and get no requests that could correct the estimate. The estimate still follows an engine
+// that has become slow within a few dozen requests.
+const maxOutlierFactor = 4
 
-// RecordRunning takes the state until now: how many of the slots were busy and how many
-// tokens were generated since the last call. now grows from any origin.
-func (s *SpeedEstimator) RecordRunning(now time.Duration, busy int, tokens float64) {
-	d := now - s.last
-	s.last = now
-	s.window += d
-	s.tokens += tokens
-	s.slotTime += float64(busy) * d.Seconds()
+// RecordRunning records how many slots were busy and how many tokens were generated since
+// the last call. now is the time since an arbitrary origin.
+func (s *SpeedEstimator) RecordRunning(now time.Duration, busySlots int, tokens float64) {
+	elapsed := now - s.lastAt
+	s.lastAt = now
+	s.window += elapsed
+	s.windowTokens += tokens
+	s.slotSeconds += float64(busySlots) * elapsed.Seconds()
 	if s.window < speedWindow {
 		return
 	}
-	// A window without any token is a stall, not a speed.
-	if s.slotTime > 0 && s.tokens > 0 {
-		learn(&s.decode, max(s.tokens/s.slotTime, s.decode/surprise))
+	// A window without any token is a stall and says nothing about the speed.
+	if s.slotSeconds > 0 && s.windowTokens > 0 {
+		updateMean(&s.tokensPerSlotSec, max(s.windowTokens/s.slotSeconds, s.tokensPerSlotSec/maxOutlierFactor))
 	}
-	s.window, s.tokens, s.slotTime = 0, 0, 0
+	s.window, s.windowTokens, s.slotSeconds = 0, 0, 0
 }
 
-// RecordAnswer takes the length of a finished answer in tokens.
-func (s *SpeedEstimator) RecordAnswer(tokens float64) { learn(&s.answer, tokens) }
+// RecordAnswer records the length of a complete answer in tokens.
+func (s *SpeedEstimator) RecordAnswer(tokens float64) { updateMean(&s.meanAnswerTokens, tokens) }
 
-// Prefill returns the seconds to a first token that do not depend on prompts, and
-// the prompt tokens a second; zero: unknown.
+// Prefill returns the part of the time to a first token that does not depend on prompts, in
+// seconds, and the prefill speed in prompt tokens a second. Both are 0 if unknown.
 func (s *SpeedEstimator) Prefill() (base, perSec float64) {
-	base, slope := s.first.fit()
+	base, slope := s.firstToken.fit()
 	if slope <= 0 {
 		return 0, 0
 	}
 	return base, 1 / slope
 }
 
-// TokensPerSec returns the decode speed with all slots busy; 0: unknown.
-func (s *SpeedEstimator) TokensPerSec(slots int) float64 { return s.decode * float64(slots) }
+// TokensPerSec returns the decode speed with the given number of busy slots; 0: unknown.
+func (s *SpeedEstimator) TokensPerSec(slots int) float64 { return s.tokensPerSlotSec * float64(slots) }
 
-// AnswerTokens returns the mean length of answers; 0: unknown.
-func (s *SpeedEstimator) AnswerTokens() float64 { return s.answer }
+// AnswerTokens returns the mean length of answers in tokens; 0: unknown.
+func (s *SpeedEstimator) AnswerTokens() float64 { return s.meanAnswerTokens }
--- a/route/subset.go
+++ b/route/subset.go
@@ -7,41 +7,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is an entry, as subsets see it.
+// Node is an entry that subsets are chosen from.
 type Node struct {
 	Name       string
 	DataCentre string
 }
 
-// Up to MaxFullMeshTargets targets, every entry uses all of them. Larger fleets are
-// divided: each target is used by EntriesNear entries of its own data centre and
-// by EntriesFar others.
+// In a fleet of up to MaxFullMeshTargets targets every entry uses all targets. In a larger
+// fleet each target is used by EntriesNear entries of its own data centre and by EntriesFar
+// entries elsewhere.
 const (
 	MaxFullMeshTargets = 48
 	EntriesNear        = 12
 	EntriesFar         = 4
 )
 
-// UsesTarget tells whether an entry uses a target of a fleet of the given size. The
-// target chooses its entries by the highest hashes, so every target is used by
-// the same number of them, and an entry that comes or goes changes only the
+// UsesTarget reports whether the entry self uses a target of a fleet of the given size. Each
+// target selects its entries by rendezvous hashing, so every target is used by the same
+// number of entries, and an entry that joins or leaves changes the subsets of only the
 // targets that it gains or loses.
 func UsesTarget(self Node, entries []Node, target, dataCentre string, fleet int) bool {
 	if fleet <= MaxFullMeshTargets {
 		return true
 	}
-	want := EntriesFar
+	limit := EntriesFar
 	if self.DataCentre == dataCentre {
-		want = EntriesNear
+		limit = EntriesNear
 	}
-	own := weigh(self.Name, target)
-	above := 0
+	selfWeight := rendezvousHash(self.Name, target)
+	higher := 0
 	for _, e := range entries {
 		if (e.DataCentre == dataCentre) != (self.DataCentre == dataCentre) || e.Name == self.Name {
 			continue
 		}
-		if w := weigh(e.Name, target); w > own || (w == own && e.Name < self.Name) {
-			if above++; above >= want {
+		if w := rendezvousHash(e.Name, target); w > selfWeight || (w == selfWeight && e.Name < self.Name) {
+			if higher++; higher >= limit {
 				return false
 			}
 		}
@@ -49,12 +49,12 @@
 	return true
 }
 
-// EntriesPerTeam is how many entries keep the limits of one team.
+// EntriesPerTeam is the number of entries that keep the limits of one team.
 const EntriesPerTeam = 3
 
-// TeamMembers returns the entries that keep a team's limits, at most n of them, the
-// best first: a subset, so that a team's state is on few nodes and its share is
-// exchanged between few. It is the same at every entry that knows the same list.
+// TeamMembers returns the entries that keep a team's limits, at most n, in order of their
+// rendezvous hash. Only a subset keeps them, so that few entries hold the state of a team
+// and exchange its demand. The result is the same at all entries with the same list.
 func TeamMembers(team string, entries []Node, n int) []Node {
 	type ranked struct {
 		node   Node
@@ -62,7 +62,7 @@
 	}
 	all := make([]ranked, len(entries))
 	for i, e := range entries {
-		all[i] = ranked{node: e, weight: weigh(e.Name, team)}
+		all[i] = ranked{node: e, weight: rendezvousHash(e.Name, team)}
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node.Name, b.node.Name))
@@ -74,12 +74,12 @@
 	return members
 }
 
-// weigh is the hash that rendezvous ranks by.
-func weigh(a, b string) uint64 {
+// rendezvousHash returns the weight of a node for a key in rendezvous hashing.
+func rendezvousHash(node, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(a) // a Digest never fails
+	_, _ = d.WriteString(node) // a Digest never fails
 	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(b)
+	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
--- a/route/wait.go
+++ b/route/wait.go
@@ -1,19 +1,20 @@
 package route
 
-// WaitScorer scores by the estimated time to the first token, in seconds.
+// WaitScorer scores a target by the estimated time to the first token in seconds, plus
+// penalties.
 type WaitScorer struct {
-	RemotePenaltySec float64 // added for a target in another data centre, seconds
-	// LoadPenaltySec prices a full engine, seconds: among targets without a queue the one
-	// with fewer requests generates faster.
+	RemotePenaltySec float64 // for a target in another data centre
+	// LoadPenaltySec is the penalty for a full engine. Among targets without a queue the
+	// target with fewer requests generates faster.
 	LoadPenaltySec float64
 }
 
-// Speeds of an engine that has not told its own. They matter only until the
-// first requests have been measured.
+// Assumed speeds of an engine that has not reported its own. They matter only until the
+// speeds have been measured with the first requests.
 const (
-	defaultSlots   = 64.0
-	defaultTokens  = 2000.0 // generated a second by a full engine
-	defaultPrefill = 8000.0 // prompt tokens a second
+	defaultSlots         = 64.0
+	defaultTokensPerSec  = 2000.0 // decode speed of a full engine
+	defaultPrefillPerSec = 8000.0 // prefill speed
 )
 
 // Score implements Scorer.
@@ -22,132 +23,135 @@
 	if t.DataCentre != r.DataCentre {
 		s += w.RemotePenaltySec
 	}
-	return s + w.LoadPenaltySec*fill(t)
+	return s + w.LoadPenaltySec*occupancy(t)
 }
 
-// EstimateWait returns the expected time to the first token of r on t in
-// seconds: the prompts before it and its own, and, if the engine is full, the
-// time until enough of the requests before it have ended.
+// EstimateWait estimates the time to the first token of r at t in seconds: the prefill time
+// of the prompts queued before r and of its own prompt and, if the engine is full, the time
+// until enough of the earlier requests have ended.
 func EstimateWait(r *Request, t *Target) float64 {
-	speed := orDefault(t.PrefillPerSec, defaultPrefill)
-	queue := (t.Others.Prompt+t.Own.Prompt)/speed + slotWait(t)
-	return ownWait(r, t) + queue/(1+queue/maxQueueWait)
+	speed := orDefault(t.PrefillPerSec, defaultPrefillPerSec)
+	queue := (t.Others.Prompt+t.Own.Prompt)/speed + slotWaitSeconds(t)
+	return ownWaitSeconds(r, t) + queue/(1+queue/maxQueueWaitSeconds)
 }
 
-// maxQueueWait bounds the part of an estimate that other work makes, seconds. The
-// longer a queue is the less its length says: it is ordered by shares, so most of
-// it may be a team's that does not concern this request. If the length counted in
-// full, the requests of all small teams would go to the targets where a large team
-// has least, and crowd each other there.
-const maxQueueWait = 0.2
+// maxQueueWaitSeconds bounds the part of an estimate that is due to other requests. The
+// longer a queue is, the less its length says about the wait: the queue is ordered by
+// shares, so most of it may belong to another team and not delay this request. If the
+// length counted in full, the requests of all small teams would go to the few targets where
+// a large team has the least work, and overload them.
+const maxQueueWaitSeconds = 0.2
 
-// ownWait returns the time to the first token of r on t without other work.
-func ownWait(r *Request, t *Target) float64 {
+// ownWaitSeconds returns the time to the first token of r at t if t had no other work.
+func ownWaitSeconds(r *Request, t *Target) float64 {
 	own := max(0, r.Cost.Prompt-t.CachedTokens)
-	return t.FirstTokenBaseSec + own/orDefault(t.PrefillPerSec, defaultPrefill)
+	return t.FirstTokenBaseSec + own/orDefault(t.PrefillPerSec, defaultPrefillPerSec)
 }
 
-// reportMemory is the age in seconds at which half of a report is believed, for
-// an entry that is alone.
-const reportMemory = 1.0
+// reportHalfLifeSeconds is the age at which a load report has half its weight, if there is
+// only one entry.
+const reportHalfLifeSeconds = 1.0
 
-// LoadMeans are one entry's means over all targets of a service.
+// LoadMeans are one entry's moving averages over all targets of a service.
 type LoadMeans struct {
 	Own, Others Work
 
-	stepWait, prefill, tokens float64 // speeds of the targets that have told theirs
+	firstTokenBaseSec, prefillPerSec, tokensPerSec float64 // over the targets that have reported speeds
 }
 
-// RecordSpeeds moves the mean speeds towards what a target told.
+// RecordSpeeds moves the mean speeds towards the speeds that a target has reported. n is the
+// number of targets.
 func (m *LoadMeans) RecordSpeeds(t *Target, n int) {
 	if t.PrefillPerSec <= 0 || t.TokensPerSec <= 0 {
 		return
 	}
-	if m.prefill == 0 {
-		m.stepWait, m.prefill, m.tokens = t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec
+	if m.prefillPerSec == 0 {
+		m.firstTokenBaseSec, m.prefillPerSec, m.tokensPerSec = t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec
 		return
 	}
 	step := 1 / float64(2*max(1, n))
-	m.stepWait += step * (t.FirstTokenBaseSec - m.stepWait)
-	m.prefill += step * (t.PrefillPerSec - m.prefill)
-	m.tokens += step * (t.TokensPerSec - m.tokens)
+	m.firstTokenBaseSec += step * (t.FirstTokenBaseSec - m.firstTokenBaseSec)
+	m.prefillPerSec += step * (t.PrefillPerSec - m.prefillPerSec)
+	m.tokensPerSec += step * (t.TokensPerSec - m.tokensPerSec)
 }
 
-// FillSpeeds gives a target that has not told its speeds those of the others: with
-// fixed ones it would look slower than all that have, or faster, and get no work
-// or all.
+// FillSpeeds sets the speeds of a target that has reported none to the mean speeds. With
+// fixed speeds such a target would look slower than all others and get no requests, or
+// faster and get all of them.
 func (m *LoadMeans) FillSpeeds(t *Target) {
 	if t.PrefillPerSec <= 0 || t.TokensPerSec <= 0 {
-		t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec = m.stepWait, m.prefill, m.tokens
+		t.FirstTokenBaseSec, t.PrefillPerSec, t.TokensPerSec = m.firstTokenBaseSec, m.prefillPerSec, m.tokensPerSec
 	}
 }
 
-// RecordLoad moves the means towards what a new report tells; n is the number of
-// targets that they are the means of.
+// RecordLoad moves the mean loads towards the loads of a new report. n is the number of
+// targets.
 func (m *LoadMeans) RecordLoad(own, others Work, n int) {
 	step := 1 / float64(2*max(1, n))
-	m.Own.towards(own, step)
-	m.Others.towards(others, step)
+	m.Own.moveToward(own, step)
+	m.Others.moveToward(others, step)
 }
 
-func (w *Work) towards(v Work, step float64) {
+// moveToward moves w towards v by a part of the difference.
+func (w *Work) moveToward(v Work, step float64) {
 	w.Requests += step * (v.Requests - w.Requests)
 	w.Prompt += step * (v.Prompt - w.Prompt)
 	w.Decode += step * (v.Decode - w.Decode)
 }
 
-// DiscountStale returns what to believe of others' work when a report is age seconds old.
+// DiscountStale returns the estimated work of other entries at a target, from a load report
+// that is age seconds old.
 //
-// A difference from the mean that the targets could have worked off since then is
-// hardly believed: every entry reads the same old report, and if each made up for
-// the whole of a difference they would together make up for it many times over,
-// and the load would swing from target to target. So the more of the load is
-// others', the less is believed. What goes beyond is believed whole: a target that
-// was empty while all others had long queues is still the better one.
+// A difference from the mean that the target could have worked off since the report gets a
+// low weight. All entries read the same old report. If each compensated for the whole
+// difference, they would together overcompensate many times, and the load would oscillate
+// between targets. So the weight is lower the more of the load belongs to other entries.
+// The part of a difference beyond that keeps its full weight: a target that was empty while
+// all others had long queues is still the better one.
 func (m *LoadMeans) DiscountStale(reported Work, age float64) Work {
 	entries := 1.0
 	if m.Own.Requests > 0 {
 		entries += m.Others.Requests / m.Own.Requests
 	}
-	belief := 1 / (1 + age*entries/reportMemory)
-	requests, decode := 0.0, age*orDefault(m.tokens, defaultTokens)
+	weight := 1 / (1 + age*entries/reportHalfLifeSeconds)
+	requests, decode := 0.0, age*orDefault(m.tokensPerSec, defaultTokensPerSec)
 	if m.Others.Decode > 0 {
 		requests = decode * m.Others.Requests / m.Others.Decode
 	}
 	return Work{
-		Requests: believe(reported.Requests, m.Others.Requests, requests, belief),
-		Prompt:   believe(reported.Prompt, m.Others.Prompt, age*orDefault(m.prefill, defaultPrefill), belief),
-		Decode:   believe(reported.Decode, m.Others.Decode, decode, belief),
+		Requests: shrinkToMean(reported.Requests, m.Others.Requests, requests, weight),
+		Prompt:   shrinkToMean(reported.Prompt, m.Others.Prompt, age*orDefault(m.prefillPerSec, defaultPrefillPerSec), weight),
+		Decode:   shrinkToMean(reported.Decode, m.Others.Decode, decode, weight),
 	}
 }
 
-// believe returns the mean, a part of the difference up to change, and all of the
-// difference beyond.
-func believe(reported, mean, change, belief float64) float64 {
+// shrinkToMean moves a reported value towards the mean. The part of the difference up to
+// maxChange is multiplied by weight, the rest counts in full.
+func shrinkToMean(reported, mean, maxChange, weight float64) float64 {
 	d := reported - mean
-	within := max(-change, min(change, d))
-	return mean + belief*within + (d - within)
+	within := max(-maxChange, min(maxChange, d))
+	return mean + weight*within + (d - within)
 }
 
-// slotWait returns the time until a slot is free for one more request. All
-// requests of the target share its speed, so the time for k of them to end is
-// the time to generate k times their mean rest.
-func slotWait(t *Target) float64 {
-	held := t.Others.Requests + t.Own.Requests
-	over := held + 1 - slots(t)
-	if over <= 0 {
+// slotWaitSeconds estimates the time until a slot is free for one more request. All
+// requests of the target share its decode speed, so k of them end in the time that it takes
+// to generate k times their mean remaining tokens.
+func slotWaitSeconds(t *Target) float64 {
+	requests := t.Others.Requests + t.Own.Requests
+	excess := requests + 1 - slotCount(t)
+	if excess <= 0 {
 		return 0
 	}
-	rest := (t.Others.Decode + t.Own.Decode) / held
-	return over * rest / orDefault(t.TokensPerSec, defaultTokens)
+	meanDecode := (t.Others.Decode + t.Own.Decode) / requests
+	return excess * meanDecode / orDefault(t.TokensPerSec, defaultTokensPerSec)
 }
 
-// fill returns how full the engine is, at most 1.
-func fill(t *Target) float64 {
-	return min(1, (t.Others.Requests+t.Own.Requests)/slots(t))
+// occupancy returns the occupied part of the engine's slots, at most 1.
+func occupancy(t *Target) float64 {
+	return min(1, (t.Others.Requests+t.Own.Requests)/slotCount(t))
 }
 
-func slots(t *Target) float64 {
+func slotCount(t *Target) float64 {
 	if t.Slots <= 0 {
 		return defaultSlots
 	}
