--- a/lockstep/agent.go
+++ b/lockstep/agent.go
@@ -1,7 +1,9 @@
-// Package lockstep is the agent beside each model engine whose ranks advance
-// together. The agent of rank 0 leads: it learns from all agents which experts
-// are in demand, plans maps that even out the ranks, and has them switched to.
-// Every agent sees to it that the group is not left standing.
+// Package lockstep is the agent that runs beside each model engine of an expert-parallel
+// group. The ranks of such a group run every forward pass together.
+//
+// The agent of rank 0 leads the group: it collects expert selection counts from all agents,
+// plans expert maps that balance the ranks, and switches the group to them. Every agent
+// watches for a stalled group and recovers it.
 package lockstep
 
 import (
@@ -19,53 +21,53 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Engine takes orders and reports on itself.
+// Engine is the client of one model engine.
 type Engine interface {
-	// State returns the engine's state as a rank.
+	// State returns the state of the engine's rank.
 	State(ctx context.Context) (peers.RankState, error)
-	// ExpertCounts returns how often each expert was chosen.
+	// ExpertCounts returns how often each expert was selected.
 	ExpertCounts(ctx context.Context) (ExpertCounts, error)
-	// RankExperts returns the experts of this rank in the map in use, set by set, and the
-	// map's version.
+	// RankExperts returns the experts of this rank in the map in use, by set, and the map's
+	// version.
 	RankExperts(ctx context.Context) ([][]uint16, uint64, error)
-	// Order gives an order. An error leaves open whether it takes effect, now or
+	// Order sends an order. After an error the order may still take effect, at once or
 	// seconds later.
 	Order(ctx context.Context, o *peers.RankOrder) (peers.OrderResult, error)
 }
 
-// EngineRun names one run of an engine in one epoch of its group. Epochs begin anew when
-// all engines of a group do, and an engine may start again under its old name: what was
-// counted, given and fenced before concerns no later run.
+// EngineRun identifies one run of an engine in one epoch of its group. The epoch alone is not
+// enough: it starts over when all engines of a group restart, and an engine may restart under
+// the same ID. Counts, maps and fences of an earlier run are void in a later one.
 type EngineRun struct {
-	StartedAtMS int64 // Unix milliseconds of the engine's start; 0: not told
+	StartedAtMS int64 // engine start, Unix milliseconds; 0: unknown
 	Epoch       uint64
 }
 
-// ExpertCounts are how often an engine's requests have chosen each expert.
+// ExpertCounts are the expert selection counts of one engine.
 type ExpertCounts struct {
 	Run    EngineRun
-	Counts []uint64 // since the engine started, set by set
+	Counts []uint64 // selections since the engine started, by set and expert
 }
 
-// PeerClient asks another agent; *peers.Client is one.
+// PeerClient is the client of another agent. *peers.Client implements it.
 type PeerClient interface {
-	// Ask sends a question and decodes the answer, both within limit.
+	// Ask sends a request and decodes the response, both within limit.
 	Ask(ctx context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error
-	// Close ends the connection.
+	// Close closes the connection.
 	Close()
 }
 
-// DialPeer is the usual Dial.
+// DialPeer is the Options.Dial of a production agent.
 func DialPeer(address string) PeerClient { return peers.NewClient(address) }
 
-// Options are what an agent is started with.
+// Options configure an agent.
 type Options struct {
-	VM         string // of the VM
-	Engine     Engine
-	EngineAddr string // of the engine
-	Service    string // that the engine serves
+	VM         string // name of the agent's VM
+	Engine     Engine // engine on the agent's VM
+	EngineAddr string // address of that engine
+	Service    string // service that the engine belongs to
 	PeerAddr   string // address that other agents and entries connect to
-	PeerPort   string // on which every agent listens
+	PeerPort   string // port that every agent listens on
 	Store      serving.Store
 	// NewRemoteEngine returns a client of an engine on another VM.
 	NewRemoteEngine func(address string) Engine
@@ -85,25 +87,25 @@
 	tasks  conc.WaitGroup
 	server *peers.Server
 
-	mu     sync.Mutex
-	last   ExpertCounts // at the latest question for them
-	born   int64        // of the engine, by its latest report
-	group  string       // of the engine, by its latest report
-	ranks  int          // of that group
-	leader string       // address of the agent that leads
-	loads  toldLoads
-	waits  waits
-	other  peers.ProxyArm
-
-	arming chan struct{} // holds one token, taken while an arm is given, so that a fence comes before or after it
-	fence  fence         // guarded by arming
-	maps   knownMaps
-	// remotes are clients of engines that this agent arms for a leader.
-	remotes  map[string]Engine
-	contacts contacts
+	mu                sync.Mutex
+	lastCounts        ExpertCounts // as of the previous read
+	engineStartedAtMS int64        // from the engine's latest report
+	groupName         string       // from the engine's latest report
+	groupRanks        int          // ranks of that group
+	leaderAddr        string       // peer address of the leader's agent
+	groupLoads        groupLoads
+	entryQueues       entryQueues
+	proxyArm          peers.ProxyArm
+
+	armToken   chan struct{} // semaphore held while an arm order or a fence is processed, so that the two never overlap
+	fence      fence         // guarded by armToken
+	mapHistory mapHistory
+	// remoteEngines are clients of leaders' engines, which this agent arms as proxy.
+	remoteEngines map[string]Engine
+	agentClients  agentClients
 }
 
-// Start starts an agent that answers peers on ln.
+// Start starts an agent that serves peers on ln.
 func Start(o Options, ln net.Listener) *Agent {
 	a := newAgent(o)
 	a.server = peers.Serve(ln, a.handlers(), func(remote string, err error) {
@@ -115,67 +117,69 @@
 }
 
 func newAgent(o Options) *Agent {
-	a := &Agent{opts: o, arming: make(chan struct{}, 1)}
+	a := &Agent{opts: o, armToken: make(chan struct{}, 1)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
 func (a *Agent) handlers() map[peers.Kind]peers.Handler {
 	return map[peers.Kind]peers.Handler{
-		peers.KindCollect: a.answerCollect,
-		peers.KindOrder:   a.answerOrder,
-		peers.KindLoads:   a.answerLoads,
+		peers.KindCollect: a.handleCollect,
+		peers.KindOrder:   a.handleOrder,
+		peers.KindLoads:   a.handleLoads,
 	}
 }
 
-// Shutdown stops. Nothing of the agent's runs on: a switch that it leads is
-// finished by itself after its restart, or by another agent.
+// Shutdown stops the agent and waits for its tasks. A map switch that this agent leads is
+// completed after its restart, or by another agent.
 func (a *Agent) Shutdown(context.Context) error {
 	a.opts.Log.Info("stopping")
 	a.cancel()
 	a.server.Close()
-	a.contacts.close()
+	a.agentClients.close()
 	a.tasks.Wait()
 	a.opts.Log.Info("stopped")
 	return nil
 }
 
-// Paces of the agent's duty.
+// Intervals of the agent's loop.
 const (
-	// roundEvery: demand moves within seconds; a round costs each agent a few
-	// tenths of a millisecond.
-	roundEvery = 60 * time.Millisecond
-	// watchEvery is how often an agent that does not lead looks at its own rank.
-	watchEvery = 500 * time.Millisecond
-	// holderEvery: the rank at which the group is held stalls it while the hold lasts.
-	holderEvery = 60 * time.Millisecond
-	// heldEvery is the same while the rank is held.
-	heldEvery = 20 * time.Millisecond
+	// roundInterval is the leader's interval. Demand changes within seconds, and a round takes
+	// each agent a few tenths of a millisecond.
+	roundInterval = 60 * time.Millisecond
+	// watchInterval is how often a follower checks its own rank.
+	watchInterval = 500 * time.Millisecond
+	// holderInterval is the same at the holder rank. It is shorter because a hold that is not
+	// released stalls the whole group.
+	holderInterval = 60 * time.Millisecond
+	// heldInterval is the same at the holder rank while it is held.
+	heldInterval = 20 * time.Millisecond
 )
 
-// run leads while this is the agent of rank 0, and else watches.
+// run leads the group while this agent's engine is rank 0, and otherwise watches it.
 func (a *Agent) run() {
 	l := newLeader(a)
-	w := newWatch(a)
+	w := newWatcher(a)
 	for a.ctx.Err() == nil {
 		state, err := a.opts.Engine.State(a.ctx)
 		if err == nil {
-			a.noteGroup(state.Group, state.Ranks)
+			a.setGroup(state.Group, state.Ranks)
 		}
 		switch {
 		case err != nil || !state.Known:
-			a.pause(watchEvery)
+			a.sleep(watchInterval)
 		case state.Rank == 0:
 			l.round(state)
-			a.pause(l.pause())
+			a.sleep(l.roundDelay())
 		default:
-			w.look(state)
-			a.pause(w.pause(state))
+			w.check(state)
+			a.sleep(w.checkDelay(state))
 		}
 	}
 }
 
-func (a *Agent) pause(d time.Duration) {
+// sleep waits for d or until the agent stops.
+func (a *Agent) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -8,8 +8,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// BenchmarkPlan measures the choice of a map after demand has moved, for a group of
-// twelve ranks and one of 63.
+// BenchmarkPlan measures planning after a shift in demand, for groups of 12, 63 and 129 ranks.
 func BenchmarkPlan(b *testing.B) {
 	for name, m := range map[string]struct {
 		ranks int
@@ -36,7 +35,7 @@
 			for range m.model.LayerSets {
 				layouts = append(layouts, expert.InitialLayout(m.ranks, m.model.Experts))
 			}
-			pl := planner{model: &m.model, urgency: 0.8, costs: newSwitchMeter(), streams: fullStreams}
+			pl := planner{model: &m.model, urgency: 0.8, switchCosts: newSwitchCosts(), meanStreams: busyStreams}
 			p := pl.best(layouts, draw())
 			for b.Loop() {
 				p = pl.best(p.layouts, draw())
--- a/lockstep/changes.go
+++ b/lockstep/changes.go
@@ -8,15 +8,15 @@
 	"github.com/heatherrail/heatherrail/expert"
 )
 
-// listChange replaces the experts of one rank in one set.
+// listChange replaces the experts of one rank in one layer set.
 type listChange struct {
 	set     int
 	rank    int
 	experts []uint16
 }
 
-// changesOf returns what differs between two maps, by set and rank.
-func changesOf(before, after []expert.Layout) []listChange {
+// diffLayouts returns the changes that turn map before into map after, by set and rank.
+func diffLayouts(before, after []expert.Layout) []listChange {
 	var changes []listChange
 	for s := range after {
 		for r, list := range after[s] {
@@ -28,10 +28,9 @@
 	return changes
 }
 
-// packChanges writes changes as variable-length numbers: of each its set, its rank, how
-// many experts follow, and these. A moved demand changes the lists of most ranks, and every
-// agent passes them on to several others while passes are long; each takes half the bytes
-// of a message of its own.
+// packChanges encodes changes as varints: set, rank, number of experts, experts. After a shift
+// in demand the lists of most ranks change, and every agent relays them to several others
+// while passes are slow. The encoding takes half the bytes of a msgpack message.
 func packChanges(changes []listChange) []byte {
 	var packed []byte
 	for _, c := range changes {
@@ -45,14 +44,14 @@
 	return packed
 }
 
-var errChanges = errors.New("changes of a map can't be read")
+var errMalformedChanges = errors.New("malformed map changes")
 
-// unpackChanges undoes packChanges.
+// unpackChanges decodes what packChanges encoded.
 func unpackChanges(packed []byte) ([]listChange, error) {
 	var changes []listChange
 	next := func() int {
 		n, size := binary.Uvarint(packed)
-		if size <= 0 || n > maxNumber {
+		if size <= 0 || n > maxEncodedValue {
 			packed = nil
 			return -1
 		}
@@ -63,13 +62,13 @@
 		c := listChange{set: next(), rank: next()}
 		count := next()
 		if c.set < 0 || c.rank < 0 || count < 0 || count > len(packed) {
-			return nil, errChanges
+			return nil, errMalformedChanges
 		}
 		c.experts = make([]uint16, count)
 		for i := range c.experts {
 			e := next()
 			if e < 0 {
-				return nil, errChanges
+				return nil, errMalformedChanges
 			}
 			c.experts[i] = uint16(e)
 		}
@@ -78,5 +77,5 @@
 	return changes, nil
 }
 
-// maxNumber bounds what a number of a packed change may be: experts are numbered by 16 bits.
-const maxNumber = 1<<16 - 1
+// maxEncodedValue is the largest value in packed changes: expert numbers have 16 bits.
+const maxEncodedValue = 1<<16 - 1
--- a/lockstep/changes_test.go
+++ b/lockstep/changes_test.go
@@ -11,9 +11,9 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// What differs between two maps must come out as it went in: a rank with other experts
-// than the leader plans with makes every later plan a wrong one.
-func TestChangesComeOutAsTheyWentIn(t *testing.T) {
+// A rank with other experts than the leader assumes would make every later plan wrong, so decoding
+// must return exactly the encoded changes.
+func TestPackedChangesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	changes := []listChange{
 		{set: 0, rank: 0, experts: []uint16{0, 257, 65535}},
@@ -23,8 +23,8 @@
 	g.Expect(unpackChanges(packChanges(changes))).To(Equal(changes))
 }
 
-// Whatever a peer sends, reading changes ends with some or an error, and takes no more
-// memory than the message.
+// For any input, decoding ends with changes or an error, and allocates no more than the size of the
+// input.
 func FuzzChanges(f *testing.F) {
 	f.Add(packChanges([]listChange{{set: 1, rank: 2, experts: []uint16{3, 300}}}))
 	f.Add([]byte{0, 0, 0xff, 0xff, 3})
@@ -33,26 +33,25 @@
 		if err != nil {
 			return
 		}
-		again, err := unpackChanges(packChanges(changes))
+		repacked, err := unpackChanges(packChanges(changes))
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
-		NewWithT(t).Expect(again).To(Equal(changes))
+		NewWithT(t).Expect(repacked).To(Equal(changes))
 	})
 }
 
-// A group begins, with the map that engines start with, and all its passes are long until
-// it has the first map for its demand. That one must not be sent in whole lists: for a
-// large group they take a link many passes, and agents seem lost meanwhile.
-func TestTheFirstMapIsSentAsChanges(t *testing.T) {
+// Passes of a new group are slow until it has its first map for the demand. If that map were sent in
+// full, a large group's link would be busy for many passes and agents would seem lost.
+func TestFirstMapIsSentAsChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := gatherFleet()
-		base := expert.InitialLayout(gatherTestRanks, f.group.experts)
-		other := base.Clone()
-		other[3] = append(other[3], 9)
+		f := newTreeFleet()
+		base := expert.InitialLayout(treeTestRanks, f.group.experts)
+		changed := base.Clone()
+		changed[3] = append(changed[3], 9)
 		sent := &peers.RankOrder{
 			Kind: peers.OrderPrepare, Epoch: 1, Version: 5,
-			Changes:    packChanges(changesOf([]expert.Layout{base}, []expert.Layout{other})),
-			InitialMap: peers.InitialMap{Sets: 1, Ranks: gatherTestRanks, Experts: uint16(f.group.experts)},
+			Changes:    packChanges(diffLayouts([]expert.Layout{base}, []expert.Layout{changed})),
+			InitialMap: peers.InitialMap{Sets: 1, Ranks: treeTestRanks, Experts: uint16(f.group.experts)},
 		}
 		for r := range f.agents {
 			result, err := f.agents[r].order(sent)
@@ -63,7 +62,7 @@
 		f.group.mu.Lock()
 		defer f.group.mu.Unlock()
 		for r, rank := range f.group.ranks {
-			g.Expect(rank.next).To(Equal([][]uint16{other[r]}), "rank %d", r)
+			g.Expect(rank.next).To(Equal([][]uint16{changed[r]}), "rank %d", r)
 		}
 	})
 }
--- a/lockstep/collect.go
+++ b/lockstep/collect.go
@@ -9,31 +9,31 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// collect returns the state of this rank, with what was chosen since the last time
-// if that is wanted.
+// collect returns the state of this agent's rank, with the expert selections since the
+// previous collect if q.Counts is set.
 func (a *Agent) collect(q *peers.Collect) peers.RankState {
 	state, err := a.opts.Engine.State(a.ctx)
 	if err != nil {
 		a.opts.Metrics.Count("engine_failures", 1)
 		return peers.RankState{}
 	}
-	a.noteRun(state.StartedAtMS)
+	a.recordEngineRun(state.StartedAtMS)
 	a.mu.Lock()
-	state.ProxyArm = a.other
+	state.ProxyArm = a.proxyArm
 	a.mu.Unlock()
-	state.HighestMapReceived = a.maps.newest(state.Epoch)
+	state.HighestMapReceived = a.mapHistory.highestVersion(state.Epoch)
 	if q.Lists {
-		a.tellLists(&state)
+		a.addRankExperts(&state)
 	}
 	if !q.Counts {
 		return state
 	}
-	tell(&state, a.chosen())
+	setSelections(&state, a.newSelections())
 	return state
 }
 
-// tellLists puts the experts of this rank into a state, if they are of the map that it names.
-func (a *Agent) tellLists(s *peers.RankState) {
+// addRankExperts adds this rank's experts to s, if they are of the map version in s.
+func (a *Agent) addRankExperts(s *peers.RankState) {
 	lists, version, err := a.opts.Engine.RankExperts(a.ctx)
 	switch {
 	case err != nil:
@@ -43,41 +43,41 @@
 	}
 }
 
-// tell puts what was chosen into a state.
-func tell(s *peers.RankState, chosen []float64) {
-	if len(chosen) > 0 {
-		s.Experts = uint32(len(chosen))
-		s.Unit, s.Bands = expert.EncodeLoads(chosen)
+// setSelections stores expert selection counts in s.
+func setSelections(s *peers.RankState, counts []float64) {
+	if len(counts) > 0 {
+		s.Experts = uint32(len(counts))
+		s.Unit, s.Bands = expert.EncodeLoads(counts)
 	}
 }
 
-// collectAll is collect for this rank and those below it.
-func (a *Agent) collectAll(q *peers.Collect) peers.RankState {
+// collectSubtree collects the states of this rank and of the ranks in q.Subtree.
+func (a *Agent) collectSubtree(q *peers.Collect) peers.RankState {
 	if len(q.Subtree) == 0 {
 		state := a.collect(q)
 		if q.LimitMS > 0 && len(state.Bands) > 0 {
-			// It is added to the choices of many others.
+			// Coarse values are precise enough: they are summed with those of many ranks.
 			state.Bands, state.Coarse = expert.PackCoarse(state.Bands), true
 		}
 		return state
 	}
-	ask := *q
-	ask.Subtree = nil
-	below := make(chan []peers.RankState, 1)
-	go func() { below <- a.collectBelow(q.Subtree, &ask, limitBelow(q.LimitMS)) }()
-	state := a.collect(&ask)
-	state.Subtree = <-below
-	sum := addChoices(nil, &state)
+	forwarded := *q
+	forwarded.Subtree = nil
+	subtree := make(chan []peers.RankState, 1)
+	go func() { subtree <- a.collectAlongTree(q.Subtree, &forwarded, subtreeTimeout(q.LimitMS)) }()
+	state := a.collect(&forwarded)
+	state.Subtree = <-subtree
+	sum := addSelections(nil, &state)
 	for i := range state.Subtree {
-		sum = addChoices(sum, &state.Subtree[i])
+		sum = addSelections(sum, &state.Subtree[i])
 	}
-	tell(&state, sum)
+	setSelections(&state, sum)
 	return state
 }
 
-// addChoices adds what was chosen at a rank to a sum, which may be nil yet, and takes it
-// out of its state.
-func addChoices(sum []float64, s *peers.RankState) []float64 {
+// addSelections moves the expert selections of s into sum and returns sum. A nil sum is
+// allocated; selections that do not match the length of sum are dropped.
+func addSelections(sum []float64, s *peers.RankState) []float64 {
 	bands, experts := s.Bands, int(s.Experts)
 	s.Bands, s.Experts = nil, 0
 	size := experts
@@ -98,66 +98,67 @@
 	return sum
 }
 
-// chosen returns how often each expert was chosen since the last time; nil if that
-// is not known.
-func (a *Agent) chosen() []float64 {
-	choices, err := a.opts.Engine.ExpertCounts(a.ctx)
+// newSelections returns how often each expert was selected since the previous call. It returns
+// nil if that is unknown or nothing was selected.
+func (a *Agent) newSelections() []float64 {
+	current, err := a.opts.Engine.ExpertCounts(a.ctx)
 	if err != nil {
 		a.opts.Metrics.Count("engine_failures", 1)
 		return nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var news []float64
-	// After a restart the engine counts from zero; what it has by then is news.
-	if choices.Run == a.last.Run && len(a.last.Counts) == len(choices.Counts) {
-		news = difference(choices.Counts, a.last.Counts)
+	var delta []float64
+	// After a restart the engine counts from zero, so there is no valid difference.
+	if current.Run == a.lastCounts.Run && len(a.lastCounts.Counts) == len(current.Counts) {
+		delta = subtractCounts(current.Counts, a.lastCounts.Counts)
 	}
-	a.last = choices
-	if !slices.ContainsFunc(news, func(n float64) bool { return n > 0 }) {
-		return nil // no pass has ended meanwhile
+	a.lastCounts = current
+	if !slices.ContainsFunc(delta, func(n float64) bool { return n > 0 }) {
+		return nil // no pass has completed in between
 	}
-	return news
+	return delta
 }
 
-// noteRun begins anew when the engine has started again.
+// recordEngineRun drops the state of an earlier engine run when the engine has restarted.
 //
-// Failure: all engines of a group start again while their agents run on, and the group
-// begins with an epoch that it had before. Symptom: an agent refuses arms for passes that
-// an old fence names, and leads changes on from a map that no engine holds any more.
-// Orders from before do no harm: no engine has prepared the versions that they name.
-func (a *Agent) noteRun(born int64) {
+// If all engines of a group restart while their agents keep running, the group may reuse an
+// earlier epoch. Without this reset an agent would refuse arm orders because of an old fence,
+// and would apply changes to a map that no engine holds any more. Orders of the earlier run are
+// harmless, because no engine has prepared the versions that they name.
+func (a *Agent) recordEngineRun(startedAtMS int64) {
 	a.mu.Lock()
-	known := a.born
-	a.born = born
+	previous := a.engineStartedAtMS
+	a.engineStartedAtMS = startedAtMS
 	a.mu.Unlock()
-	switch known {
-	case born:
+	switch previous {
+	case startedAtMS:
 		return
 	case 0:
-		a.bindFence(born)
+		a.bindFence(startedAtMS)
 	default:
-		a.maps.clear()
+		a.mapHistory.clear()
 	}
-	a.opts.Log.Info("engine runs", "engine", a.opts.EngineAddr, "born", born, "before", known)
+	a.opts.Log.Info("engine runs", "engine", a.opts.EngineAddr, "born", startedAtMS, "before", previous)
 }
 
-func difference(now, before []uint64) []float64 {
-	d := make([]float64, len(now))
-	for i := range now {
-		if now[i] > before[i] {
-			d[i] = float64(now[i] - before[i])
+// subtractCounts returns current minus previous; a count that fell gives 0.
+func subtractCounts(current, previous []uint64) []float64 {
+	d := make([]float64, len(current))
+	for i := range current {
+		if current[i] > previous[i] {
+			d[i] = float64(current[i] - previous[i])
 		}
 	}
 	return d
 }
 
-// tellWaiting tells the leader what waits at the entries that ask this agent for loads and
-// those below.
-func (a *Agent) tellWaiting(s *peers.RankState) {
-	inTime, late := a.waiting()
+// addQueueCounts adds to s the requests queued at the entries that query this agent and the
+// agents of its subtree.
+func (a *Agent) addQueueCounts(s *peers.RankState) {
+	inTime, late := a.queueCounts()
 	s.QueuedInTime, s.QueuedLate = uint32(inTime), uint32(late)
-	s.EnginesUnknown = a.lacksEngines()
+	s.EnginesUnknown = a.enginesUnknown()
 	for i := range s.Subtree {
 		below := &s.Subtree[i]
 		s.QueuedInTime += below.QueuedInTime
@@ -167,24 +168,24 @@
 	}
 }
 
-func (a *Agent) answerCollect(payload []byte) (msgp.Marshaler, error) {
+func (a *Agent) handleCollect(payload []byte) (msgp.Marshaler, error) {
 	var q peers.Collect
 	if _, err := q.UnmarshalMsg(payload); err != nil {
 		return nil, err
 	}
 	if q.Leader != "" {
 		a.mu.Lock()
-		a.leader = q.Leader
+		a.leaderAddr = q.Leader
 		a.mu.Unlock()
 	}
 	if q.Loads.Known {
-		a.relay(&q.Loads)
+		a.storeLoads(&q.Loads)
 	}
 	fenced := q.Fence != 0 && a.setFence(fence{epoch: q.Epoch, step: q.Fence})
-	state := a.collectAll(&q)
+	state := a.collectSubtree(&q)
 	state.Fenced = fenced
 	if q.Loads.Known {
-		a.tellWaiting(&state)
+		a.addQueueCounts(&state)
 	}
 	return &state, nil
 }
--- a/lockstep/group.go
+++ b/lockstep/group.go
@@ -12,55 +12,56 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// group are the engines among which the ranks are.
+// group holds the candidate engines of one group: all engines of the service, of which the
+// group's ranks are a part.
 type group struct {
-	a        *Agent
-	members  map[string]*member // by engine address
-	readNext time.Time          // no sooner
-	reads    int                // since all ranks were there last
-	model    *serving.EngineModel
-	gapAim   time.Duration // for the pauses in the service's streams
-	lacking  bool          // ranks were missing when the group was asked last
-	searched time.Time     // when members of other groups were asked last
-	inVain   int           // times in a row that they were asked while ranks were missing
+	a                    *Agent
+	members              map[string]*member // by engine address
+	nextRead             time.Time          // earliest time of the next read of the store
+	readsWhileIncomplete int                // reads since all ranks were last seen
+	model                *serving.EngineModel
+	eventGapObjective    time.Duration // between events of the service's streams
+	ranksMissing         bool          // as of the latest collect
+	lastSearch           time.Time     // when members of other groups were last asked
+	failedSearches       int           // consecutive such searches while ranks were missing
 }
 
 func newGroup(a *Agent) *group { return &group{a: a, members: make(map[string]*member)} }
 
-// reread reads the engines of the service from the store, but less and less often as long as
-// ranks are missing: calls are paid for, and engines that are too few for a group may wait for
-// others for good. A read that failed is made again sooner.
+// refresh reads the engines of the service and its cost model from the store. While ranks are
+// missing it backs off: calls to the store are paid for, and engines that are too few for a
+// group may wait for more forever. A failed read is repeated sooner.
 //
-// Failure: an agent starts while the store is away, or while other engines still register.
-// Symptom: the group is led seconds after the last of them is there, and until then all streams
-// run on the map that engines start with, each pass two to three times as long.
-func (g *group) reread() {
+// If it did not, an agent that starts while the store is down, or while other engines are still
+// registering, would lead its group only seconds after the last engine has registered. Until
+// then all streams run on the initial map, where a pass takes two to three times as long.
+func (g *group) refresh() {
 	now := time.Now()
-	if now.Before(g.readNext) {
+	if now.Before(g.nextRead) {
 		return
 	}
-	g.readNext = now.Add(min(rereadFirst<<min(g.reads, rereadDoublings), rereadEvery))
-	g.reads++
+	g.nextRead = now.Add(min(minReadInterval<<min(g.readsWhileIncomplete, maxReadDoublings), maxReadInterval))
+	g.readsWhileIncomplete++
 	if err := g.readTargets(now); err != nil {
-		g.readNext = now.Add(rereadFailed)
-		g.a.opts.Log.Info("engines of the group not read", "error", err.Error())
+		g.nextRead = now.Add(failedReadInterval)
+		g.a.opts.Log.Info("reading the engines of the group failed", "error", err.Error())
 	}
 	if g.model != nil {
 		return
 	}
 	if err := g.readModel(); err != nil {
-		g.readNext = now.Add(rereadFailed)
-		g.a.opts.Log.Info("cost model not read", "error", err.Error())
+		g.nextRead = now.Add(failedReadInterval)
+		g.a.opts.Log.Info("reading the cost model failed", "error", err.Error())
 	}
 }
 
-// Paces of reading the store.
+// Intervals between reads of the store.
 const (
-	rereadFirst  = 250 * time.Millisecond
-	rereadEvery  = 3 * time.Second
-	rereadFailed = 250 * time.Millisecond // a few calls a second, of one agent of a group
-	// rereadDoublings of rereadFirst are longer than rereadEvery.
-	rereadDoublings = 4
+	minReadInterval    = 250 * time.Millisecond
+	maxReadInterval    = 3 * time.Second
+	failedReadInterval = 250 * time.Millisecond // a few calls a second, by one agent of a group
+	// maxReadDoublings doublings of minReadInterval exceed maxReadInterval.
+	maxReadDoublings = 4
 )
 
 func (g *group) readTargets(now time.Time) error {
@@ -81,42 +82,42 @@
 		}
 		if t.Service == g.a.opts.Service {
 			listed[t.Address] = true
-			g.add(t.Address)
+			g.addMember(t.Address)
 		}
 	}
-	g.forget(listed, now)
+	g.dropMissing(listed, now)
 	return nil
 }
 
-// forget drops members that readings have lacked for as long as records may take to
-// come back after an outage of the store: one reading may be of just after it, or stale,
-// and a group without its members has no leader.
-func (g *group) forget(listed map[string]bool, now time.Time) {
+// dropMissing removes members that the store has not listed for LapsedGrace, the time that
+// records may take to return after an outage of the store. A single read may be stale or follow
+// an outage directly, and a group without its members has no leader.
+func (g *group) dropMissing(listed map[string]bool, now time.Time) {
 	for address, m := range g.members {
 		switch {
-		case listed[address] || m.own != nil:
-			m.missing = time.Time{}
-		case m.missing.IsZero():
-			m.missing = now
-		case now.Sub(m.missing) > serving.LapsedGrace:
-			g.a.contacts.drop(m.peers)
+		case listed[address] || m.localAgent != nil:
+			m.missingSince = time.Time{}
+		case m.missingSince.IsZero():
+			m.missingSince = now
+		case now.Sub(m.missingSince) > serving.LapsedGrace:
+			g.a.agentClients.drop(m.agentAddr)
 			delete(g.members, address)
 		}
 	}
 }
 
-func (g *group) add(address string) {
+func (g *group) addMember(address string) {
 	if g.members[address] != nil {
 		return
 	}
-	m := &member{engine: address, direct: g.a.opts.NewRemoteEngine(address), rank: noRank}
+	m := &member{engineAddr: address, engine: g.a.opts.NewRemoteEngine(address), rank: unknownRank}
 	if host, _, err := net.SplitHostPort(address); err == nil {
-		m.peers = net.JoinHostPort(host, g.a.opts.PeerPort)
+		m.agentAddr = net.JoinHostPort(host, g.a.opts.PeerPort)
 	}
 	if address == g.a.opts.EngineAddr {
-		m.own, m.direct = g.a, g.a.opts.Engine
-	} else if m.peers != "" {
-		m.agent = g.a.contacts.get(m.peers, g.a.opts.Dial)
+		m.localAgent, m.engine = g.a, g.a.opts.Engine
+	} else if m.agentAddr != "" {
+		m.agent = g.a.agentClients.get(m.agentAddr, g.a.opts.Dial)
 	}
 	g.members[address] = m
 }
@@ -136,122 +137,121 @@
 		}
 		index := serving.NewIndex(c)
 		if s := index.Service(g.a.opts.Service); s != nil {
-			g.model, g.gapAim = s.Engine, index.EventGapObjective(g.a.opts.Service)
+			g.model, g.eventGapObjective = s.Engine, index.EventGapObjective(g.a.opts.Service)
 		}
 	}
 	return nil
 }
 
-// askOne is a way to ask one member for its state.
-type askOne func(*member, *Agent, *peers.Collect) peers.RankState
+// collectFunc asks one member for its state.
+type collectFunc func(*member, *Agent, *peers.Collect) peers.RankState
 
-// collect asks all members at once and returns those that are ranks of the group,
-// ordered by rank. complete tells whether all ranks of one epoch are there.
+// collect asks all members at once and returns those that are ranks of the named group, ordered
+// by rank. complete reports whether all ranks of one epoch answered.
 func (g *group) collect(name string, q *peers.Collect) (ranks []rank, complete bool) {
-	return g.collectWith(name, q, (*member).collect)
+	return g.collectUsing(name, q, (*member).collect)
 }
 
-// collectWith is collect with a way to ask one member.
-func (g *group) collectWith(name string, q *peers.Collect, ask askOne) (ranks []rank, complete bool) {
-	members := g.mayBelong(name, time.Now())
+// collectUsing is collect with another way of asking one member.
+func (g *group) collectUsing(name string, q *peers.Collect, ask collectFunc) (ranks []rank, complete bool) {
+	members := g.candidates(name, time.Now())
 	states := make([]peers.RankState, len(members))
-	through, alone := divide(members)
+	viaTree, direct := splitForTree(members)
 	var wait sync.WaitGroup
-	for _, i := range alone {
+	for _, i := range direct {
 		one := *q
-		one.Counts = q.Counts && (len(members) <= directRanks || members[i].own != nil)
+		one.Counts = q.Counts && (len(members) <= maxDirectRanks || members[i].localAgent != nil)
 		wait.Go(func() { states[i] = ask(members[i], g.a, &one) })
 	}
-	if len(through) > 0 {
-		g.collectThrough(members, through, states, q, ask)
+	if len(viaTree) > 0 {
+		g.collectViaTree(members, viaTree, states, q, ask)
 	}
 	wait.Wait()
 	for i, m := range members {
 		if !states[i].Known {
 			continue
 		}
-		m.rank, m.group = states[i].Rank, states[i].Group
-		if m.group == name {
+		m.rank, m.groupName = states[i].Rank, states[i].Group
+		if m.groupName == name {
 			ranks = append(ranks, rank{member: m, state: states[i]})
 		}
 	}
 	slices.SortStableFunc(ranks, func(x, y rank) int { return x.state.Rank - y.state.Rank })
-	g.lacking = len(ranks) == 0 || len(ranks) < ranks[0].state.Ranks
-	if !g.lacking {
-		g.inVain, g.reads = 0, 0
+	g.ranksMissing = len(ranks) == 0 || len(ranks) < ranks[0].state.Ranks
+	if !g.ranksMissing {
+		g.failedSearches, g.readsWhileIncomplete = 0, 0
 	}
 	return ranks, isComplete(ranks)
 }
 
-// searchEvery is how often members of other groups are asked whether they belong to this one
-// by now. While ranks are missing that is done after lackingEvery, and then after twice as
-// long each time: a few engines that are too many for one group may wait for others for good.
+// Intervals at which members of other groups are asked whether they have joined this one. While
+// ranks are missing, the interval starts at the minimum and doubles with each failed search:
+// engines that are too few for a second group may wait for more forever.
 const (
-	searchEvery  = 5 * time.Second
-	lackingEvery = 500 * time.Millisecond
+	maxSearchInterval = 5 * time.Second
+	minSearchInterval = 500 * time.Millisecond
 )
 
-// searchPause returns how long to wait until members of other groups are asked again.
-func (g *group) searchPause() time.Duration {
-	if !g.lacking {
-		return searchEvery
+// searchDelay returns the current interval between searches.
+func (g *group) searchDelay() time.Duration {
+	if !g.ranksMissing {
+		return maxSearchInterval
 	}
-	return min(lackingEvery<<min(g.inVain, 8), searchEvery)
+	return min(minSearchInterval<<min(g.failedSearches, 8), maxSearchInterval)
 }
 
-// mayBelong returns the members that are asked for a group, in order. Those that told that
-// they are of another one are left out, but for a look now and then: a service may have many
-// groups, and if each leader asked all engines in each round the load on every agent would
-// grow with their number.
-func (g *group) mayBelong(name string, now time.Time) []*member {
-	members := g.inOrder()
-	if now.Sub(g.searched) >= g.searchPause() {
-		g.searched = now
-		g.inVain++
+// candidates returns the members to ask for a group, in order. Members known to belong to
+// another group are left out except in a periodic search. A service may have many groups, and if
+// each leader asked all engines in every round, the load on each agent would grow with the
+// number of groups.
+func (g *group) candidates(name string, now time.Time) []*member {
+	members := g.sortedMembers()
+	if now.Sub(g.lastSearch) >= g.searchDelay() {
+		g.lastSearch = now
+		g.failedSearches++
 		return members
 	}
-	return slices.DeleteFunc(members, func(m *member) bool { return m.group != "" && m.group != name })
+	return slices.DeleteFunc(members, func(m *member) bool { return m.groupName != "" && m.groupName != name })
 }
 
-// inOrder returns the members by rank, as far as they have told it, and then by address:
-// all who ask the group make nearly the same tree of it, so that agents hold few
-// connections.
-func (g *group) inOrder() []*member {
+// sortedMembers returns the members ordered by last known rank, then by address. All agents that
+// ask the group thus build nearly the same tree, so each agent keeps few connections.
+func (g *group) sortedMembers() []*member {
 	return slices.SortedFunc(maps.Values(g.members), func(x, y *member) int {
-		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.engine, y.engine))
+		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.engineAddr, y.engineAddr))
 	})
 }
 
-// divide returns the members that are asked along the tree, and those that are asked alone:
-// all of a small group, those whose agents did not answer lately, and the leader, which when
-// it stands still would keep a whole branch waiting just when the group stands still too.
-func divide(members []*member) (through, alone []int) {
+// splitForTree returns the indexes of the members to ask along the tree, and of those to ask
+// directly: all members of a small group, members whose agents failed to answer last, and the
+// leader. A frozen leader in the tree would delay a whole branch just when the group is stalled.
+func splitForTree(members []*member) (viaTree, direct []int) {
 	for i, m := range members {
-		if len(members) <= directRanks || m.own != nil || m.rank == 0 || m.agent == nil || !m.agent.steady() {
-			alone = append(alone, i)
+		if len(members) <= maxDirectRanks || m.localAgent != nil || m.rank == 0 || m.agent == nil || !m.agent.isHealthy() {
+			direct = append(direct, i)
 		} else {
-			through = append(through, i)
+			viaTree = append(viaTree, i)
 		}
 	}
-	return through, alone
+	return viaTree, direct
 }
 
-// collectThrough asks members along the tree, and alone those that it did not reach.
-func (g *group) collectThrough(members []*member, through []int, states []peers.RankState, q *peers.Collect, ask askOne) {
-	addresses := make([]string, len(through))
-	for k, i := range through {
-		addresses[k] = members[i].peers
+// collectViaTree asks members along the tree, and directly those that the tree did not reach.
+func (g *group) collectViaTree(members []*member, viaTree []int, states []peers.RankState, q *peers.Collect, ask collectFunc) {
+	addresses := make([]string, len(viaTree))
+	for k, i := range viaTree {
+		addresses[k] = members[i].agentAddr
 	}
-	below := g.a.collectBelow(addresses, q, askLimit)
+	collected := g.a.collectAlongTree(addresses, q, askTimeout)
 	var wait sync.WaitGroup
-	for k, i := range through {
-		states[i] = below[k]
-		if below[k].Known {
+	for k, i := range viaTree {
+		states[i] = collected[k]
+		if collected[k].Known {
 			continue
 		}
 		wait.Go(func() {
-			if below[k].Unreachable {
-				states[i] = members[i].collectDirectly(g.a, q)
+			if collected[k].Unreachable {
+				states[i] = members[i].collectFromEngine(g.a, q)
 			} else {
 				states[i] = ask(members[i], g.a, &peers.Collect{Lists: q.Lists, Leader: q.Leader, Fence: q.Fence, Epoch: q.Epoch, Loads: q.Loads})
 			}
@@ -260,6 +260,7 @@
 	wait.Wait()
 }
 
+// isComplete reports whether ranks are all ranks of one epoch of a complete group.
 func isComplete(ranks []rank) bool {
 	for i := range ranks {
 		s, first := &ranks[i].state, &ranks[0].state
--- a/lockstep/leader.go
+++ b/lockstep/leader.go
@@ -9,191 +9,192 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// leader keeps the map of a group in step with demand.
+// leader keeps the expert map of a group balanced for the current demand.
 type leader struct {
-	a       *Agent
-	group   *group
-	epoch   uint64
-	born    int64           // of the engine of rank 0
-	version uint64          // in use, as far as our layouts go
-	layouts []expert.Layout // in use, by set
-	demand  *demand
-	pending *pending
-	armed   *armed
-	fixed   bool // no map can be made of the places that ranks have
-	refused refusals
-	newest  uint64    // highest version seen or given
-	given   []pending // the latest maps that were given
+	a                 *Agent
+	group             *group
+	epoch             uint64
+	engineStartedAtMS int64           // of rank 0's engine
+	version           uint64          // of layouts
+	layouts           []expert.Layout // in use as far as known, by layer set
+	demand            *demand
+	pending           *pendingMap
+	armed             *armedMap
+	mapFixed          bool // the ranks have too few places for any other map
+	refusals          refusalBackoff
+	highestVersion    uint64       // highest map version seen or assigned
+	recentMaps        []pendingMap // latest maps that this leader planned
 
-	passes passMeter
-	costs  switchMeter
-	worst  worstSeen
-	held   heldSeen
-	took   time.Duration // for the latest round
+	passTime      passMeter
+	switchCosts   switchCosts
+	peakImbalance imbalancePeak
+	hold          holdTracker
+	roundTime     time.Duration // duration of the latest round
 
-	roster    uint64 // of the loads that agents were told last
-	noEngines bool   // some agent was not told which engines they are of
+	sentRoster     uint64 // roster of the loads that the agents received last
+	enginesUnknown bool   // some agent lacks the engine list of that roster
 }
 
-// passMeter tells how long passes take.
+// passMeter measures how long passes take.
 type passMeter struct {
-	step uint64
-	at   time.Time
-	mean time.Duration // of the latest passes
-	told time.Time
+	step     uint64
+	lastAt   time.Time
+	mean     time.Duration // decaying mean
+	loggedAt time.Time
 }
 
-// passHalfLife evens out what one look tells: a look sees one or two passes begun, and
-// took them for twice as long or as short in turn.
+// passHalfLife smooths the pass time. One or two passes begin between two observations, so a
+// single observation is alternately twice too long and too short.
 const passHalfLife = 150 * time.Millisecond
 
-// meterEvery is how often the group's load is logged.
-const meterEvery = time.Second
+// loadLogInterval is the interval between logs of the group's load.
+const loadLogInterval = time.Second
 
-// take notes a state; it tells once in a while that the load is to be logged.
-func (m *passMeter) take(step uint64, now time.Time) (log bool) {
-	if m.at.IsZero() || step < m.step {
-		m.step, m.at = step, now
+// observe records the step of the latest pass. shouldLog is true once per loadLogInterval.
+func (m *passMeter) observe(step uint64, now time.Time) (shouldLog bool) {
+	if m.lastAt.IsZero() || step < m.step {
+		m.step, m.lastAt = step, now
 		return false
 	}
 	if step == m.step {
 		return false
 	}
-	since := now.Sub(m.at)
-	keep := halved(since, passHalfLife)
-	m.mean = time.Duration(float64(m.mean)*keep + float64(since)/float64(step-m.step)*(1-keep))
-	m.step, m.at = step, now
-	if now.Sub(m.told) < meterEvery {
+	elapsed := now.Sub(m.lastAt)
+	decay := decayFactor(elapsed, passHalfLife)
+	m.mean = time.Duration(float64(m.mean)*decay + float64(elapsed)/float64(step-m.step)*(1-decay))
+	m.step, m.lastAt = step, now
+	if now.Sub(m.loggedAt) < loadLogInterval {
 		return false
 	}
-	m.told = now
+	m.loggedAt = now
 	return true
 }
 
 func newLeader(a *Agent) *leader {
-	return &leader{a: a, group: newGroup(a), costs: newSwitchMeter()}
+	return &leader{a: a, group: newGroup(a), switchCosts: newSwitchCosts()}
 }
 
-// round is one look at the group and what follows from it.
+// round collects the state of the group and takes the next step of planning or switching.
 func (l *leader) round(own peers.RankState) {
-	begun := time.Now()
-	defer func() { l.took = time.Since(begun) }()
+	startedAt := time.Now()
+	defer func() { l.roundTime = time.Since(startedAt) }()
 	if len(l.group.members) < own.Ranks || l.group.model == nil {
-		l.group.reread()
+		l.group.refresh()
 	}
-	l.group.add(l.a.opts.EngineAddr)
+	l.group.addMember(l.a.opts.EngineAddr)
 	ranks, complete := l.group.collect(own.Group, &peers.Collect{
 		Counts: l.wantsCounts(),
 		Leader: l.a.opts.PeerAddr,
-		Loads:  l.loadsFor(own.Ranks),
+		Loads:  l.loadsToSend(own.Ranks),
 	})
-	l.a.publish(l.loads(ranks, own))
-	l.noEngines = slices.ContainsFunc(ranks, func(r rank) bool { return r.state.EnginesUnknown })
+	l.a.publishLoads(l.buildLoads(ranks, own))
+	l.enginesUnknown = slices.ContainsFunc(ranks, func(r rank) bool { return r.state.EnginesUnknown })
 	if len(ranks) < own.Ranks {
-		l.group.reread()
+		l.group.refresh()
 	}
 	if !complete || l.group.model == nil || l.group.model.LayerSets == 0 {
 		return
 	}
-	if ranks[0].state.Epoch != l.epoch || ranks[0].state.StartedAtMS != l.born || l.layouts == nil {
+	if ranks[0].state.Epoch != l.epoch || ranks[0].state.StartedAtMS != l.engineStartedAtMS || l.layouts == nil {
 		l.reset(ranks)
 	}
 	l.observe(ranks)
 	l.logLoad(ranks)
 	for i := range ranks {
 		if ranks[i].state.Held != 0 {
-			resolve(l.a, l.group, ranks[i].member, own.Group, l.held.since(ranks[i].state.Held, time.Now()))
+			recoverGroup(l.a, l.group, ranks[i].member, own.Group, l.hold.firstSeen(ranks[i].state.Held, time.Now()))
 			l.pending, l.armed = nil, nil
 			return
 		}
 	}
 	holder := ranks[holderRank(len(ranks))].member
-	if !l.known(ranks) {
+	if !l.syncMap(ranks) {
 		return
 	}
 	if l.pending != nil {
-		l.carryOn(holder, ranks)
+		l.advancePending(holder, ranks)
 		return
 	}
 	l.plan(ranks)
 }
 
-// holderRank is the rank at which a group is held; the leader's is rank 0.
+// holderRank returns the rank whose engine holds the group. It is not the leader's rank 0, unless
+// there is no other.
 func holderRank(ranks int) int { return min(1, ranks-1) }
 
-// reset begins anew after the group was formed: it uses the map that engines
-// start with.
+// reset starts over after the group has formed anew. The engines then use the initial map.
 func (l *leader) reset(ranks []rank) {
-	l.epoch, l.born = ranks[0].state.Epoch, ranks[0].state.StartedAtMS
+	l.epoch, l.engineStartedAtMS = ranks[0].state.Epoch, ranks[0].state.StartedAtMS
 	l.pending, l.armed = nil, nil
-	l.layouts, l.given = nil, nil
+	l.layouts, l.recentMaps = nil, nil
 	m := l.group.model
 	for range m.LayerSets {
 		l.layouts = append(l.layouts, expert.InitialLayout(len(ranks), m.Experts))
 	}
 	l.version = 0
-	// What was wanted before a rank restarted is wanted after it.
+	// Demand does not change because a rank restarted, so the estimate is kept.
 	if l.demand == nil || len(l.demand.steady.loads) != m.LayerSets*m.Experts {
 		l.demand = newDemand(m.LayerSets * m.Experts)
 	}
-	l.fixed = !holdsAll(m, len(ranks))
-	if l.fixed {
+	l.mapFixed = !fitsAllExperts(m, len(ranks))
+	if l.mapFixed {
 		l.a.opts.Log.Info("map of the group can't be changed", "ranks", len(ranks), "places", m.ExpertsPerRank, "experts", m.Experts)
 		l.a.opts.Metrics.Count("groups_with_a_fixed_map", 1)
 	}
 	l.a.opts.Log.Info("group led", "group", ranks[0].state.Group, "epoch", l.epoch, "ranks", len(ranks), "map", ranks[0].state.Map)
 }
 
+// observe updates the highest map version and the demand from the ranks' states.
 func (l *leader) observe(ranks []rank) {
 	now := time.Now()
 	sum := make([]float64, l.group.model.LayerSets*l.group.model.Experts)
 	for i := range ranks {
 		s := &ranks[i].state
-		l.newest = max(l.newest, s.Map, s.Prepared, s.Armed, s.HighestMapReceived)
-		addChoices(sum, s)
+		l.highestVersion = max(l.highestVersion, s.Map, s.Prepared, s.Armed, s.HighestMapReceived)
+		addSelections(sum, s)
 	}
 	l.demand.observe(now, sum)
-	if l.demand.moved(l.layouts, l.group.model) {
+	if l.demand.detectShift(l.layouts, l.group.model) {
 		l.a.opts.Log.Info("demand moved", "epoch", l.epoch, "step", ranks[0].state.Step,
 			"imbalance", logging.Round2(imbalance(l.layouts, l.demand.loads(), nil, l.group.model)))
-		// What is being prepared was planned for the demand of before. Another map can
-		// be prepared in its place at any time before ranks are armed.
+		// The pending map was planned for the earlier demand. It can be replaced by another
+		// at any time before ranks are armed.
 		l.pending = nil
 	}
-	if l.demand.enough() && (l.version != 0 || l.fixed) {
-		l.worst.take(imbalance(l.layouts, l.demand.loads(), nil, l.group.model), now)
+	if l.demand.hasEnoughData() && (l.version != 0 || l.mapFixed) {
+		l.peakImbalance.observe(imbalance(l.layouts, l.demand.loads(), nil, l.group.model), now)
 	}
 }
 
-// logLoad logs now and then how the group fares.
+// logLoad logs the group's load once per loadLogInterval.
 func (l *leader) logLoad(ranks []rank) {
-	if !l.passes.take(ranks[0].state.Step, time.Now()) {
+	if !l.passTime.observe(ranks[0].state.Step, time.Now()) {
 		return
 	}
-	mean := l.passes.mean
-	running, waiting, most := 0, 0, 0
+	mean := l.passTime.mean
+	running, waiting, busiest := 0, 0, 0
 	for i := range ranks {
 		running += ranks[i].state.Running
 		waiting += ranks[i].state.Waiting
-		most = max(most, ranks[i].state.Running)
+		busiest = max(busiest, ranks[i].state.Running)
 	}
 	l.a.opts.Log.Info("group load", "group", ranks[0].state.Group, "pass_ms", logging.Round2(float64(mean)/float64(time.Millisecond)),
-		"running", running, "most_of_rank", most, "waiting", waiting,
-		"imbalance", logging.Round2(imbalance(l.layouts, l.demand.loads(), paces(ranks), l.group.model)), "version", l.version, "round_ms", l.took.Milliseconds())
+		"running", running, "most_of_rank", busiest, "waiting", waiting,
+		"imbalance", logging.Round2(imbalance(l.layouts, l.demand.loads(), slowdowns(ranks), l.group.model)), "version", l.version, "round_ms", l.roundTime.Milliseconds())
 }
 
-// known tells whether the map in use is the one that we think it is. After a
-// restart of this agent it may be another; then it is read back from the ranks.
-func (l *leader) known(ranks []rank) bool {
+// syncMap makes l.layouts the map in use and reports whether it is. After a restart of this agent
+// the map in use may be unknown and is read from the ranks.
+func (l *leader) syncMap(ranks []rank) bool {
 	inUse := ranks[0].state.Map
 	for i := range ranks {
 		if ranks[i].state.Map != inUse {
-			return false // a switch is on its way through the reports
+			return false // some reports are from before a switch
 		}
 	}
 	if next := l.armed; next != nil {
 		if inUse != next.version && ranks[0].state.Step < next.step {
-			return false // its pass has not begun yet
+			return false // the pass that switches has not begun
 		}
 		l.armed = nil
 		if inUse == next.version {
@@ -203,35 +204,34 @@
 	if inUse == l.version {
 		return true
 	}
-	return l.recall(inUse) || l.readBack(ranks, inUse)
+	return l.restoreMap(inUse) || l.readMapFromRanks(ranks, inUse)
 }
 
-// recall takes up a map that this agent has given itself.
+// restoreMap makes l.layouts a map that this leader planned earlier.
 //
-// Failure: a switch succeeds, but its leader does not see it to the end, because an answer
-// is lost or another agent finishes it. Symptom: the leader takes the map of before for the
-// one in use.
-func (l *leader) recall(version uint64) bool {
-	at := slices.IndexFunc(l.given, func(p pending) bool { return p.version == version })
+// A switch may succeed without its leader seeing that, because a response was lost or another
+// agent completed the switch. The leader would then go on with the previous map.
+func (l *leader) restoreMap(version uint64) bool {
+	at := slices.IndexFunc(l.recentMaps, func(p pendingMap) bool { return p.version == version })
 	if at < 0 {
 		return false
 	}
-	l.layouts, l.version = l.given[at].layouts, version
+	l.layouts, l.version = l.recentMaps[at].layouts, version
 	l.a.opts.Log.Info("map recalled", "epoch", l.epoch, "version", version)
 	return true
 }
 
-// readBack reads the map in use from all ranks, through their agents.
-func (l *leader) readBack(ranks []rank, version uint64) bool {
+// readMapFromRanks reads the map in use from all ranks through their agents.
+func (l *leader) readMapFromRanks(ranks []rank, version uint64) bool {
 	m := l.group.model
 	layouts := make([]expert.Layout, m.LayerSets)
 	for s := range layouts {
 		layouts[s] = make(expert.Layout, len(ranks))
 	}
-	told, _ := l.group.collect(ranks[0].state.Group, &peers.Collect{Lists: true})
+	reported, _ := l.group.collect(ranks[0].state.Group, &peers.Collect{Lists: true})
 	missing := len(ranks)
-	for i := range told {
-		s := &told[i].state
+	for i := range reported {
+		s := &reported[i].state
 		if s.Rank >= len(ranks) || s.Map != version || len(s.Lists) != m.LayerSets {
 			continue
 		}
@@ -249,32 +249,32 @@
 	return true
 }
 
-// plan looks for a better map and has it prepared.
+// plan looks for a better map and orders the ranks to prepare it.
 func (l *leader) plan(ranks []rank) {
 	m := l.group.model
-	begun := time.Now()
-	if l.fixed || !l.demand.enough() || l.refused.waits(begun) {
+	startedAt := time.Now()
+	if l.mapFixed || !l.demand.hasEnoughData() || l.refusals.isActive(startedAt) {
 		return
 	}
-	pl := planner{model: m, urgency: l.urgency(), pace: paces(ranks), costs: l.costs, streams: streams(ranks)}
+	pl := planner{model: m, urgency: l.urgency(), slowdown: slowdowns(ranks), switchCosts: l.switchCosts, meanStreams: meanStreams(ranks)}
 	p := pl.best(l.layouts, l.demand.loads())
 	if p.copies == 0 {
 		return
 	}
-	l.newest = nextVersion(l.newest)
-	l.pending = &pending{version: l.newest, layouts: p.layouts, copying: pl.copying(&p), begun: begun}
-	l.a.opts.Log.Info("map planned", "epoch", l.epoch, "version", l.newest, "from", l.version,
-		"before", logging.Round2(p.before), "after", logging.Round2(p.after), "copies", p.copies, "copies_of_rank", p.most,
+	l.highestVersion = nextVersion(l.highestVersion)
+	l.pending = &pendingMap{version: l.highestVersion, layouts: p.layouts, copyTime: pl.planCopyTime(&p), plannedAt: startedAt}
+	l.a.opts.Log.Info("map planned", "epoch", l.epoch, "version", l.highestVersion, "from", l.version,
+		"before", logging.Round2(p.imbalanceBefore), "after", logging.Round2(p.imbalanceAfter), "copies", p.copies, "copies_of_rank", p.maxCopiesPerRank,
 		"urgency", logging.Round2(pl.urgency))
-	l.given = append(l.given, *l.pending)
-	if len(l.given) > mapsKept {
-		l.given = slices.Delete(l.given, 0, 1)
+	l.recentMaps = append(l.recentMaps, *l.pending)
+	if len(l.recentMaps) > maxRecentMaps {
+		l.recentMaps = slices.Delete(l.recentMaps, 0, 1)
 	}
 	l.prepare(ranks)
 }
 
-// streams returns how many streams a rank runs, in the mean.
-func streams(ranks []rank) float64 {
+// meanStreams returns the mean number of running streams per rank.
+func meanStreams(ranks []rank) float64 {
 	running := 0
 	for i := range ranks {
 		running += ranks[i].state.Running
@@ -282,37 +282,37 @@
 	return float64(running) / float64(max(len(ranks), 1))
 }
 
-// paces returns how many times as long as usual each rank takes.
-func paces(ranks []rank) []float64 {
-	pace := make([]float64, len(ranks))
+// slowdowns returns the slowdown factor of each rank; 1 is normal.
+func slowdowns(ranks []rank) []float64 {
+	factors := make([]float64, len(ranks))
 	for i := range ranks {
-		pace[i] = ranks[i].state.Slowdown
+		factors[i] = ranks[i].state.Slowdown
 	}
-	return pace
+	return factors
 }
 
-// urgency is the time of the latest passes over the longest pause in time.
+// urgency returns the current pass time relative to the event gap objective.
 func (l *leader) urgency() float64 {
-	if l.group.gapAim == 0 {
+	if l.group.eventGapObjective == 0 {
 		return 1
 	}
-	return float64(l.passes.mean) / float64(l.group.gapAim)
+	return float64(l.passTime.mean) / float64(l.group.eventGapObjective)
 }
 
-// worstSeen remembers the most imbalance of the last while: demand that has moved
-// once will move again.
-type worstSeen struct {
-	now, most float64
-	at        time.Time
+// imbalancePeak is the recent peak of the imbalance, which decays. Demand that has shifted once
+// is likely to shift again.
+type imbalancePeak struct {
+	current, peak float64
+	updatedAt     time.Time
 }
 
-// worstHalfLife: a group that has seen no move for so long counts with half of it.
-const worstHalfLife = 30 * time.Second
+// peakHalfLife is the time in which the excess of the peak over 1 halves.
+const peakHalfLife = 30 * time.Second
 
-func (w *worstSeen) take(imbalance float64, now time.Time) {
-	if !w.at.IsZero() {
-		w.most = 1 + (w.most-1)*halved(now.Sub(w.at), worstHalfLife)
+func (p *imbalancePeak) observe(imbalance float64, now time.Time) {
+	if !p.updatedAt.IsZero() {
+		p.peak = 1 + (p.peak-1)*decayFactor(now.Sub(p.updatedAt), peakHalfLife)
 	}
-	w.now, w.at = imbalance, now
-	w.most = max(w.most, imbalance)
+	p.current, p.updatedAt = imbalance, now
+	p.peak = max(p.peak, imbalance)
 }
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -9,77 +9,78 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// Loads of the ranks, for entries to place requests by.
+// The loads of a group's ranks, by which entries place requests.
 //
-// Failure: all entries of a large fleet ask the leader, which has a small part of a core.
-// Symptom: each may ask twice a second only, places requests by loads of before, and they
-// wait inside some engines while others have room. So the leader's questions bring the
-// loads to all agents of a large group, and an entry asks any of them; what waits at the
-// entries goes back with the answers.
+// If all entries of a large fleet asked the leader, which has a fraction of a core, each entry
+// could ask only twice a second. It would place requests by stale loads, and requests would queue
+// in some engines while others have room. So the leader's Collect messages carry the loads to all
+// agents of a large group, an entry may ask any of them, and the entries' queue counts return
+// with the responses.
 
-// toldLoads are the loads that an agent tells entries.
-type toldLoads struct {
-	loads peers.Loads
-	asOf  time.Time
-	own   bool // this agent leads
+// groupLoads are the loads that an agent reports to entries.
+type groupLoads struct {
+	loads    peers.Loads
+	asOf     time.Time
+	isLeader bool // this agent leads the group
 }
 
-// publish keeps what this agent tells entries while it leads.
-func (a *Agent) publish(loads peers.Loads) {
+// publishLoads sets the loads that this agent reports while it leads.
+func (a *Agent) publishLoads(loads peers.Loads) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.loads, a.leader = toldLoads{loads: loads, asOf: time.Now(), own: true}, a.opts.PeerAddr
+	a.groupLoads, a.leaderAddr = groupLoads{loads: loads, asOf: time.Now(), isLeader: true}, a.opts.PeerAddr
 }
 
-// noteGroup keeps which group this VM's engine is of, and how many ranks that has.
-func (a *Agent) noteGroup(name string, ranks int) {
+// setGroup sets the group of this VM's engine and its number of ranks.
+func (a *Agent) setGroup(name string, ranks int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.group, a.ranks = name, ranks
+	a.groupName, a.groupRanks = name, ranks
 }
 
-// relay keeps what the leader told with a question. Which engines the loads are of is told
-// only when that is new, or an agent says that it was not told.
-func (a *Agent) relay(loads *peers.Loads) {
+// storeLoads keeps the loads that the leader sent. The leader includes the engine list only if the
+// list is new or some agent has reported that it lacks the list.
+func (a *Agent) storeLoads(loads *peers.Loads) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	next := toldLoads{loads: *loads, asOf: time.Now().Add(-time.Duration(loads.AgeMS) * time.Millisecond)}
-	if len(next.loads.Engines) == 0 && next.loads.Roster == a.loads.loads.Roster {
-		next.loads.Engines = a.loads.loads.Engines
+	next := groupLoads{loads: *loads, asOf: time.Now().Add(-time.Duration(loads.AgeMS) * time.Millisecond)}
+	if len(next.loads.Engines) == 0 && next.loads.Roster == a.groupLoads.loads.Roster {
+		next.loads.Engines = a.groupLoads.loads.Engines
 	}
-	a.loads = next
+	a.groupLoads = next
 }
 
-// lacksEngines tells whether the agent was not told which engines its loads are of.
-func (a *Agent) lacksEngines() bool {
+// enginesUnknown reports whether the agent lacks the engine list of its loads.
+func (a *Agent) enginesUnknown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.loads.loads.Known && len(a.loads.loads.Engines) == 0
+	return a.groupLoads.loads.Known && len(a.groupLoads.loads.Engines) == 0
 }
 
-// waiting returns the requests that wait at the entries that ask this agent.
-func (a *Agent) waiting() (inTime, late int) {
+// queueCounts returns the requests queued at the entries that query this agent.
+func (a *Agent) queueCounts() (inTime, late int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.waits.sum(time.Now())
+	return a.entryQueues.sum(time.Now())
 }
 
-func (a *Agent) answerLoads(payload []byte) (msgp.Marshaler, error) {
+// handleLoads answers a LoadsQuery of an entry and records the entry's queue counts.
+func (a *Agent) handleLoads(payload []byte) (msgp.Marshaler, error) {
 	var q peers.LoadsQuery
 	if _, err := q.UnmarshalMsg(payload); err != nil {
 		return nil, err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waits.note(q.Entry, int(q.QueuedInTime), int(q.QueuedLate), time.Now())
-	loads := a.loads.loads
+	a.entryQueues.record(q.Entry, int(q.QueuedInTime), int(q.QueuedLate), time.Now())
+	loads := a.groupLoads.loads
 	if !loads.Known || len(loads.Engines) == 0 {
-		return &peers.Loads{Leader: a.leader, Group: a.group, Ranks: peers.ClampUint16(a.ranks)}, nil
+		return &peers.Loads{Leader: a.leaderAddr, Group: a.groupName, Ranks: peers.ClampUint16(a.groupRanks)}, nil
 	}
-	loads.AskOthers = a.loads.own && len(loads.Engines) > directRanks
-	loads.AgeMS = uint32(min(time.Since(a.loads.asOf), time.Hour).Milliseconds())
-	if a.loads.own && !loads.AskOthers {
-		loads.Leader = a.leader
+	loads.AskOthers = a.groupLoads.isLeader && len(loads.Engines) > maxDirectRanks
+	loads.AgeMS = uint32(min(time.Since(a.groupLoads.asOf), time.Hour).Milliseconds())
+	if a.groupLoads.isLeader && !loads.AskOthers {
+		loads.Leader = a.leaderAddr
 	}
 	if q.Roster == loads.Roster {
 		loads.Engines = nil
@@ -87,23 +88,23 @@
 	return &loads, nil
 }
 
-// loads returns what entries want to know of the ranks.
-func (l *leader) loads(ranks []rank, own peers.RankState) peers.Loads {
+// buildLoads returns the loads of the ranks for the entries.
+func (l *leader) buildLoads(ranks []rank, own peers.RankState) peers.Loads {
 	loads := peers.Loads{
 		Known:         true,
 		Complete:      own.Complete,
-		PassMS:        float32(l.passes.mean.Seconds() * 1e3),
-		Imbalance:     float32(l.worst.now),
-		PeakImbalance: float32(l.worst.most),
+		PassMS:        float32(l.passTime.mean.Seconds() * 1e3),
+		Imbalance:     float32(l.peakImbalance.current),
+		PeakImbalance: float32(l.peakImbalance.peak),
 		Group:         own.Group,
 		Ranks:         peers.ClampUint16(own.Ranks),
 	}
-	inTime, late := l.a.waiting()
-	roster := fnv.New64a()
+	inTime, late := l.a.queueCounts()
+	rosterHash := fnv.New64a()
 	for i := range ranks {
 		s := &ranks[i].state
-		_, _ = roster.Write([]byte(ranks[i].engine + "\n")) // never fails
-		loads.Engines = append(loads.Engines, ranks[i].engine)
+		_, _ = rosterHash.Write([]byte(ranks[i].engineAddr + "\n")) // never fails
+		loads.Engines = append(loads.Engines, ranks[i].engineAddr)
 		loads.Running = append(loads.Running, peers.ClampUint8(s.Running))
 		loads.Waiting = append(loads.Waiting, peers.ClampUint8(s.Waiting))
 		if s.Slowdown > 1 {
@@ -113,24 +114,24 @@
 		late += int(s.QueuedLate)
 	}
 	loads.QueuedInTime, loads.QueuedLate = peers.ClampUint16(inTime), peers.ClampUint16(late)
-	loads.Roster = roster.Sum64()
+	loads.Roster = rosterHash.Sum64()
 	return loads
 }
 
-// loadsFor returns the loads that go with the questions of a round; those of a small group
-// are asked for at the leader, where they are fresher.
-func (l *leader) loadsFor(ranks int) peers.Loads {
-	if ranks <= directRanks {
+// loadsToSend returns the loads that go with the Collect messages of a round. It returns none for
+// a small group, whose entries ask the leader and get fresher loads.
+func (l *leader) loadsToSend(ranks int) peers.Loads {
+	if ranks <= maxDirectRanks {
 		return peers.Loads{}
 	}
 	a := l.a
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	loads := a.loads.loads
-	loads.AgeMS = uint32(min(time.Since(a.loads.asOf), time.Hour).Milliseconds())
-	if loads.Roster == l.roster && !l.noEngines {
+	loads := a.groupLoads.loads
+	loads.AgeMS = uint32(min(time.Since(a.groupLoads.asOf), time.Hour).Milliseconds())
+	if loads.Roster == l.sentRoster && !l.enginesUnknown {
 		loads.Engines = nil
 	}
-	l.roster = loads.Roster
+	l.sentRoster = loads.Roster
 	return loads
 }
--- a/lockstep/maps.go
+++ b/lockstep/maps.go
@@ -8,68 +8,69 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// knownMaps are the latest maps that an agent was given, so that the leader need
-// send only what changes: a whole map for each of 64 ranks would fill its link for
-// half a second.
-type knownMaps struct {
+// mapHistory holds the latest maps that an agent received, so that the leader can send only the
+// changes. A full map for each of 64 ranks would occupy the leader's link for half a second.
+type mapHistory struct {
 	mu    sync.Mutex
 	epoch uint64
-	maps  []knownMap // the latest last
+	maps  []mapEntry // oldest first
 }
 
-type knownMap struct {
+// mapEntry is one map of a mapHistory.
+type mapEntry struct {
 	version uint64
 	sets    [][][]uint16 // experts by set and rank
 }
 
-// mapsKept covers the map in use, the one that replaces it, and two that were
-// given up.
-const mapsKept = 4
+// maxRecentMaps covers the map in use, the one that replaces it, and two that were abandoned.
+const maxRecentMaps = 4
 
-func (k *knownMaps) put(epoch, version uint64, sets [][][]uint16) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if epoch != k.epoch {
-		k.epoch, k.maps = epoch, nil
+// put adds a map and drops the maps of other epochs.
+func (h *mapHistory) put(epoch, version uint64, sets [][][]uint16) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if epoch != h.epoch {
+		h.epoch, h.maps = epoch, nil
 	}
-	k.maps = append(k.maps, knownMap{version: version, sets: sets})
-	if len(k.maps) > mapsKept {
-		k.maps = slices.Delete(k.maps, 0, 1)
+	h.maps = append(h.maps, mapEntry{version: version, sets: sets})
+	if len(h.maps) > maxRecentMaps {
+		h.maps = slices.Delete(h.maps, 0, 1)
 	}
 }
 
-// newest returns the highest version that was given in an epoch; 0: none.
-func (k *knownMaps) newest(epoch uint64) uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if epoch != k.epoch {
+// highestVersion returns the highest version received in an epoch; 0: none.
+func (h *mapHistory) highestVersion(epoch uint64) uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if epoch != h.epoch {
 		return 0
 	}
 	version := uint64(0)
-	for i := range k.maps {
-		version = max(version, k.maps[i].version)
+	for i := range h.maps {
+		version = max(version, h.maps[i].version)
 	}
 	return version
 }
 
-// clear forgets the maps that an earlier run of the engine was given.
-func (k *knownMaps) clear() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.epoch, k.maps = 0, nil
+// clear removes the maps of an earlier run of the engine.
+func (h *mapHistory) clear() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.epoch, h.maps = 0, nil
 }
 
-// apply returns the map that changes make of a version; false if that is not known.
-func (k *knownMaps) apply(epoch, base uint64, changes []listChange) ([][][]uint16, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	at := slices.IndexFunc(k.maps, func(m knownMap) bool { return m.version == base })
-	if epoch != k.epoch || at < 0 {
+// apply returns the result of changes to the map version base; false if that map is unknown.
+func (h *mapHistory) apply(epoch, base uint64, changes []listChange) ([][][]uint16, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	at := slices.IndexFunc(h.maps, func(m mapEntry) bool { return m.version == base })
+	if epoch != h.epoch || at < 0 {
 		return nil, false
 	}
-	return applyChanges(k.maps[at].sets, changes)
+	return applyChanges(h.maps[at].sets, changes)
 }
 
+// applyChanges returns the result of changes to base, which it leaves unchanged.
 func applyChanges(base [][][]uint16, changes []listChange) ([][][]uint16, bool) {
 	var sets [][][]uint16
 	for _, ranks := range base {
@@ -84,8 +85,8 @@
 	return sets, true
 }
 
-// firstMap returns the map that engines start with.
-func firstMap(f *peers.InitialMap) [][][]uint16 {
+// initialMap returns the map that engines start with, by set and rank.
+func initialMap(f *peers.InitialMap) [][][]uint16 {
 	sets := make([][][]uint16, f.Sets)
 	for s := range sets {
 		sets[s] = expert.InitialLayout(int(f.Ranks), int(f.Experts))
@@ -93,52 +94,52 @@
 	return sets
 }
 
-// prepare gives an order to prepare a map, which may come as changes.
-func (a *Agent) prepare(o *peers.RankOrder) (peers.OrderResult, error) {
-	whole := *o
+// prepareMap orders this agent's engine to prepare a map, which the order may hold as changes.
+func (a *Agent) prepareMap(o *peers.RankOrder) (peers.OrderResult, error) {
+	full := *o
 	if len(o.Changes) > 0 {
-		sets, ok := a.changed(o)
+		sets, ok := a.applyOrderChanges(o)
 		if !ok {
 			return peers.OrderResult{UnknownBase: true}, nil
 		}
-		whole.Map, whole.Changes = sets, nil
+		full.Map, full.Changes = sets, nil
 	}
-	a.maps.put(o.Epoch, o.Version, whole.Map)
-	return a.orderOwn(&whole)
+	a.mapHistory.put(o.Epoch, o.Version, full.Map)
+	return a.orderLocalEngine(&full)
 }
 
-// changed returns the map that an order's changes make of their base.
-func (a *Agent) changed(o *peers.RankOrder) ([][][]uint16, bool) {
+// applyOrderChanges returns the map that an order holds as changes to its base.
+func (a *Agent) applyOrderChanges(o *peers.RankOrder) ([][][]uint16, bool) {
 	changes, err := unpackChanges(o.Changes)
 	if err != nil {
-		a.opts.Log.Error(err, "changes of a map ignored", "version", o.Version)
+		a.opts.Log.Error(err, "malformed map changes ignored", "version", o.Version)
 		return nil, false
 	}
 	if o.Base == 0 {
-		return applyChanges(firstMap(&o.InitialMap), changes)
+		return applyChanges(initialMap(&o.InitialMap), changes)
 	}
-	return a.maps.apply(o.Epoch, o.Base, changes)
+	return a.mapHistory.apply(o.Epoch, o.Base, changes)
 }
 
-// prepareAll has ranks prepare a map, given as changes to the one in use where the
-// agent knows that. It returns those that neither took nor refused it, and how many
-// refused it.
-func prepareAll(a *Agent, ranks []rank, whole, short *peers.RankOrder) (open []rank, refused int) {
-	var again []rank
-	sort := func(some []rank, results []peers.OrderResult) {
-		for i, r := range some {
+// prepareAll orders ranks to prepare a map. It sends delta, and then full to the ranks whose agents
+// lack the base. It returns the ranks that neither accepted nor refused, and the number that
+// refused.
+func prepareAll(a *Agent, ranks []rank, full, delta *peers.RankOrder) (unanswered []rank, refused int) {
+	var needFull []rank
+	classify := func(ordered []rank, results []peers.OrderResult) {
+		for i, r := range ordered {
 			switch {
 			case results[i].UnknownBase:
-				again = append(again, r)
+				needFull = append(needFull, r)
 			case results[i].Refused:
 				refused++
 			case !results[i].Accepted:
-				open = append(open, r)
+				unanswered = append(unanswered, r)
 			}
 		}
 	}
-	sort(ranks, relayEach(a, ranks, short))
-	retry := again
-	sort(retry, relayEach(a, retry, whole))
-	return open, refused
+	classify(ranks, orderRanks(a, ranks, delta))
+	retry := needFull
+	classify(retry, orderRanks(a, retry, full))
+	return unanswered, refused
 }
--- a/lockstep/member.go
+++ b/lockstep/member.go
@@ -9,107 +9,108 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// member reaches one engine of the service: through its agent, or directly if
-// the agent does not answer.
+// member is one engine of the service. It is reached through its agent, or directly if the agent
+// does not answer.
 type member struct {
-	engine  string   // address
-	agent   *contact // nil: none, or this agent itself
-	direct  Engine
-	own     *Agent    // if it is this agent's own
-	missing time.Time // since when readings of the store lack it; zero: the latest has it
-	peers   string    // address of its agent
-	rank    int       // that it told last; noRank: none yet
-	group   string    // that it told last; "": none yet
+	engineAddr   string       // HTTP address of the engine
+	agent        *agentClient // nil: no agent known, or this agent itself
+	engine       Engine       // direct client
+	localAgent   *Agent       // this agent, if the engine is on its VM
+	missingSince time.Time    // first read of the store that lacked it; zero: the latest read has it
+	agentAddr    string       // peer address of its agent
+	rank         int          // last reported; unknownRank: none yet
+	groupName    string       // last reported; "": none yet
 }
 
-// noRank sorts a member that has not told its rank behind all others.
-const noRank = math.MaxInt
+// unknownRank sorts members without a known rank last.
+const unknownRank = math.MaxInt
 
-// rank is a member with the state that it told.
+// rank is a member with its reported state.
 type rank struct {
 	*member
 	state peers.RankState
 }
 
-// Limits of questions to other agents.
+// Timeouts of requests to other agents.
 const (
-	// askLimit leaves an agent with a small part of a core time to ask its engine.
-	askLimit = 250 * time.Millisecond
-	// askSoon is several times the way to an agent and back, and to its engine.
-	askSoon = 40 * time.Millisecond
+	// askTimeout allows for an agent with a fraction of a core that queries its engine.
+	askTimeout = 250 * time.Millisecond
+	// hedgeDelay is several round trips to an agent and its engine.
+	hedgeDelay = 40 * time.Millisecond
 )
 
-// hasAgent tells whether the member's agent is worth asking.
-func (m *member) hasAgent() bool { return m.agent != nil && !m.agent.resting() }
+// canAskAgent reports whether the member has an agent that is not in backoff.
+func (m *member) canAskAgent() bool { return m.agent != nil && !m.agent.inBackoff() }
 
-// plain asks for nothing but the state.
-var plain = &peers.Collect{}
+// stateOnly requests a rank's state and nothing else.
+var stateOnly = &peers.Collect{}
 
+// collect asks the member's agent for the state of its rank, or its engine if the agent does not
+// answer.
 func (m *member) collect(a *Agent, q *peers.Collect) peers.RankState {
-	if m.own != nil {
+	if m.localAgent != nil {
 		fenced := q.Fence != 0 && a.setFence(fence{epoch: q.Epoch, step: q.Fence})
 		state := a.collect(q)
 		state.Fenced = fenced
 		return state
 	}
 	var state peers.RankState
-	if m.hasAgent() {
-		err := m.agent.ask(a.ctx, peers.KindCollect, q, &state, askLimit)
+	if m.canAskAgent() {
+		err := m.agent.ask(a.ctx, peers.KindCollect, q, &state, askTimeout)
 		if err == nil && state.Known {
 			return state
 		}
 		if err != nil {
-			a.opts.Log.Info("agent lost", "engine", m.engine, "error", err.Error())
+			a.opts.Log.Info("agent lost", "engine", m.engineAddr, "error", err.Error())
 		}
 	}
-	return m.collectDirectly(a, q)
+	return m.collectFromEngine(a, q)
 }
 
-// collectDirectly asks the engine itself. Its reports to another VM are paid for, so this
-// way is for the time that an agent is away; the counts, which would hold up the group,
-// are left out.
-func (m *member) collectDirectly(a *Agent, q *peers.Collect) peers.RankState {
-	state, err := m.direct.State(a.ctx)
+// collectFromEngine asks the engine itself, which is the fallback while its agent is down. Reports
+// to another VM are paid for. Counts are left out because reading them would delay the group.
+func (m *member) collectFromEngine(a *Agent, q *peers.Collect) peers.RankState {
+	state, err := m.engine.State(a.ctx)
 	if err != nil {
-		a.opts.Log.Info("engine lost", "engine", m.engine, "error", err.Error())
+		a.opts.Log.Info("engine lost", "engine", m.engineAddr, "error", err.Error())
 		return peers.RankState{}
 	}
 	if q.Lists {
-		m.listDirectly(a, &state)
+		m.readExpertsFromEngine(a, &state)
 	}
 	return state
 }
 
-// listDirectly asks the engine itself for its experts.
-func (m *member) listDirectly(a *Agent, s *peers.RankState) {
-	lists, version, err := m.direct.RankExperts(a.ctx)
+// readExpertsFromEngine adds the experts that the engine itself reports to s.
+func (m *member) readExpertsFromEngine(a *Agent, s *peers.RankState) {
+	lists, version, err := m.engine.RankExperts(a.ctx)
 	switch {
 	case err != nil:
-		a.opts.Log.Info("experts of an engine not read", "engine", m.engine, "error", err.Error())
+		a.opts.Log.Info("reading the experts of an engine failed", "engine", m.engineAddr, "error", err.Error())
 	case version == s.Map:
 		s.Lists = lists
 	}
 }
 
-// collectSoon is collect for a group that stands still: the engine itself is asked if the
-// agent does not answer at once, and not only after the agent's whole time.
+// collectHedged is collect for a stalled group: it asks the engine too if the agent has not
+// answered within hedgeDelay.
 //
-// Failure: the leader freezes while the group is held. Symptom: no pass begins until the
-// others know that the leader's VM can't be reached, and its two time limits one after the
-// other are longer than a pass may take.
-func (m *member) collectSoon(a *Agent, q *peers.Collect) peers.RankState {
-	if m.own != nil || !m.hasAgent() || ablate.Off(ablate.HeldSoon) {
+// If the leader freezes while the group is held, no pass begins until the other agents find that
+// the leader's VM is unreachable. The timeouts of agent and engine in sequence are longer than a
+// pass may take.
+func (m *member) collectHedged(a *Agent, q *peers.Collect) peers.RankState {
+	if m.localAgent != nil || !m.canAskAgent() || ablate.Off(ablate.HeldSoon) {
 		return m.collect(a, q)
 	}
 	answer := make(chan peers.RankState, 1)
 	go func() {
 		var state peers.RankState
-		if err := m.agent.client.Ask(a.ctx, peers.KindCollect, q, &state, askLimit); err != nil {
+		if err := m.agent.client.Ask(a.ctx, peers.KindCollect, q, &state, askTimeout); err != nil {
 			state = peers.RankState{}
 		}
 		answer <- state
 	}()
-	timer := time.NewTimer(askSoon)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	select {
 	case state := <-answer:
@@ -118,47 +119,47 @@
 		}
 	case <-timer.C:
 	}
-	direct, err := m.direct.State(a.ctx)
+	directState, err := m.engine.State(a.ctx)
 	select {
 	case state := <-answer:
 		if state.Known {
-			return state // it tells of its fence too
+			return state // it includes the fence state
 		}
 	default:
 	}
 	if err != nil {
-		a.opts.Log.Info("engine lost", "engine", m.engine, "error", err.Error())
+		a.opts.Log.Info("engine lost", "engine", m.engineAddr, "error", err.Error())
 		return peers.RankState{}
 	}
-	return direct
+	return directState
 }
 
-// order gives an order to a member's engine.
+// order sends an order to the member's engine.
 func (m *member) order(a *Agent, o *peers.RankOrder) peers.OrderResult {
-	if m.own != nil {
+	if m.localAgent != nil {
 		result, err := a.order(o)
 		if err != nil {
-			a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "engine", m.engine, "error", err.Error())
+			a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "engine", m.engineAddr, "error", err.Error())
 		}
 		return result
 	}
-	if m.hasAgent() {
+	if m.canAskAgent() {
 		var result peers.OrderResult
-		if err := m.agent.ask(a.ctx, peers.KindOrder, o, &result, askLimit); err == nil {
+		if err := m.agent.ask(a.ctx, peers.KindOrder, o, &result, askTimeout); err == nil {
 			return result
 		}
 	}
 	if len(o.Changes) > 0 {
-		return peers.OrderResult{UnknownBase: true} // the engine itself takes whole maps only
+		return peers.OrderResult{UnknownBase: true} // engines accept full maps only
 	}
-	result, err := m.direct.Order(a.ctx, o)
+	result, err := m.engine.Order(a.ctx, o)
 	if err != nil {
-		a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "engine", m.engine, "error", err.Error())
+		a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "engine", m.engineAddr, "error", err.Error())
 	}
 	return result
 }
 
-// orderEach gives an order to all ranks at once.
+// orderEach sends an order to all ranks in parallel.
 func orderEach(a *Agent, ranks []rank, o *peers.RankOrder) []peers.OrderResult {
 	results := make([]peers.OrderResult, len(ranks))
 	var wait sync.WaitGroup
--- a/lockstep/order_test.go
+++ b/lockstep/order_test.go
@@ -11,34 +11,33 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// muteEngine leaves orders unanswered until its turn.
-type muteEngine struct {
+// unansweringEngine does not answer its first orders.
+type unansweringEngine struct {
 	Engine
-	mute  int // orders that get no answer
-	given int
+	unanswered int // number of orders without an answer
+	orders     int
 }
 
 // Order implements Engine.
-func (e *muteEngine) Order(context.Context, *peers.RankOrder) (peers.OrderResult, error) {
-	e.given++
-	if e.given <= e.mute {
+func (e *unansweringEngine) Order(context.Context, *peers.RankOrder) (peers.OrderResult, error) {
+	e.orders++
+	if e.orders <= e.unanswered {
 		return peers.OrderResult{}, errNoAnswer
 	}
 	return peers.OrderResult{Accepted: true}, nil
 }
 
-// An engine leaves an arm unanswered while its group is held. The agent beside it
-// gives it again at once; if the leader had to find out and ask again, every stream
-// of the group would pause for that long.
-func TestAnUnansweredOrderIsGivenAgainOnTheSpot(t *testing.T) {
+// If an engine leaves an arm order unanswered while its group is held, its agent repeats the order at
+// once. If the leader had to notice and repeat it, every stream would pause for that long.
+func TestUnansweredOrderIsRepeatedLocally(t *testing.T) {
 	g := NewWithT(t)
-	for mute, taken := range map[int]bool{0: true, 1: true, ownTries - 1: true, ownTries: false} {
-		e := &muteEngine{mute: mute}
+	for unanswered, accepted := range map[int]bool{0: true, 1: true, localOrderAttempts - 1: true, localOrderAttempts: false} {
+		e := &unansweringEngine{unanswered: unanswered}
 		a := newAgent(Options{Engine: e, Log: logr.Discard(), Metrics: metrics.New()})
 		result, err := a.order(&peers.RankOrder{Kind: peers.OrderArm, Epoch: 1, Version: 5, Step: 9})
-		g.Expect(result.Accepted).To(Equal(taken), "%d unanswered", mute)
-		g.Expect(err == nil).To(Equal(taken))
-		g.Expect(e.given).To(Equal(min(mute+1, ownTries)), "no more than needed")
+		g.Expect(result.Accepted).To(Equal(accepted), "%d unanswered", unanswered)
+		g.Expect(err == nil).To(Equal(accepted))
+		g.Expect(e.orders).To(Equal(min(unanswered+1, localOrderAttempts)), "no more attempts than needed")
 		a.cancel()
 	}
 }
--- a/lockstep/orders.go
+++ b/lockstep/orders.go
@@ -6,88 +6,91 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// fence names passes for which this rank must not be armed any more.
+// fence bars this agent from arming ranks for passes up to a step.
 type fence struct {
-	born  int64 // run of the engine; 0: whichever it has
-	epoch uint64
-	step  uint64 // and all before it
+	startedAtMS int64 // run of the engine that the fence applies to; 0: not yet known
+	epoch       uint64
+	step        uint64 // last fenced pass
 }
 
+// setFence sets the fence unless a later one of the same run and epoch is set. It returns true once
+// the fence is in force.
 func (a *Agent) setFence(f fence) bool {
-	a.arming <- struct{}{}
-	defer func() { <-a.arming }()
-	f.born = a.runOf()
-	if f.born != a.fence.born || f.epoch != a.fence.epoch || f.step > a.fence.step {
+	a.armToken <- struct{}{}
+	defer func() { <-a.armToken }()
+	f.startedAtMS = a.engineStartTime()
+	if f.startedAtMS != a.fence.startedAtMS || f.epoch != a.fence.epoch || f.step > a.fence.step {
 		a.fence = f
 	}
 	return true
 }
 
-// runOf returns when the engine's run began; 0 if it has not told yet.
-func (a *Agent) runOf() int64 {
+// engineStartTime returns the start of the engine's run in Unix milliseconds; 0: not yet reported.
+func (a *Agent) engineStartTime() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.born
+	return a.engineStartedAtMS
 }
 
-// bindFence binds a fence that was set before the engine's run was known to that run.
-func (a *Agent) bindFence(born int64) {
-	a.arming <- struct{}{}
-	defer func() { <-a.arming }()
-	if a.fence.born == 0 {
-		a.fence.born = born
+// bindFence ties a fence that was set before the engine's first report to the reported run.
+func (a *Agent) bindFence(startedAtMS int64) {
+	a.armToken <- struct{}{}
+	defer func() { <-a.armToken }()
+	if a.fence.startedAtMS == 0 {
+		a.fence.startedAtMS = startedAtMS
 	}
 }
 
-// fenced tells whether this agent has been told to arm no more for an order's pass.
-func (a *Agent) fenced(o *peers.RankOrder) bool {
-	a.arming <- struct{}{}
-	defer func() { <-a.arming }()
-	return a.fence.stops(o, a.runOf())
+// isFenced reports whether this agent must not arm a rank for the order's pass.
+func (a *Agent) isFenced(o *peers.RankOrder) bool {
+	a.armToken <- struct{}{}
+	defer func() { <-a.armToken }()
+	return a.fence.blocks(o, a.engineStartTime())
 }
 
-// stops tells whether an arm must not be given any more.
-func (f fence) stops(o *peers.RankOrder, born int64) bool {
-	same := f.born == 0 || f.born == born
-	return !o.Recovery && same && o.Epoch == f.epoch && o.Step <= f.step
+// blocks reports whether the fence forbids an arm order. Recovery orders pass: their sender has set
+// the fence.
+func (f fence) blocks(o *peers.RankOrder, startedAtMS int64) bool {
+	sameRun := f.startedAtMS == 0 || f.startedAtMS == startedAtMS
+	return !o.Recovery && sameRun && o.Epoch == f.epoch && o.Step <= f.step
 }
 
-// order gives an order to this agent's engine, or to the one that it names.
+// order executes an order at this agent's engine, or at the engine that the order names.
 func (a *Agent) order(o *peers.RankOrder) (peers.OrderResult, error) {
 	if o.Kind == peers.OrderPrepare {
-		return a.prepare(o)
+		return a.prepareMap(o)
 	}
 	if o.Kind != peers.OrderArm {
-		return a.orderOwn(o)
+		return a.orderLocalEngine(o)
 	}
-	a.arming <- struct{}{}
-	defer func() { <-a.arming }()
-	if a.fence.stops(o, a.runOf()) {
+	a.armToken <- struct{}{}
+	defer func() { <-a.armToken }()
+	if a.fence.blocks(o, a.engineStartTime()) {
 		return peers.OrderResult{Refused: true}, nil
 	}
 	if o.Engine == "" {
-		return a.orderOwn(o)
+		return a.orderLocalEngine(o)
 	}
-	a.setOther(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step})
-	result, err := a.remote(o.Engine).Order(a.ctx, o)
+	a.setProxyArm(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step})
+	result, err := a.remoteEngine(o.Engine).Order(a.ctx, o)
 	if err == nil && result.Accepted {
-		a.setOther(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step, Accepted: true})
+		a.setProxyArm(peers.ProxyArm{Epoch: o.Epoch, Step: o.Step, Accepted: true})
 	}
 	return result, err
 }
 
-// ownTries is how often an order to this VM's own engine is given before the leader
-// is told that it went unanswered.
-const ownTries = 3
+// localOrderAttempts is how often an order is sent to the engine on this VM before the leader is
+// notified that it went unanswered.
+const localOrderAttempts = 3
 
-// orderOwn gives an order to this VM's engine, and again if it gets no answer.
+// orderLocalEngine sends an order to this VM's engine and repeats it if there is no answer.
 //
-// Failure: engines leave some orders unanswered. Symptom: some ranks of a large group miss
-// theirs in each round, the leader finds out and asks again, and the group stands still
-// meanwhile. Given again on the spot it costs a round trip on the same VM. An order that was
-// taken after all holds already, and is answered so or refused.
-func (a *Agent) orderOwn(o *peers.RankOrder) (result peers.OrderResult, err error) {
-	for range ownTries {
+// Engines leave some orders unanswered. In a large group some ranks miss theirs in each round, and
+// the group would stall until the leader notices and orders again. A repetition here costs one
+// round trip within the VM. If the engine did execute the first order, it accepts the repetition
+// as already done or refuses it.
+func (a *Agent) orderLocalEngine(o *peers.RankOrder) (result peers.OrderResult, err error) {
+	for range localOrderAttempts {
 		result, err = a.opts.Engine.Order(a.ctx, o)
 		if err == nil || a.ctx.Err() != nil {
 			return result, err
@@ -97,39 +100,41 @@
 	return result, err
 }
 
-func (a *Agent) setOther(o peers.ProxyArm) {
+// setProxyArm records the state of an arm order that this agent sent to another engine.
+func (a *Agent) setProxyArm(o peers.ProxyArm) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.other.Accepted && a.other.Epoch == o.Epoch && a.other.Step == o.Step {
-		return // a later try changes nothing
+	if a.proxyArm.Accepted && a.proxyArm.Epoch == o.Epoch && a.proxyArm.Step == o.Step {
+		return // a repetition changes nothing
 	}
-	a.other = o
+	a.proxyArm = o
 }
 
-// remote returns a client of an engine on another VM; the token of arming is held.
-func (a *Agent) remote(address string) Engine {
-	if a.remotes == nil {
-		a.remotes = make(map[string]Engine)
+// remoteEngine returns a client of an engine on another VM. The caller holds armToken.
+func (a *Agent) remoteEngine(address string) Engine {
+	if a.remoteEngines == nil {
+		a.remoteEngines = make(map[string]Engine)
 	}
-	if a.remotes[address] == nil {
-		a.remotes[address] = a.opts.NewRemoteEngine(address)
+	if a.remoteEngines[address] == nil {
+		a.remoteEngines[address] = a.opts.NewRemoteEngine(address)
 	}
-	return a.remotes[address]
+	return a.remoteEngines[address]
 }
 
-func (a *Agent) answerOrder(payload []byte) (msgp.Marshaler, error) {
+// handleOrder executes an order and relays it to the agents in its subtree.
+func (a *Agent) handleOrder(payload []byte) (msgp.Marshaler, error) {
 	var o peers.RankOrder
 	if _, err := o.UnmarshalMsg(payload); err != nil {
 		return nil, err
 	}
-	addresses, limit := o.Subtree, limitBelow(o.LimitMS)
+	addresses, timeout := o.Subtree, subtreeTimeout(o.LimitMS)
 	o.Subtree = nil
-	below := make(chan []peers.OrderResult, 1)
-	go func() { below <- a.orderBelow(addresses, &o, limit) }()
+	subtree := make(chan []peers.OrderResult, 1)
+	go func() { subtree <- a.orderAlongTree(addresses, &o, timeout) }()
 	result, err := a.order(&o)
 	if err != nil {
 		a.opts.Log.Info("order unanswered", "order", o.Kind.String(), "version", o.Version, "step", o.Step, "error", err.Error())
 	}
-	result.Subtree = <-below
+	result.Subtree = <-subtree
 	return &result, nil
 }
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -10,46 +10,45 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// demand is how much each expert is wanted.
+// demand estimates how often each expert is selected.
 //
-// Demand keeps for some seconds and then moves at once. The choices of the last
-// passes show a move soonest, but follow the chance of which requests run just
-// then, and maps that follow chance cost copies for nothing. So two means are
-// kept, over a short and a long while. The long one counts, until the map fits the
-// short one so much worse that demand must have moved; then it begins anew from
-// there.
+// Demand stays the same for some seconds and then shifts at once. The selections of the latest
+// passes show a shift soonest, but they also vary by chance, and maps that follow chance cost
+// copies for nothing. So there are two means: one over a short and one over a long time. Plans
+// use the long one. When the map fits the short mean so much worse that demand must have
+// shifted, the long mean restarts from the short one.
 type demand struct {
-	recent, steady mean
-	last           time.Time
+	recent, steady decayingMean
+	observedAt     time.Time
 }
 
-// mean is a mean of choices that fades.
-type mean struct {
-	half  time.Duration
-	loads []float64
-	total float64
+// decayingMean holds selections per expert, weighted by age with a half-life.
+type decayingMean struct {
+	halfLife time.Duration
+	loads    []float64
+	total    float64 // sum of loads
 }
 
-// Figures of the demand.
+// Parameters of the demand estimate.
 const (
 	recentHalfLife = 80 * time.Millisecond // one or two passes
 	steadyHalfLife = 700 * time.Millisecond
-	// movedShare and minMoved: by chance the map fits the last passes worse by a
-	// tenth; a move makes it about twice as bad.
-	movedShare = 1.2
-	minMoved   = 0.05
-	// enoughChoices for each expert tell demand from chance within a few percent.
-	enoughChoices = 200
+	// shiftRatio and minShift: chance raises the imbalance of the latest passes by about a
+	// tenth, a shift about doubles it.
+	shiftRatio = 1.2
+	minShift   = 0.05
+	// minSelectionsPerExpert tells demand from chance within a few percent.
+	minSelectionsPerExpert = 200
 )
 
 func newDemand(experts int) *demand {
 	return &demand{
-		recent: mean{half: recentHalfLife, loads: make([]float64, experts)},
-		steady: mean{half: steadyHalfLife, loads: make([]float64, experts)},
+		recent: decayingMean{halfLife: recentHalfLife, loads: make([]float64, experts)},
+		steady: decayingMean{halfLife: steadyHalfLife, loads: make([]float64, experts)},
 	}
 }
 
-// observe takes the choices since the last time.
+// observe adds the selections since the previous observation.
 func (d *demand) observe(now time.Time, counts []float64) {
 	sum := 0.0
 	for _, n := range counts {
@@ -58,30 +57,32 @@
 	if sum == 0 {
 		return
 	}
-	since := time.Duration(0)
-	if !d.last.IsZero() {
-		since = now.Sub(d.last)
+	elapsed := time.Duration(0)
+	if !d.observedAt.IsZero() {
+		elapsed = now.Sub(d.observedAt)
 	}
-	d.last = now
-	d.recent.add(counts, sum, since)
-	d.steady.add(counts, sum, since)
+	d.observedAt = now
+	d.recent.add(counts, sum, elapsed)
+	d.steady.add(counts, sum, elapsed)
 }
 
-func (m *mean) add(counts []float64, sum float64, since time.Duration) {
-	keep := halved(since, m.half)
-	m.total = m.total*keep + sum
+// add decays the mean by the elapsed time and adds counts.
+func (m *decayingMean) add(counts []float64, sum float64, elapsed time.Duration) {
+	decay := decayFactor(elapsed, m.halfLife)
+	m.total = m.total*decay + sum
 	for e := range m.loads {
-		m.loads[e] = m.loads[e]*keep + counts[e]
+		m.loads[e] = m.loads[e]*decay + counts[e]
 	}
 }
 
-// moved notes whether demand has moved, by how well the map in use fits.
-func (d *demand) moved(layouts []expert.Layout, m *serving.EngineModel) bool {
-	if !d.enough() {
+// detectShift reports whether demand has shifted, and if so restarts the long mean. It compares
+// how well the map in use fits both means.
+func (d *demand) detectShift(layouts []expert.Layout, m *serving.EngineModel) bool {
+	if !d.hasEnoughData() {
 		return false
 	}
 	recent, steady := imbalance(layouts, d.recent.loads, nil, m), imbalance(layouts, d.steady.loads, nil, m)
-	if recent < steady*movedShare+minMoved || ablate.Off(ablate.TwoMeans) {
+	if recent < steady*shiftRatio+minShift || ablate.Off(ablate.TwoMeans) {
 		return false
 	}
 	copy(d.steady.loads, d.recent.loads)
@@ -89,128 +90,131 @@
 	return true
 }
 
-// enough tells whether what is known is more than chance.
-func (d *demand) enough() bool {
-	return d.recent.total > enoughChoices*float64(len(d.recent.loads))
+// hasEnoughData reports whether enough selections are known to tell demand from chance.
+func (d *demand) hasEnoughData() bool {
+	return d.recent.total > minSelectionsPerExpert*float64(len(d.recent.loads))
 }
 
-// loads returns the demand to plan for.
+// loads returns the demand to plan for, by set and expert.
 func (d *demand) loads() []float64 { return d.steady.loads }
 
-// halved returns what is left of 1 after a time, linearly within a half-life.
-func halved(t, half time.Duration) float64 {
-	left := 1.0
-	for t >= half && left > 0.01 {
-		left /= 2
-		t -= half
+// decayFactor returns the remainder of 1 after time t. It is linear within a half-life.
+func decayFactor(t, halfLife time.Duration) float64 {
+	factor := 1.0
+	for t >= halfLife && factor > 0.01 {
+		factor /= 2
+		t -= halfLife
 	}
-	if t < half {
-		left *= 1 - 0.5*float64(t)/float64(half)
+	if t < halfLife {
+		factor *= 1 - 0.5*float64(t)/float64(halfLife)
 	}
-	return left
+	return factor
 }
 
-// plan is a change of the maps of all sets.
+// plan is a change of the maps of all layer sets.
 type plan struct {
-	layouts       []expert.Layout
-	before, after float64 // longest rank over the mean, summed over the sets
-	copies        int     // experts that ranks must copy
-	most          int     // by one rank
-	cost          float64 // of the time until the horizon, see planner
+	layouts                         []expert.Layout
+	imbalanceBefore, imbalanceAfter float64 // longest rank time over the mean, summed over the sets
+	copies                          int     // experts that ranks must copy in total
+	maxCopiesPerRank                int
+	cost                            float64 // see planner
 }
 
-// holdsAll tells whether a map can be made for so many ranks at all.
+// fitsAllExperts reports whether the ranks have a place for each expert.
 //
-// Failure: ranks have fewer places than there are experts, as after a fleet was made smaller;
-// they run on the map that they start with, and refuse any other. Symptom: a map is planned,
-// sent to all ranks and refused again without an end.
-func holdsAll(m *serving.EngineModel, ranks int) bool {
+// After a fleet has shrunk, ranks may have fewer places than there are experts. Engines then keep
+// their initial map and refuse any other, and the leader would plan and send maps without end.
+func fitsAllExperts(m *serving.EngineModel, ranks int) bool {
 	return m.ExpertsPerRank == 0 || m.ExpertsPerRank*ranks >= m.Experts
 }
 
-// planner chooses among plans that copy more or less.
+// planner compares plans with different numbers of copies.
 //
-// A plan with more copies ends with a better map, later: a rank copies one expert
-// after the other, and passes are slower meanwhile. So each plan is rated by the
-// experts' time summed up to a horizon, before and after the switch, and by what
-// its copies cost. A slow group has no time to lose, and a group that is well
-// within its aims gains nothing by the last percent.
+// A plan with more copies gives a better map, but later: a rank copies one expert after the other,
+// and passes are slower meanwhile. So the cost of a plan is the experts' time up to a horizon,
+// before and after the switch, plus a price for its copies. The price is low for a group with slow
+// passes, and high for a group well within its event gap objective, which gains nothing by the
+// last percent.
 type planner struct {
-	model   *serving.EngineModel
-	pace    []float64 // how many times as long as usual each rank takes
-	urgency float64   // pass time over the longest pause that is in time
-	costs   switchMeter
-	streams float64 // that run on a rank, in the mean
+	model       *serving.EngineModel
+	slowdown    []float64 // factor per rank; 1 is normal
+	urgency     float64   // pass time over the event gap objective
+	switchCosts switchCosts
+	meanStreams float64 // running streams per rank
 }
 
-// switchMeter tells what a switch takes, by the latest ones: it differs with the size of
-// the group, its VMs and their links.
-type switchMeter struct {
-	beside time.Duration // beyond the copies, from the plan on
-	stall  time.Duration // for which the group stands still
+// switchCosts are decaying means of what switches cost. The costs differ with the size of the group
+// and with its VMs and their links.
+type switchCosts struct {
+	overhead time.Duration // from plan to switch, without the copies
+	stall    time.Duration // for which the group is held
 }
 
-// meterWeight is the weight of the latest switch in the means.
-const meterWeight = 4
+// switchCostSmoothing: the latest switch counts for one part in so many.
+const switchCostSmoothing = 4
 
-func newSwitchMeter() switchMeter { return switchMeter{beside: usualSwitch, stall: usualStall} }
+func newSwitchCosts() switchCosts {
+	return switchCosts{overhead: initialSwitchOverhead, stall: initialStall}
+}
 
-func (m *switchMeter) take(beside, stall time.Duration) {
-	m.beside += (max(beside, 0) - m.beside) / meterWeight
-	m.stall += (stall - m.stall) / meterWeight
+// observe adds one switch to the means.
+func (m *switchCosts) observe(overhead, stall time.Duration) {
+	m.overhead += (max(overhead, 0) - m.overhead) / switchCostSmoothing
+	m.stall += (stall - m.stall) / switchCostSmoothing
 }
 
-// Figures of a plan.
+// Parameters of the planner.
 const (
-	balanceSteps = 60
-	// horizon is for how long a gain is counted: demand keeps for some seconds, and
-	// it is not known how long it has kept already.
-	horizon = 2.0 // seconds
-	// usualSwitch and usualStall are expected before the first switch, see switchMeter.
-	usualSwitch = 150 * time.Millisecond
-	usualStall  = 35 * time.Millisecond
-	// copySlows is how much longer passes take while copies come in. Source: the
-	// platform's statement of 15 in 100.
-	copySlows = 0.15
-	// calmCopyCost is what a gigabyte copied for each rank of the group costs one that
-	// is calm, in means of the experts' time of one rank, and busyCopyCost one whose
-	// passes are near the limit: a calm group gains nobody an answer in time by the last
-	// percent, and copies are paid for.
-	calmCopyCost = 0.6
-	busyCopyCost = 0.065
-	busyUrgency  = 0.6
-	// idleCopyCost comes on top, divided by the square of the streams that a rank runs: the
-	// fewer there are, the fewer gain, and the further their passes are from the limit. Below
-	// minIdle the square counts no less.
-	idleCopyCost = 0.5
-	minIdle      = 0.01
-	// evenEnough: what is left to gain below it is less than what a switch costs, so the
-	// leader's small processor is spared the look for a plan.
-	evenEnough = 1.08
+	maxBalanceSteps = 60
+	// horizonSec is the time over which a gain counts. Demand lasts for some seconds, and how
+	// long it has lasted already is unknown.
+	horizonSec = 2.0
+	// initialSwitchOverhead and initialStall are assumed before the first switch.
+	initialSwitchOverhead = 150 * time.Millisecond
+	initialStall          = 35 * time.Millisecond
+	// copySlowdown is the share by which passes slow down during copies. Source: the platform's
+	// statement of 15 in 100.
+	copySlowdown = 0.15
+	// lowUrgencyCopyCost is the cost of one gigabyte copied per rank for a group with urgency 0,
+	// in units of the mean expert time of a rank. highUrgencyCopyCost is the same from highUrgency
+	// on. Copies are paid for, and in a group far from its limit the last percent of balance
+	// brings no additional response in time.
+	lowUrgencyCopyCost  = 0.6
+	highUrgencyCopyCost = 0.065
+	highUrgency         = 0.6
+	// idleCopyCost is added after division by the square of the streams per rank. The fewer
+	// streams there are, the fewer gain, and the further passes are from the limit. The square
+	// counts as at least minStreamsSquared.
+	idleCopyCost      = 0.5
+	minStreamsSquared = 0.01
+	// balancedImbalance: below it the possible gain is less than the cost of a switch, so the
+	// leader's small VM skips planning.
+	balancedImbalance = 1.08
 )
 
-// Plans that are compared: how many experts a rank may copy in all sets together.
-// Each goes on from the one before.
+// Limits of the compared plans: how many experts a rank may copy in all sets together. Each plan
+// extends the previous one.
 var (
-	// smallPlans improve a map that fits nearly.
-	smallPlans = []int{1, 2, 3}
-	// largePlans answer demand that has moved.
-	largePlans = []int{1, 2, 3, 5, 8}
+	// smallCopyLimits are for a map that nearly fits.
+	smallCopyLimits = []int{1, 2, 3}
+	// largeCopyLimits are for a shift in demand.
+	largeCopyLimits = []int{1, 2, 3, 5, 8}
 )
 
-// copyPrice is what each copy must gain in the sum of the powers of the ranks' loads.
-const copyPrice = 0.3
+// pricePerCopy is the decrease that each copy must bring in the sum of powers of the ranks' loads;
+// see expert.Balance.
+const pricePerCopy = 0.3
 
-// farOff is the imbalance from which a map does not fit any more.
-const farOff = 1.35
+// largeImbalance is the imbalance from which the map no longer fits.
+const largeImbalance = 1.35
 
-// imbalance returns the longest rank over the mean, summed over the sets.
-func imbalance(layouts []expert.Layout, loads, pace []float64, m *serving.EngineModel) float64 {
+// imbalance returns the longest rank time over the mean, both summed over the sets.
+func imbalance(layouts []expert.Layout, loads, slowdown []float64, m *serving.EngineModel) float64 {
 	var longest, mean float64
 	for s, layout := range layouts {
-		most, even := layout.MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], pace)
-		longest += most
-		mean += even
+		longestOfSet, meanOfSet := layout.MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], slowdown)
+		longest += longestOfSet
+		mean += meanOfSet
 	}
 	if mean == 0 {
 		return 1
@@ -218,20 +222,20 @@
 	return longest / mean
 }
 
-// best returns the best plan, which may be to change nothing.
+// best returns the plan of least cost, which may be to keep the map.
 func (pl *planner) best(layouts []expert.Layout, loads []float64) plan {
-	stay := imbalance(layouts, loads, pl.pace, pl.model)
-	best := plan{layouts: layouts, before: stay, after: stay, cost: stay * horizon}
-	if stay < evenEnough {
+	current := imbalance(layouts, loads, pl.slowdown, pl.model)
+	best := plan{layouts: layouts, imbalanceBefore: current, imbalanceAfter: current, cost: current * horizonSec}
+	if current < balancedImbalance {
 		return best
 	}
-	variants := smallPlans
-	if stay > farOff {
-		variants = pl.worthwhile(largePlans)
+	limits := smallCopyLimits
+	if current > largeImbalance {
+		limits = pl.usefulLimits(largeCopyLimits)
 	}
 	next := layouts
-	for _, copies := range variants {
-		p := pl.variant(layouts, next, loads, copies)
+	for _, limit := range limits {
+		p := pl.planWithLimit(layouts, next, loads, limit)
 		if p.copies > 0 && p.cost < best.cost {
 			best = p
 		}
@@ -240,101 +244,101 @@
 	return best
 }
 
-// worthwhile leaves out plans that save hardly any time against the next larger one.
-// Each plan takes a leader with a small part of a core some ten milliseconds, in
-// which every pass is a long one.
-func (pl *planner) worthwhile(copies []int) []int {
-	for len(copies) > 1 && pl.copyTime(copies[1]) < quickCopies {
-		copies = copies[1:]
+// usefulLimits drops limits whose plans save hardly any time against the next larger one. Each plan
+// takes a leader with a fraction of a core some ten milliseconds, during which passes stay slow.
+func (pl *planner) usefulLimits(limits []int) []int {
+	for len(limits) > 1 && pl.copyTime(limits[1]) < shortCopyTime {
+		limits = limits[1:]
 	}
-	return copies
+	return limits
 }
 
-// quickCopies is less than a pass takes.
-const quickCopies = 50 * time.Millisecond
+// shortCopyTime is less than the time of a pass.
+const shortCopyTime = 50 * time.Millisecond
 
-// variant balances all sets, the worst first, until ranks have copied enough. It goes
-// on from a plan with fewer copies.
-func (pl *planner) variant(layouts, from []expert.Layout, loads []float64, copies int) plan {
+// planWithLimit balances all sets, the worst first, until each rank has copied up to limit experts.
+// It starts from the layouts of a plan with a lower limit.
+func (pl *planner) planWithLimit(layouts, from []expert.Layout, loads []float64, limit int) plan {
 	m := pl.model
 	p := plan{layouts: slices.Clone(from)}
-	room := make([]int, len(layouts[0]))
-	for r := range room {
-		room[r] = copies
+	remaining := make([]int, len(layouts[0]))
+	for r := range remaining {
+		remaining[r] = limit
 	}
 	for s := range from {
-		for r, n := range freshOf(layouts[s], from[s]) {
-			room[r] -= n
+		for r, added := range newExpertsPerRank(layouts[s], from[s]) {
+			remaining[r] -= added
 		}
 	}
-	for _, s := range worstFirst(from, loads, pl.pace, m) {
-		for r, n := range freshOf(layouts[s], from[s]) {
-			room[r] += n
+	for _, s := range setsByMaxTime(from, loads, pl.slowdown, m) {
+		for r, added := range newExpertsPerRank(layouts[s], from[s]) {
+			remaining[r] += added
 		}
 		lim := expert.BalanceLimits{
-			Base: layouts[s], ExpertsPerRank: m.ExpertsPerRank, MaxNewPerRank: m.SpareExperts, MaxNewByRank: room, Slowdown: pl.pace, PricePerCopy: copyPrice, MaxSteps: balanceSteps,
+			Base: layouts[s], ExpertsPerRank: m.ExpertsPerRank, MaxNewPerRank: m.SpareExperts, MaxNewByRank: remaining, Slowdown: pl.slowdown, PricePerCopy: pricePerCopy, MaxSteps: maxBalanceSteps,
 		}
 		p.layouts[s] = expert.Balance(from[s], loads[s*m.Experts:(s+1)*m.Experts], lim)
-		for r, n := range freshOf(layouts[s], p.layouts[s]) {
-			room[r] -= n
-			p.copies += n
+		for r, added := range newExpertsPerRank(layouts[s], p.layouts[s]) {
+			remaining[r] -= added
+			p.copies += added
 		}
 	}
-	for _, left := range room {
-		p.most = max(p.most, copies-left)
+	for _, left := range remaining {
+		p.maxCopiesPerRank = max(p.maxCopiesPerRank, limit-left)
 	}
-	p.before = imbalance(layouts, loads, pl.pace, m)
-	p.after = imbalance(p.layouts, loads, pl.pace, m)
-	p.cost = pl.rate(&p)
+	p.imbalanceBefore = imbalance(layouts, loads, pl.slowdown, m)
+	p.imbalanceAfter = imbalance(p.layouts, loads, pl.slowdown, m)
+	p.cost = pl.costOf(&p)
 	return p
 }
 
-// worstFirst returns the sets, the one with the busiest rank first.
-func worstFirst(layouts []expert.Layout, loads, pace []float64, m *serving.EngineModel) []int {
+// setsByMaxTime returns the sets in order of decreasing time of their slowest rank.
+func setsByMaxTime(layouts []expert.Layout, loads, slowdown []float64, m *serving.EngineModel) []int {
 	order := make([]int, len(layouts))
 	longest := make([]float64, len(layouts))
 	for s := range layouts {
 		order[s] = s
-		longest[s], _ = layouts[s].MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], pace)
+		longest[s], _ = layouts[s].MaxAndMeanTime(loads[s*m.Experts:(s+1)*m.Experts], slowdown)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(longest[b], longest[a]) })
 	return order
 }
 
-func (pl *planner) rate(p *plan) float64 {
-	copying := pl.copying(p).Seconds()
-	delay := min(pl.costs.beside.Seconds()+copying, horizon)
-	calm := min(max(1-pl.urgency/busyUrgency, 0), 1)
+// costOf returns the cost of a plan; see planner.
+func (pl *planner) costOf(p *plan) float64 {
+	copySec := pl.planCopyTime(p).Seconds()
+	delaySec := min(pl.switchCosts.overhead.Seconds()+copySec, horizonSec)
+	calmness := min(max(1-pl.urgency/highUrgency, 0), 1)
 	if ablate.Off(ablate.Urgency) {
-		calm = 0
+		calmness = 0
 	}
-	each := busyCopyCost + (calmCopyCost-busyCopyCost)*calm
+	costPerGigabyte := highUrgencyCopyCost + (lowUrgencyCopyCost-highUrgencyCopyCost)*calmness
 	if !ablate.Off(ablate.Urgency) {
-		each += idleCopyCost / max(pl.streams*pl.streams, minIdle)
+		costPerGigabyte += idleCopyCost / max(pl.meanStreams*pl.meanStreams, minStreamsSquared)
 	}
 	gigabytes := float64(p.copies) * pl.model.ExpertBytes / 1e9 / float64(len(p.layouts[0]))
-	// A plan that gains less until the horizon costs every stream a pause for nothing.
-	stall := pl.costs.stall.Seconds() * p.before
-	return delay*p.before + copySlows*copying + stall + (horizon-delay)*p.after + each*gigabytes
+	// The stall counts, so that a plan with too small a gain does not pause every stream.
+	stallSec := pl.switchCosts.stall.Seconds() * p.imbalanceBefore
+	return delaySec*p.imbalanceBefore + copySlowdown*copySec + stallSec + (horizonSec-delaySec)*p.imbalanceAfter + costPerGigabyte*gigabytes
 }
 
-// freshOf returns how many experts each rank gets that it did not hold.
-func freshOf(before, after expert.Layout) []int {
-	fresh := make([]int, len(after))
+// newExpertsPerRank returns how many experts each rank holds after a change and not before.
+func newExpertsPerRank(before, after expert.Layout) []int {
+	added := make([]int, len(after))
 	for r, list := range after {
 		for _, e := range list {
 			if !slices.Contains(before[r], e) {
-				fresh[r]++
+				added[r]++
 			}
 		}
 	}
-	return fresh
+	return added
 }
 
-// copying returns how long the rank with most copies takes for them.
-func (pl *planner) copying(p *plan) time.Duration { return pl.copyTime(p.most) }
+// planCopyTime returns the copy time of the rank with the most copies.
+func (pl *planner) planCopyTime(p *plan) time.Duration { return pl.copyTime(p.maxCopiesPerRank) }
 
-// copyTime returns how long a rank takes for some copies.
+// copyTime returns how long a rank takes to copy a number of experts.
 func (pl *planner) copyTime(copies int) time.Duration {
 	if pl.model.CopyRate <= 0 {
 		return 0
--- a/lockstep/refusals.go
+++ b/lockstep/refusals.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// refusals are the maps in a row that ranks refused.
+// refusalBackoff delays planning after ranks have refused several maps in a row.
 //
-// Failure: ranks refuse each map for a reason that the leader does not know. Symptom: it plans
-// and sends maps all the time, which takes its processor and every agent's link. One refusal
-// is usual after a restart, when versions were given that nobody knows any more, and is
-// answered by another map at once; with each further one the leader waits twice as long.
-type refusals struct {
-	inRow int
-	until time.Time
+// If ranks refuse every map for a reason unknown to the leader, it would plan and send maps all the
+// time and occupy its processor and every agent's link. One refusal is normal after a restart, when
+// earlier versions are unknown, and the leader plans another map at once. From the second refusal
+// on the leader waits, and the wait doubles each time.
+type refusalBackoff struct {
+	consecutive int
+	until       time.Time
 }
 
-// Pauses after refusals.
+// Bounds of the backoff.
 const (
-	refusedPause = time.Second
-	maxRefused   = 16 * time.Second
+	minRefusalBackoff = time.Second
+	maxRefusalBackoff = 16 * time.Second
 )
 
-func (r *refusals) note(now time.Time) {
-	r.inRow++
-	if r.inRow == 1 {
+// record adds a refusal.
+func (r *refusalBackoff) record(now time.Time) {
+	r.consecutive++
+	if r.consecutive == 1 {
 		return
 	}
-	r.until = now.Add(min(refusedPause<<min(r.inRow-2, 8), maxRefused))
+	r.until = now.Add(min(minRefusalBackoff<<min(r.consecutive-2, 8), maxRefusalBackoff))
 }
 
-func (r *refusals) waits(now time.Time) bool { return now.Before(r.until) }
+// isActive reports whether the leader must not plan yet.
+func (r *refusalBackoff) isActive(now time.Time) bool { return now.Before(r.until) }
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -10,68 +10,68 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// simGroup is a group of ranks in virtual time: it begins passes unless a rank
-// holds it, switches armed ranks as their pass begins, and notes a pass that
-// begins while two ranks use different maps.
+// simGroup is a simulated group of ranks. It begins passes unless a rank holds it, switches armed
+// ranks when their pass begins, and records each pass that begins while two ranks use different maps.
 type simGroup struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	epoch   uint64
-	step    uint64
-	ranks   []*simRank
-	mixed   []uint64 // passes that began with different maps
-	lost    float64  // share of orders without an answer
-	late    bool     // those take effect 2 to 12 s later, else never
-	loads   []float64
-	sets    int
-	experts int
-	places  int // of a rank in a set; 0: two more than the first map takes
-	passes  int
-	held    time.Duration // longest time without a pass
+	mu              sync.Mutex
+	rng             *rand.Rand
+	epoch           uint64
+	step            uint64
+	ranks           []*simRank
+	mixedSteps      []uint64 // passes that began with different maps
+	unansweredShare float64  // share of orders that get no answer
+	lateOrders      bool     // unanswered orders take effect 2 to 12 s later, else never
+	loads           []float64
+	sets            int
+	experts         int
+	places          int // experts per rank and set; 0: two more than the initial map needs
+	passes          int
+	longestStall    time.Duration // longest time without a new pass
 }
 
+// simRank is the simulated engine of one rank.
 type simRank struct {
-	group    *simGroup
-	index    int
-	born     int64
-	version  uint64
-	lists    [][]uint16
-	prepared uint64
-	next     [][]uint16
-	highest  uint64
-	armed    uint64
-	armedAt  uint64
-	heldAt   uint64
-	counts   []uint64
-	vm       *simVM
+	group       *simGroup
+	index       int
+	startedAtMS int64
+	version     uint64
+	lists       [][]uint16
+	prepared    uint64
+	next        [][]uint16
+	highest     uint64
+	armed       uint64
+	armedAt     uint64
+	heldAt      uint64
+	counts      []uint64
+	vm          *simVM
 }
 
-// simVM is the VM of a rank and its agent. While it is frozen its agent does
-// nothing, and neither agent nor engine can be reached from elsewhere.
+// simVM is the VM of a rank and its agent. While it is frozen its agent does nothing, and neither
+// agent nor engine is reachable from other VMs.
 type simVM struct {
 	mu     sync.Mutex
 	frozen bool
-	thaw   chan struct{}
+	thawed chan struct{}
 
-	core, in, out busy
+	core, in, out serialResource
 }
 
-// busy is what one message after the other uses.
-type busy struct {
-	mu   sync.Mutex
-	free time.Time // from then on
+// serialResource serves one message at a time.
+type serialResource struct {
+	mu     sync.Mutex
+	freeAt time.Time // end of the last reservation
 }
 
-// use takes its turn for a time.
-func (b *busy) use(d time.Duration) {
-	b.mu.Lock()
-	begin := time.Now()
-	if b.free.After(begin) {
-		begin = b.free
+// occupy waits for the resource and uses it for d.
+func (r *serialResource) occupy(d time.Duration) {
+	r.mu.Lock()
+	start := time.Now()
+	if r.freeAt.After(start) {
+		start = r.freeAt
 	}
-	b.free = begin.Add(d)
-	end := b.free
-	b.mu.Unlock()
+	r.freeAt = start.Add(d)
+	end := r.freeAt
+	r.mu.Unlock()
 	time.Sleep(time.Until(end))
 }
 
@@ -79,16 +79,16 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.frozen {
-		v.frozen, v.thaw = true, make(chan struct{})
+		v.frozen, v.thawed = true, make(chan struct{})
 	}
 }
 
-func (v *simVM) wake() {
+func (v *simVM) unfreeze() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.frozen {
 		v.frozen = false
-		close(v.thaw)
+		close(v.thawed)
 	}
 }
 
@@ -98,11 +98,11 @@
 	return v.frozen
 }
 
-// run waits until the VM is not frozen.
-func (v *simVM) run() {
+// waitUntilThawed waits until the VM is not frozen.
+func (v *simVM) waitUntilThawed() {
 	for {
 		v.mu.Lock()
-		frozen, thaw := v.frozen, v.thaw
+		frozen, thaw := v.frozen, v.thawed
 		v.mu.Unlock()
 		if !frozen {
 			return
@@ -112,24 +112,24 @@
 }
 
 const (
-	simPass   = 40 * time.Millisecond
-	simCopy   = 80 * time.Millisecond
-	simTravel = time.Millisecond
-	simPort   = "7000"
+	simPass    = 40 * time.Millisecond
+	simCopy    = 80 * time.Millisecond
+	simLatency = time.Millisecond
+	simPort    = "7000"
 )
 
 func newSimGroup(ranks, sets, experts int, seed uint64) *simGroup {
 	g := &simGroup{rng: rand.New(rand.NewPCG(seed, 7)), epoch: 1, sets: sets, experts: experts}
 	for r := range ranks {
 		rank := &simRank{group: g, index: r, counts: make([]uint64, sets*experts), vm: new(simVM)}
-		rank.lists = firstLists(r, ranks, sets, experts)
+		rank.lists = initialLists(r, ranks, sets, experts)
 		g.ranks = append(g.ranks, rank)
 	}
-	g.move()
+	g.shiftDemand()
 	return g
 }
 
-func firstLists(rank, ranks, sets, experts int) [][]uint16 {
+func initialLists(rank, ranks, sets, experts int) [][]uint16 {
 	lists := make([][]uint16, sets)
 	for s := range lists {
 		for e := rank; e < experts; e += ranks {
@@ -139,8 +139,8 @@
 	return lists
 }
 
-// move draws which experts are in demand.
-func (g *simGroup) move() {
+// shiftDemand draws new demand for all experts.
+func (g *simGroup) shiftDemand() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.loads = make([]float64, g.sets*g.experts)
@@ -153,21 +153,22 @@
 
 // run begins passes until ctx ends.
 func (g *simGroup) run(ctx context.Context) {
-	stood := time.Duration(0)
+	stalled := time.Duration(0)
 	for ctx.Err() == nil {
 		time.Sleep(simPass)
 		g.mu.Lock()
-		if g.begin() {
-			stood = 0
+		if g.beginPass() {
+			stalled = 0
 		} else {
-			stood += simPass
-			g.held = max(g.held, stood)
+			stalled += simPass
+			g.longestStall = max(g.longestStall, stalled)
 		}
 		g.mu.Unlock()
 	}
 }
 
-func (g *simGroup) begin() bool {
+// beginPass begins the next pass. It returns false if a rank holds it.
+func (g *simGroup) beginPass() bool {
 	next := g.step + 1
 	for _, r := range g.ranks {
 		if r.heldAt == next {
@@ -187,7 +188,7 @@
 	}
 	for _, r := range g.ranks {
 		if r.version != g.ranks[0].version {
-			g.mixed = append(g.mixed, next)
+			g.mixedSteps = append(g.mixedSteps, next)
 			break
 		}
 	}
@@ -196,11 +197,11 @@
 
 // State implements Engine.
 func (r *simRank) State(context.Context) (peers.RankState, error) {
-	time.Sleep(simTravel / 2)
+	time.Sleep(simLatency / 2)
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	return peers.RankState{
-		Known: true, StartedAtMS: r.born, Group: "g", Epoch: r.group.epoch, Rank: r.index, Ranks: len(r.group.ranks), Complete: true,
+		Known: true, StartedAtMS: r.startedAtMS, Group: "g", Epoch: r.group.epoch, Rank: r.index, Ranks: len(r.group.ranks), Complete: true,
 		Step: r.group.step, Map: r.version, Prepared: r.prepared, Armed: r.armed, Held: r.heldAt, Running: 4, Slowdown: 1,
 	}, nil
 }
@@ -209,7 +210,7 @@
 func (r *simRank) ExpertCounts(context.Context) (ExpertCounts, error) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
-	return ExpertCounts{Run: EngineRun{StartedAtMS: r.born, Epoch: r.group.epoch}, Counts: append([]uint64(nil), r.counts...)}, nil
+	return ExpertCounts{Run: EngineRun{StartedAtMS: r.startedAtMS, Epoch: r.group.epoch}, Counts: append([]uint64(nil), r.counts...)}, nil
 }
 
 // RankExperts implements Engine.
@@ -221,15 +222,15 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// Order implements Engine: some orders get no answer, and take effect seconds
-// later or never.
+// Order implements Engine. A share of the orders gets no answer and takes effect seconds later or
+// never.
 func (r *simRank) Order(_ context.Context, o *peers.RankOrder) (peers.OrderResult, error) {
-	time.Sleep(simTravel)
+	time.Sleep(simLatency)
 	g := r.group
 	g.mu.Lock()
-	dropped := g.rng.Float64() < g.lost
+	dropped := g.rng.Float64() < g.unansweredShare
 	delay := 2*time.Second + time.Duration(g.rng.Int64N(int64(10*time.Second)))
-	late := g.late
+	late := g.lateOrders
 	g.mu.Unlock()
 	if dropped {
 		if late {
@@ -243,7 +244,7 @@
 	return peers.OrderResult{Accepted: ok, Refused: !ok}, nil
 }
 
-// apply carries out an order as engines do.
+// apply executes an order as engines do.
 func (r *simRank) apply(o *peers.RankOrder) bool {
 	g := r.group
 	g.mu.Lock()
--- a/lockstep/simfleet_test.go
+++ b/lockstep/simfleet_test.go
@@ -16,15 +16,15 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// simEngine is an engine as seen from a VM.
+// simEngine is the client of an engine on one VM.
 type simEngine struct {
 	*simRank
 	from *simVM
 }
 
-// reach waits while the asking VM is frozen, and fails if the engine's is.
+// reach waits while the calling VM is frozen, and fails if the engine's VM is.
 func (e *simEngine) reach() error {
-	e.from.run()
+	e.from.waitUntilThawed()
 	if e.vm != e.from && e.vm.isFrozen() {
 		time.Sleep(70 * time.Millisecond)
 		return errNoAnswer
@@ -46,22 +46,22 @@
 		return peers.OrderResult{}, err
 	}
 	result, err := e.simRank.Order(ctx, o)
-	e.from.run()
+	e.from.waitUntilThawed()
 	return result, err
 }
 
-// simAsker asks the agent of a rank.
-type simAsker struct {
+// simClient is the client of a rank's agent on one VM.
+type simClient struct {
 	f    *simFleet
 	rank int
 	from *simVM
 }
 
 // Ask implements PeerClient.
-func (s *simAsker) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
-	s.from.run()
+func (s *simClient) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
+	s.from.waitUntilThawed()
 	if kind == peers.KindOrder && s.from == s.f.group.ranks[0].vm {
-		s.f.orders.Add(1)
+		s.f.leaderOrders.Add(1)
 	}
 	payload, err := question.MarshalMsg(nil)
 	if err != nil {
@@ -72,62 +72,62 @@
 	done := make(chan []byte, 1)
 	go func() {
 		vm := s.f.group.ranks[s.rank].vm
-		s.f.carry(s.from, vm, payload)
-		vm.run()
+		s.f.transmit(s.from, vm, payload)
+		vm.waitUntilThawed()
 		m, err := s.f.agents[s.rank].handlers()[kind](payload)
 		if err != nil {
 			return
 		}
-		vm.run()
+		vm.waitUntilThawed()
 		if text, err := m.MarshalMsg(nil); err == nil {
-			s.f.carry(vm, s.from, text)
+			s.f.transmit(vm, s.from, text)
 			done <- text
 		}
 	}()
 	select {
 	case text := <-done:
-		s.from.run()
+		s.from.waitUntilThawed()
 		_, err := answer.UnmarshalMsg(text)
 		return err
 	case <-timer.C:
-		s.from.run()
+		s.from.waitUntilThawed()
 		return errNoAnswer
 	}
 }
 
-// What messages cost a small VM.
+// Cost of messages on a small VM.
 const (
-	smallMessage = 150 * time.Microsecond // of a whole core, to send or to take one
-	smallShare   = 0.24                   // of a core
-	smallLink    = 6e6 / 8                // bytes a second
+	smallVMMessageTime = 150 * time.Microsecond // CPU time of a whole core to send or receive one
+	smallVMCoreShare   = 0.24                   // of a core
+	smallVMLinkRate    = 6e6 / 8                // bytes per second
 )
 
-// carry takes the time of one message on its way.
-func (f *simFleet) carry(from, to *simVM, message []byte) {
-	if f.small {
-		bytes := time.Duration(float64(len(message)) / smallLink * float64(time.Second))
-		from.core.use(time.Duration(float64(smallMessage) / smallShare))
-		from.out.use(bytes)
-		to.in.use(bytes)
-		to.core.use(time.Duration(float64(smallMessage) / smallShare))
+// transmit waits for as long as a message takes from VM to VM.
+func (f *simFleet) transmit(from, to *simVM, message []byte) {
+	if f.smallVMs {
+		bytes := time.Duration(float64(len(message)) / smallVMLinkRate * float64(time.Second))
+		from.core.occupy(time.Duration(float64(smallVMMessageTime) / smallVMCoreShare))
+		from.out.occupy(bytes)
+		to.in.occupy(bytes)
+		to.core.occupy(time.Duration(float64(smallVMMessageTime) / smallVMCoreShare))
 	}
-	time.Sleep(simTravel)
+	time.Sleep(simLatency)
 }
 
 // Close implements PeerClient.
-func (s *simAsker) Close() {}
+func (s *simClient) Close() {}
 
 // simFleet is a group with its agents.
 type simFleet struct {
-	group  *simGroup
-	orders atomic.Int64 // that rank 0's agent has sent to others
-	down   atomic.Bool  // the store
-	slow   atomic.Bool  // the store
-	late   atomic.Bool  // engines register late
-	small  bool         // VMs have a small part of a core and a slow link
-	agents []*Agent
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	group            *simGroup
+	leaderOrders     atomic.Int64 // sent by rank 0's agent to other agents
+	storeDown        atomic.Bool
+	storeSlow        atomic.Bool
+	lateRegistration atomic.Bool // only the first engine is registered
+	smallVMs         bool        // VMs have a fraction of a core and a slow link
+	agents           []*Agent
+	cancel           context.CancelFunc
+	tasks            sync.WaitGroup
 }
 
 func engineAddress(rank int) string { return fmt.Sprintf("10.0.0.%d:80", rank+1) }
@@ -143,7 +143,7 @@
 	return f
 }
 
-// newFleet returns a group with agents that do nothing by themselves yet.
+// newFleet returns a group with agents that are not running yet.
 func newFleet(g *simGroup) *simFleet {
 	f := &simFleet{group: g}
 	f.addAgents()
@@ -153,13 +153,13 @@
 func (f *simFleet) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.done.Go(func() { f.group.run(ctx) })
+	f.tasks.Go(func() { f.group.run(ctx) })
 	for _, a := range f.agents {
-		f.done.Go(a.run)
+		f.tasks.Go(a.run)
 	}
 }
 
-// addAgents makes an agent for each rank; none of them does anything by itself yet.
+// addAgents creates an agent for each rank without running it.
 func (f *simFleet) addAgents() {
 	g := f.group
 	for r, rank := range g.ranks {
@@ -171,11 +171,11 @@
 			Service:    "s",
 			PeerAddr:   net.JoinHostPort(fmt.Sprintf("10.0.0.%d", r+1), simPort),
 			PeerPort:   simPort,
-			Store:      simStore{ranks: len(g.ranks), down: &f.down, slow: &f.slow, late: &f.late},
+			Store:      simStore{ranks: len(g.ranks), down: &f.storeDown, slow: &f.storeSlow, lateRegistration: &f.lateRegistration},
 			NewRemoteEngine: func(address string) Engine {
 				return &simEngine{simRank: g.ranks[rankOf(address)], from: vm}
 			},
-			Dial: func(address string) PeerClient { return &simAsker{f: f, rank: rankOf(address), from: vm} },
+			Dial: func(address string) PeerClient { return &simClient{f: f, rank: rankOf(address), from: vm} },
 			DecodeTarget: func(id string, value []byte) (serving.Target, error) {
 				return serving.Target{ID: id, Service: "s", Address: string(value)}, nil
 			},
@@ -190,10 +190,10 @@
 func (f *simFleet) stop() {
 	for i, a := range f.agents {
 		a.cancel()
-		f.group.ranks[i].vm.wake()
+		f.group.ranks[i].vm.unfreeze()
 	}
 	f.cancel()
-	f.done.Wait()
+	f.tasks.Wait()
 }
 
 func simConfig(g *simGroup) serving.Config {
@@ -207,12 +207,12 @@
 	}}}}
 }
 
-// simStore lists the engines.
+// simStore is a store that lists the engines.
 type simStore struct {
-	ranks int
-	down  *atomic.Bool // nil: it is always up
-	slow  *atomic.Bool // nil: it never is
-	late  *atomic.Bool // engines but the first have not registered yet; nil: all have
+	ranks            int
+	down             *atomic.Bool // nil: up
+	slow             *atomic.Bool // nil: not slow
+	lateRegistration *atomic.Bool // only the first engine is registered; nil: all are
 }
 
 // Newest implements serving.Store.
@@ -229,7 +229,7 @@
 	}
 	var records []serving.Record
 	for r := range s.ranks {
-		if r > 0 && s.late != nil && s.late.Load() {
+		if r > 0 && s.lateRegistration != nil && s.lateRegistration.Load() {
 			break
 		}
 		records = append(records, serving.Record{Key: fmt.Sprint(r), Value: []byte(engineAddress(r)), Offset: uint64(r)})
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -9,242 +9,240 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// A switch of the map goes like this. The map is prepared at all ranks. Then one
-// rank holds the group before a pass, all ranks are armed to switch as that pass
-// begins, and the group is let go.
+// A map switch works as follows. All ranks prepare the map. Then one rank, the holder, holds the
+// group before a pass: no rank can begin that pass until the hold is released. All ranks are armed
+// to switch when the pass begins, and the hold is released.
 //
-// What must never happen is a pass that begins while two ranks use different
-// maps. The hold excludes it: between the hold and the release no rank can begin
-// the pass, so an arm that is late, lost or refused is seen in time.
+// A pass must never begin while two ranks use different maps. The hold ensures this: between hold
+// and release an arm order that is late, lost or refused is noticed in time.
 //
-// Who dies or freezes in the middle leaves the group held. So the hold is placed
-// at another rank than the leader's, by the leader itself and not through that
-// rank's agent: of the leader and that agent one is left to release it.
+// An agent that dies or freezes during the switch leaves the group held. So the holder is not the
+// leader's rank, and the leader sends the hold to the holder's engine directly and not through its
+// agent. If either the leader or the holder's agent fails, the other can release the hold.
 //
-//   - Arms are given only once all ranks have the map prepared and the hold is
-//     confirmed. From then on there is only one way: forward. An arm without an
-//     answer may take effect seconds later, so nothing is called off; it is given
-//     again until each rank is seen to be armed. A late copy finds the pass begun
-//     and is refused.
-//   - Whoever finds the group held for longer than a switch takes first tells all
-//     agents to arm no more for that pass: the fence. What is armed then stays so.
-//     If any rank is armed it arms the others and lets the group go; if none is, it
-//     lets the group go with the map in use. Two who do so at once see the same and
-//     give the same orders, and a leader that wakes up in the middle is refused.
-//   - The leader's rank is armed last, once all others are, and by the agent of
-//     another one. So if the leader's VM can't be reached it is still known whether
-//     its rank is armed. If it is, so are all, and the group is let go with the new
-//     map. If not, the other agents are told to arm no more for that pass, which
-//     stops the leader should it wake up; the arms that were given are taken back,
-//     and the group goes on with the map in use.
-//   - Each order names the epoch. After a rank has restarted, the group has
-//     another one, and whatever was on its way is refused.
+//   - Arm orders are sent only after all ranks have prepared the map and the hold is confirmed.
+//     From then on the switch only goes forward. An unanswered arm order may take effect seconds
+//     later, so nothing is rolled back: the order is repeated until each rank is seen to be
+//     armed. A late copy of it finds that the pass has begun and is refused.
+//   - An agent that finds the group held for longer than a switch takes recovers it. It first
+//     sends all agents a fence: an order not to arm for that pass any more. The ranks that are
+//     armed stay armed. If any rank is armed, the recovering agent arms the others and releases
+//     the hold; if none is, it releases the hold and the map in use stays. Two agents that recover
+//     the group at the same time see the same state and send the same orders. A leader that wakes
+//     up in the meantime is refused.
+//   - The leader's rank is armed last, by the agent of another rank, the proxy. So even if the
+//     leader's VM is unreachable it is known whether its rank is armed. If it is, all ranks are, and
+//     the hold is released with the new map. If it is not, the other agents are fenced, which
+//     stops the leader if it wakes up, the armed ranks are disarmed, and the map in use stays.
+//   - Each order carries the epoch. After a rank has restarted the group has another epoch, and
+//     orders in flight from before are refused.
 
 // Limits of a switch.
 const (
-	// stepsAhead is how many passes ahead the hold is placed. The arms take ten
-	// milliseconds, less than most passes; if they take longer the group waits.
-	stepsAhead = 1
-	holdTries  = 6
-	// retryPause lets a small engine answer; orders within a VM take a millisecond.
-	retryPause = 10 * time.Millisecond
+	// holdStepsAhead is how many passes ahead the hold is placed. Arming takes ten milliseconds,
+	// less than most passes; if it takes longer, the group waits.
+	holdStepsAhead = 1
+	holdAttempts   = 6
+	// retryInterval gives a small engine time to answer. An order within a VM takes a millisecond.
+	retryInterval = 10 * time.Millisecond
 )
 
-// switchTo carries out a switch to a version that all ranks have prepared. It returns the
-// pass with which they switch, and for how long that was held.
-func switchTo(a *Agent, holder *member, ranks []rank, version uint64) (at uint64, stall time.Duration, ok bool) {
+// switchMap switches to a version that all ranks have prepared. It returns the step of the pass
+// that the switch takes effect at, and how long the group was held.
+func switchMap(a *Agent, holder *member, ranks []rank, version uint64) (step uint64, stall time.Duration, ok bool) {
 	epoch := ranks[0].state.Epoch
-	at, held := hold(a, holder, epoch)
+	step, held := holdGroup(a, holder, epoch)
 	if !held {
 		return 0, 0, false
 	}
-	begun := time.Now()
-	ok = finish(a, holder, ranks, version, at, false)
-	return at, time.Since(begun), ok
+	start := time.Now()
+	ok = completeSwitch(a, holder, ranks, version, step, false)
+	return step, time.Since(start), ok
 }
 
-// hold holds the group before a pass to come, and returns the pass.
+// holdGroup holds the group before a coming pass and returns the pass's step.
 //
-// Which pass that is this VM's own engine tells, since all ranks run each pass together:
-// the holder's agent may be slow to answer, as right after a start of the whole fleet, and
-// the map would wait for it.
-func hold(a *Agent, holder *member, epoch uint64) (uint64, bool) {
-	unanswered := uint64(0) // pass of a hold that may have been taken
-	for range holdTries {
+// The step is read from this VM's own engine, since all ranks run each pass together. The holder's
+// agent may answer slowly, as after a restart of the whole fleet, and would delay the map.
+func holdGroup(a *Agent, holder *member, epoch uint64) (uint64, bool) {
+	unanswered := uint64(0) // step of a hold that may have been accepted
+	for range holdAttempts {
 		state, err := a.opts.Engine.State(a.ctx)
 		if err != nil || !state.Known || state.Epoch != epoch || !state.Complete {
 			return 0, false
 		}
 		if unanswered != 0 {
-			// One that is not ours may be let go by whoever resolves it at any moment.
-			if held := holder.collect(a, plain); !held.Known || held.Held != 0 {
+			// A hold that another agent has placed may be released by a recovering agent at any moment.
+			if held := holder.collect(a, stateOnly); !held.Known || held.Held != 0 {
 				return held.Held, held.Known && held.Held == unanswered
 			}
 		}
-		at := state.Step + stepsAhead
-		result, err := holder.direct.Order(a.ctx, &peers.RankOrder{Kind: peers.OrderHold, Epoch: epoch, Step: at})
+		step := state.Step + holdStepsAhead
+		result, err := holder.engine.Order(a.ctx, &peers.RankOrder{Kind: peers.OrderHold, Epoch: epoch, Step: step})
 		if err == nil && result.Accepted {
-			return at, true
+			return step, true
 		}
 		if err != nil {
-			unanswered = at
+			unanswered = step
 		}
-		a.pause(retryPause)
+		a.sleep(retryInterval)
 	}
 	return 0, false
 }
 
-// finish arms all ranks for a pass that is held, and lets the group go. resolving
-// tells that the pass has been fenced, by this agent.
-func finish(a *Agent, holder *member, ranks []rank, version, at uint64, resolving bool) bool {
+// completeSwitch arms all ranks for the held pass and releases the hold. recovery states that this
+// agent has fenced the pass.
+func completeSwitch(a *Agent, holder *member, ranks []rank, version, step uint64, recovery bool) bool {
 	epoch := ranks[0].state.Epoch
-	begun := time.Now()
+	start := time.Now()
 	name := ranks[0].state.Group
-	order := &peers.RankOrder{Kind: peers.OrderArm, Epoch: epoch, Version: version, Step: at, Recovery: resolving}
+	order := &peers.RankOrder{Kind: peers.OrderArm, Epoch: epoch, Version: version, Step: step, Recovery: recovery}
 	if !armAll(a, holder, ranks[1:], order) || !armLeader(a, holder, ranks, order) {
 		return false
 	}
-	ok := release(a, holder, epoch, at)
-	a.opts.Log.Info("map switched", "group", name, "version", version, "step", at, "released", ok, "ms", time.Since(begun).Milliseconds())
+	ok := releaseGroup(a, holder, epoch, step)
+	a.opts.Log.Info("map switched", "group", name, "version", version, "step", step, "released", ok, "ms", time.Since(start).Milliseconds())
 	return ok
 }
 
-// proxyRank is the rank whose agent arms the leader's.
+// proxyRank is the rank whose agent arms the leader's rank.
 const proxyRank = 2
 
-// armLeader arms rank 0 through the agent of another rank, or directly in a group
-// that is too small for that.
+// armLeader arms rank 0 through the agent of proxyRank, or directly if the group is too small or
+// that agent is in backoff.
 func armLeader(a *Agent, holder *member, ranks []rank, o *peers.RankOrder) bool {
-	if len(ranks) <= proxyRank || !ranks[proxyRank].hasAgent() {
+	if len(ranks) <= proxyRank || !ranks[proxyRank].canAskAgent() {
 		return armAll(a, holder, ranks[:1], o)
 	}
 	byProxy := *o
-	byProxy.Engine = ranks[0].engine
+	byProxy.Engine = ranks[0].engineAddr
 	ranks[proxyRank].order(a, &byProxy)
-	// Whatever came of it, the arm is seen or given again.
-	return len(a.notArmed(ranks[:1], make([]peers.OrderResult, 1), o.Version)) == 0 || armAll(a, holder, ranks[:1], o)
+	// Whether or not the order was answered, the rank is checked, and armed again if needed.
+	return len(a.unarmedRanks(ranks[:1], make([]peers.OrderResult, 1), o.Version)) == 0 || armAll(a, holder, ranks[:1], o)
 }
 
-// armAll arms ranks until each is seen to be armed; false if the switch is over.
+// armAll repeats the arm order until each rank is seen to be armed. It returns false if the switch
+// has ended or this agent is fenced.
 func armAll(a *Agent, holder *member, ranks []rank, o *peers.RankOrder) bool {
-	left := ranks
-	for len(left) > 0 {
-		if a.ctx.Err() != nil || a.fenced(o) {
+	remaining := ranks
+	for len(remaining) > 0 {
+		if a.ctx.Err() != nil || a.isFenced(o) {
 			return false
 		}
-		results := relayEach(a, left, o)
-		left = a.notArmed(left, results, o.Version)
-		if len(left) == 0 {
+		results := orderRanks(a, remaining, o)
+		remaining = a.unarmedRanks(remaining, results, o.Version)
+		if len(remaining) == 0 {
 			return true
 		}
-		if over, changed := a.abandoned(holder, o.Epoch, o.Step); over {
-			a.opts.Log.Info("switch over", "version", o.Version, "step", o.Step, "changed", changed)
+		if ended, epochChanged := a.switchEnded(holder, o.Epoch, o.Step); ended {
+			a.opts.Log.Info("switch ended before all ranks were armed", "version", o.Version, "step", o.Step, "changed", epochChanged)
 			return false
 		}
-		a.pause(retryPause)
+		a.sleep(retryInterval)
 	}
 	return true
 }
 
-// notArmed returns those of the ranks that neither took the arm nor show it. A
-// refusal alone proves nothing: the rank may have been armed by another order.
-func (a *Agent) notArmed(ranks []rank, results []peers.OrderResult, version uint64) []rank {
-	var left []rank
+// unarmedRanks returns the ranks that neither accepted the arm order nor show it in their state. A
+// refusal alone proves nothing: another order may have armed the rank.
+func (a *Agent) unarmedRanks(ranks []rank, results []peers.OrderResult, version uint64) []rank {
+	var unarmed []rank
 	for i, r := range ranks {
 		if results[i].Accepted {
 			continue
 		}
-		state := r.collect(a, plain)
+		state := r.collect(a, stateOnly)
 		if state.Known && (state.Armed == version || state.Map == version) {
 			continue
 		}
-		left = append(left, r)
+		unarmed = append(unarmed, r)
 	}
-	return left
+	return unarmed
 }
 
-// abandoned tells whether a switch is over without us: the group has another
-// epoch, or the pass has begun.
-func (a *Agent) abandoned(holder *member, epoch, at uint64) (over, changed bool) {
-	state := holder.collect(a, plain)
+// switchEnded reports whether the switch has ended elsewhere: the group has another epoch or is
+// incomplete (epochChanged), or the pass has begun.
+func (a *Agent) switchEnded(holder *member, epoch, step uint64) (ended, epochChanged bool) {
+	state := holder.collect(a, stateOnly)
 	if !state.Known {
 		return false, false
 	}
 	if state.Epoch != epoch || !state.Complete {
 		return true, true
 	}
-	return state.Step >= at, false
+	return state.Step >= step, false
 }
 
-// release lets the group go before a pass and sees to it that it does: an order
-// may be lost, and a late copy of the hold may strike again.
-func release(a *Agent, holder *member, epoch, at uint64) bool {
+// releaseGroup releases the hold and repeats the order until the holder shows it: an order may be
+// lost, and a late copy of the hold may take effect again.
+func releaseGroup(a *Agent, holder *member, epoch, step uint64) bool {
 	for a.ctx.Err() == nil {
-		letGo(a, holder, &peers.RankOrder{Kind: peers.OrderRelease, Epoch: epoch, Step: at})
-		state := holder.collect(a, plain)
+		sendRelease(a, holder, &peers.RankOrder{Kind: peers.OrderRelease, Epoch: epoch, Step: step})
+		state := holder.collect(a, stateOnly)
 		switch {
 		case !state.Known:
 		case state.Epoch != epoch || !state.Complete:
 			return false
-		case state.Held != at || state.Step >= at:
+		case state.Held != step || state.Step >= step:
 			return true
 		}
-		a.pause(retryPause)
+		a.sleep(retryInterval)
 	}
 	return false
 }
 
-// letGo orders an engine to end a hold, itself and not through its agent: while that is
-// slow to answer every stream of the group stands still.
-func letGo(a *Agent, holder *member, o *peers.RankOrder) {
-	if holder.own == nil {
-		if _, err := holder.direct.Order(a.ctx, o); err == nil {
+// sendRelease sends a release to the holder's engine, directly and not through its agent: while an
+// agent is slow to answer, every stream of the group is stalled.
+func sendRelease(a *Agent, holder *member, o *peers.RankOrder) {
+	if holder.localAgent == nil {
+		if _, err := holder.engine.Order(a.ctx, o); err == nil {
 			return
 		}
 	}
 	holder.order(a, o)
 }
 
-// resolve brings on a group that is held, as was seen first at a time, and whose
-// switch nobody carries out.
-func resolve(a *Agent, g *group, holder *member, name string, seen time.Time) {
-	first := holder.collect(a, plain)
+// recoverGroup recovers a group that is held while no agent carries out its switch. seenAt is when
+// the hold was first seen.
+func recoverGroup(a *Agent, g *group, holder *member, name string, seenAt time.Time) {
+	first := holder.collect(a, stateOnly)
 	if !first.Known || first.Held == 0 || !first.Complete {
 		return
 	}
 	q := &peers.Collect{Fence: first.Held, Epoch: first.Epoch}
-	ranks, complete := g.collectWith(name, q, (*member).collectSoon)
+	ranks, complete := g.collectUsing(name, q, (*member).collectHedged)
 	if len(ranks) < first.Ranks-1 {
-		g.reread()
-		ranks, complete = g.collectWith(name, q, (*member).collectSoon)
+		g.refresh()
+		ranks, complete = g.collectUsing(name, q, (*member).collectHedged)
 	}
 	if !complete || ranks[0].state.Epoch != first.Epoch {
-		resolveWithoutLeader(a, holder, name, ranks, first, seen)
+		recoverWithoutLeader(a, holder, name, ranks, first, seenAt)
 		return
 	}
 	version := armedVersion(ranks)
-	if version == 0 && !allFenced(ranks) && time.Since(seen) < fencePatience {
+	if version == 0 && !allFenced(ranks) && time.Since(seenAt) < fenceTimeout {
 		a.opts.Log.Info("group held, not all agents have fenced the pass", "group", name, "step", first.Held)
 		return
 	}
 	a.opts.Log.Info("group held by nobody", "group", name, "step", first.Held, "version", version)
 	if version == 0 {
-		release(a, holder, first.Epoch, first.Held)
+		releaseGroup(a, holder, first.Epoch, first.Held)
 		return
 	}
-	finish(a, holder, ranks, version, first.Held, true)
+	completeSwitch(a, holder, ranks, version, first.Held, true)
 }
 
-// fencePatience is how long an agent may take to tell that it has fenced a pass. A slow
-// one that has not may still arm its rank after it was seen unarmed, and the group would
-// go on with two maps; one that has ended arms nothing.
-const fencePatience = 500 * time.Millisecond
+// fenceTimeout is how long recovery waits for every agent to confirm the fence. A slow agent that
+// has not confirmed may still arm its rank after that rank was seen unarmed, and the group would go
+// on with two maps. An agent that has ended arms nothing, so the wait is bounded.
+const fenceTimeout = 500 * time.Millisecond
 
+// allFenced reports whether all agents have confirmed the fence.
 func allFenced(ranks []rank) bool {
 	return !slices.ContainsFunc(ranks, func(r rank) bool { return !r.state.Fenced })
 }
 
-// armedVersion returns the version for which some rank is armed; 0 if none is.
+// armedVersion returns the version that some rank is armed for; 0: none.
 func armedVersion(ranks []rank) uint64 {
 	for i := range ranks {
 		if v := ranks[i].state.Armed; v != 0 {
@@ -254,35 +252,34 @@
 	return 0
 }
 
-// lateArm is how long after it was given an arm without an answer may take effect
-// at the earliest, with a margin. Source: the platform's statement of two to
-// twelve seconds. A group that is let go sooner has begun the pass by then, and the
-// arm is refused.
-const lateArm = 1500 * time.Millisecond
+// lateArmDelay is the earliest delay after which an unanswered arm order may take effect, with a
+// margin. Source: the platform's statement of two to twelve seconds. If the hold is released before,
+// the pass has begun by then and the order is refused.
+const lateArmDelay = 1500 * time.Millisecond
 
-// resolveWithoutLeader brings on a group whose leader's VM can't be reached.
-func resolveWithoutLeader(a *Agent, holder *member, name string, ranks []rank, first peers.RankState, seen time.Time) {
-	if !allButLeader(ranks, first) || time.Since(seen) > lateArm {
-		a.opts.Log.Info("group held, not all ranks seen", "group", name, "step", first.Held, "ranks", len(ranks))
+// recoverWithoutLeader recovers a group whose leader's VM is unreachable.
+func recoverWithoutLeader(a *Agent, holder *member, name string, ranks []rank, first peers.RankState, seenAt time.Time) {
+	if !allFollowersFenced(ranks, first) || time.Since(seenAt) > lateArmDelay {
+		a.opts.Log.Info("group held, not all followers are fenced in time", "group", name, "step", first.Held, "ranks", len(ranks))
 		return
 	}
-	other := ranks[proxyRank-1].state.ProxyArm
-	given := other.Epoch == first.Epoch && other.Step == first.Held
+	proxyArm := ranks[proxyRank-1].state.ProxyArm
+	proxyOrdered := proxyArm.Epoch == first.Epoch && proxyArm.Step == first.Held
 	switch {
-	case given && !other.Accepted:
+	case proxyOrdered && !proxyArm.Accepted:
 		a.opts.Log.Info("group held, leader's rank may be armed", "group", name, "step", first.Held)
 		return
-	case !given && !disarmAll(a, ranks):
-		a.opts.Log.Info("group held, arms not taken back", "group", name, "step", first.Held)
+	case !proxyOrdered && !disarmAll(a, ranks):
+		a.opts.Log.Info("group held, armed ranks not disarmed", "group", name, "step", first.Held)
 		return
 	}
-	ok := release(a, holder, first.Epoch, first.Held)
-	a.opts.Log.Info("group let go without its leader", "group", name, "step", first.Held, "switched", given, "released", ok)
+	ok := releaseGroup(a, holder, first.Epoch, first.Held)
+	a.opts.Log.Info("group let go without its leader", "group", name, "step", first.Held, "switched", proxyOrdered, "released", ok)
 }
 
-// allButLeader tells whether all ranks but the leader's have answered, and fenced
-// the pass that the group is held at.
-func allButLeader(ranks []rank, first peers.RankState) bool {
+// allFollowersFenced reports whether all ranks but the leader's have answered and confirmed the
+// fence.
+func allFollowersFenced(ranks []rank, first peers.RankState) bool {
 	if len(ranks) != first.Ranks-1 || len(ranks) < proxyRank {
 		return false
 	}
@@ -295,26 +292,26 @@
 	return true
 }
 
-// disarmAll takes back the arms of ranks that are armed, of all at once, since the group
-// stands still meanwhile; false if that is not known to have been done.
+// disarmAll disarms the armed ranks, in parallel because the group is stalled meanwhile. It returns
+// false if some rank may still be armed.
 func disarmAll(a *Agent, ranks []rank) bool {
-	for range holdTries {
+	for range holdAttempts {
 		var wait sync.WaitGroup
-		var open atomic.Int32
+		var failed atomic.Int32
 		for _, r := range ranks {
 			if r.state.Armed == 0 {
 				continue
 			}
 			wait.Go(func() {
 				r.order(a, &peers.RankOrder{Kind: peers.OrderDisarm, Epoch: r.state.Epoch, Version: r.state.Armed})
-				state := r.collect(a, plain)
+				state := r.collect(a, stateOnly)
 				if !state.Known || state.Armed != 0 {
-					open.Add(1)
+					failed.Add(1)
 				}
 			})
 		}
 		wait.Wait()
-		if open.Load() == 0 {
+		if failed.Load() == 0 {
 			return true
 		}
 	}
--- a/lockstep/tree.go
+++ b/lockstep/tree.go
@@ -8,35 +8,33 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// Questions and orders to a large group go along a tree of its agents.
+// Requests and orders to a large group go along a tree of its agents.
 //
-// Failure: the leader asks and orders each of a hundred ranks itself. Symptom: the
-// questions of one round take its small part of a core for longer than their limit, so
-// many agents seem lost at once, and a map for each rank fills its link for several
-// passes while the group stays on a map that fits no more. In the tree no agent asks
-// more than a few others, however large the group is.
+// If the leader itself sent a request to each of a hundred ranks, its fraction of a core would need
+// longer than the timeout, so many agents would seem lost at once. A map for each rank would fill
+// its link for several passes while the group stays on a map that no longer fits. In the tree no
+// agent asks more than a few others, however large the group is.
 //
-// The tree is made anew for each question, from the agents that answered lately. Who can't
-// be reached in it is asked directly, so a lost agent in its middle delays the ranks below
-// it once. What keeps a switch safe are the fences and epochs that each agent checks itself,
-// whichever way an order came to it and however late.
+// The tree is built anew for each request from the agents that answered last. Agents that the tree
+// does not reach are asked directly, so a lost agent inside the tree delays the ranks below it once.
+// The safety of a switch does not depend on the tree: each agent checks fences and epochs itself,
+// whichever way and however late an order arrives.
 const (
-	directRanks = 16 // smaller groups are asked one by one
-	leafRanks   = 8  // so many are asked without another one between
-	treeDegree  = 4  // agents that one asks at most, where others are between
-	// hopLimit is what each agent keeps of its limit for its own answer.
-	hopLimit = 50 * time.Millisecond
+	maxDirectRanks = 16 // groups up to this size are asked without a tree
+	maxLeafRanks   = 8  // up to so many ranks are asked without another level
+	treeFanOut     = 4  // maximum number of branches above that
+	// hopReserve is the part of its timeout that each agent keeps for its own answer.
+	hopReserve = 50 * time.Millisecond
 )
 
-// span is a part of a list, without its end.
+// span is a half-open range of a list.
 type span struct{ from, to int }
 
-// branches divides n agents among those that are asked directly: each is the first of
-// its branch.
-func branches(n int) []span {
+// branchSpans divides n agents into branches.
+func branchSpans(n int) []span {
 	count := n
-	if n > leafRanks {
-		count = min(treeDegree, (n+leafRanks-1)/leafRanks)
+	if n > maxLeafRanks {
+		count = min(treeFanOut, (n+maxLeafRanks-1)/maxLeafRanks)
 	}
 	spans := make([]span, count)
 	for i := range spans {
@@ -45,117 +43,119 @@
 	return spans
 }
 
-// askBranch asks one agent, which asks those below it, and returns all their answers.
-type askBranch[A any] func(head *contact, below []string, limit time.Duration) (own A, others []A, err error)
+// branchFunc sends a request to the head of a branch, which relays it to its subtree, and returns
+// all answers.
+type branchFunc[A any] func(head *agentClient, subtree []string, timeout time.Duration) (own A, others []A, err error)
 
-// spread asks agents along a tree and returns their answers in the order of the addresses.
-// An agent that gave none has the zero answer, or lost if it was asked itself.
-func spread[A any](a *Agent, addresses []string, limit time.Duration, lost A, ask askBranch[A]) []A {
+// askAlongTree asks agents along a tree and returns their answers in the order of the addresses. The
+// answer is unreachable for a branch head that failed and for a branch whose agents are all in
+// backoff. It is zero for an agent that its head did not reach.
+func askAlongTree[A any](a *Agent, addresses []string, timeout time.Duration, unreachable A, ask branchFunc[A]) []A {
 	answers := make([]A, len(addresses))
 	var wait sync.WaitGroup
-	for _, s := range branches(len(addresses)) {
+	for _, s := range branchSpans(len(addresses)) {
 		wait.Go(func() {
-			spreadBranch(a, addresses[s.from:s.to], answers[s.from:s.to], limit, lost, ask)
+			askBranchHead(a, addresses[s.from:s.to], answers[s.from:s.to], timeout, unreachable, ask)
 		})
 	}
 	wait.Wait()
 	return answers
 }
 
-// spreadBranch asks one branch through one of its agents.
-func spreadBranch[A any](a *Agent, addresses []string, answers []A, limit time.Duration, lost A, ask askBranch[A]) {
-	head, found := a.headOf(addresses)
-	if found < 0 {
+// askBranchHead asks one branch through its head.
+func askBranchHead[A any](a *Agent, addresses []string, answers []A, timeout time.Duration, unreachable A, ask branchFunc[A]) {
+	head, headIndex := a.branchHead(addresses)
+	if headIndex < 0 {
 		for i := range answers {
-			answers[i] = lost
+			answers[i] = unreachable
 		}
 		return
 	}
-	below := slices.Concat(addresses[:found], addresses[found+1:])
-	own, others, err := ask(head, below, limit)
+	subtree := slices.Concat(addresses[:headIndex], addresses[headIndex+1:])
+	own, others, err := ask(head, subtree, timeout)
 	if err != nil {
-		a.opts.Log.Info("agent lost", "agent", addresses[found], "below", len(below), "error", err.Error())
-		answers[found] = lost
+		a.opts.Log.Info("agent lost", "agent", addresses[headIndex], "below", len(subtree), "error", err.Error())
+		answers[headIndex] = unreachable
 		return
 	}
-	answers[found] = own
-	if len(others) == len(below) {
-		copy(answers[:found], others[:found])
-		copy(answers[found+1:], others[found:])
+	answers[headIndex] = own
+	if len(others) == len(subtree) {
+		copy(answers[:headIndex], others[:headIndex])
+		copy(answers[headIndex+1:], others[headIndex:])
 	}
 }
 
-// headOf returns the first agent that answered when last asked, else the first that may be
-// asked again; -1: none.
-func (a *Agent) headOf(addresses []string) (head *contact, found int) {
-	found = -1
+// branchHead returns the first agent whose latest request succeeded, else the first that is not in
+// backoff; index -1: none.
+func (a *Agent) branchHead(addresses []string) (head *agentClient, index int) {
+	index = -1
 	for i, address := range addresses {
-		c := a.contacts.get(address, a.opts.Dial)
-		if c.steady() {
+		c := a.agentClients.get(address, a.opts.Dial)
+		if c.isHealthy() {
 			return c, i
 		}
-		if found < 0 && !c.resting() {
-			head, found = c, i
+		if index < 0 && !c.inBackoff() {
+			head, index = c, i
 		}
 	}
-	return head, found
+	return head, index
 }
 
-// collectBelow asks agents along a tree for the states of their ranks. The choices of a
-// whole branch come with the state of one of its ranks.
-func (a *Agent) collectBelow(addresses []string, q *peers.Collect, limit time.Duration) []peers.RankState {
-	return spread(a, addresses, limit, peers.RankState{Unreachable: true}, func(head *contact, below []string, limit time.Duration) (peers.RankState, []peers.RankState, error) {
-		ask := *q
-		ask.Subtree, ask.LimitMS = below, uint32(limit.Milliseconds())
+// collectAlongTree collects the states of agents' ranks along a tree. The selections of a whole
+// branch come summed in the state of one of its ranks.
+func (a *Agent) collectAlongTree(addresses []string, q *peers.Collect, timeout time.Duration) []peers.RankState {
+	return askAlongTree(a, addresses, timeout, peers.RankState{Unreachable: true}, func(head *agentClient, subtree []string, timeout time.Duration) (peers.RankState, []peers.RankState, error) {
+		forwarded := *q
+		forwarded.Subtree, forwarded.LimitMS = subtree, uint32(timeout.Milliseconds())
 		var state peers.RankState
-		err := head.ask(a.ctx, peers.KindCollect, &ask, &state, limit)
+		err := head.ask(a.ctx, peers.KindCollect, &forwarded, &state, timeout)
 		others := state.Subtree
 		state.Subtree = nil
 		return state, others, err
 	})
 }
 
-// orderBelow gives an order to agents along a tree and returns what became of it.
-func (a *Agent) orderBelow(addresses []string, o *peers.RankOrder, limit time.Duration) []peers.OrderResult {
-	return spread(a, addresses, limit, peers.OrderResult{}, func(head *contact, below []string, limit time.Duration) (peers.OrderResult, []peers.OrderResult, error) {
-		order := *o
-		order.Subtree, order.LimitMS = below, uint32(limit.Milliseconds())
+// orderAlongTree sends an order to agents along a tree and returns the results.
+func (a *Agent) orderAlongTree(addresses []string, o *peers.RankOrder, timeout time.Duration) []peers.OrderResult {
+	return askAlongTree(a, addresses, timeout, peers.OrderResult{}, func(head *agentClient, subtree []string, timeout time.Duration) (peers.OrderResult, []peers.OrderResult, error) {
+		forwarded := *o
+		forwarded.Subtree, forwarded.LimitMS = subtree, uint32(timeout.Milliseconds())
 		var result peers.OrderResult
-		err := head.ask(a.ctx, peers.KindOrder, &order, &result, limit)
+		err := head.ask(a.ctx, peers.KindOrder, &forwarded, &result, timeout)
 		others := result.Subtree
 		result.Subtree = nil
 		return result, others, err
 	})
 }
 
-// limitBelow is the limit for those below an agent that has a limit itself.
-func limitBelow(limitMS uint32) time.Duration {
-	return time.Duration(limitMS)*time.Millisecond - hopLimit
+// subtreeTimeout returns the timeout for the subtree of an agent that has a limit itself.
+func subtreeTimeout(limitMS uint32) time.Duration {
+	return time.Duration(limitMS)*time.Millisecond - hopReserve
 }
 
-// relayEach gives one order to ranks, along the tree if they are many. A rank that the
-// order may not have reached counts as without an answer.
-func relayEach(a *Agent, ranks []rank, o *peers.RankOrder) []peers.OrderResult {
-	if len(ranks) <= directRanks {
+// orderRanks sends one order to ranks, along the tree if there are many. A rank that the order may
+// not have reached has the zero result, as one that did not answer.
+func orderRanks(a *Agent, ranks []rank, o *peers.RankOrder) []peers.OrderResult {
+	if len(ranks) <= maxDirectRanks {
 		return orderEach(a, ranks, o)
 	}
 	results := make([]peers.OrderResult, len(ranks))
-	var through, alone []int
+	var viaTree, direct []int
 	var addresses []string
 	for i := range ranks {
-		if ranks[i].own == nil && ranks[i].hasAgent() {
-			through = append(through, i)
-			addresses = append(addresses, ranks[i].peers)
+		if ranks[i].localAgent == nil && ranks[i].canAskAgent() {
+			viaTree = append(viaTree, i)
+			addresses = append(addresses, ranks[i].agentAddr)
 		} else {
-			alone = append(alone, i)
+			direct = append(direct, i)
 		}
 	}
 	var wait sync.WaitGroup
-	for _, i := range alone {
+	for _, i := range direct {
 		wait.Go(func() { results[i] = ranks[i].order(a, o) })
 	}
-	for k, result := range a.orderBelow(addresses, o, askLimit) {
-		results[through[k]] = result
+	for k, result := range a.orderAlongTree(addresses, o, askTimeout) {
+		results[viaTree[k]] = result
 	}
 	wait.Wait()
 	return results
