--- /dev/null
+++ b/gateway/state.go
@@ -0,0 +1,297 @@
+package gateway
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/heatherrail/heatherrail/metrics"
+	"github.com/heatherrail/heatherrail/peers"
+	"github.com/heatherrail/heatherrail/serving"
+)
+
+// snapshot is the immutable state by which requests are decided.
+type snapshot struct {
+	index   *serving.Index
+	targets map[string][]*serving.Target // by service
+}
+
+// replicaState is the gateway's replica of the store's topics. Updates come from the store and
+// from peers.
+type replicaState struct {
+	decodeConfig     func(string, []byte) (serving.Config, bool, error)
+	decodeEvacuation func(string, []byte) (string, bool, error)
+	decodeTarget     func(string, []byte) (serving.Target, error)
+	outageThreshold  time.Duration
+	log              logr.Logger
+	metrics          *metrics.Set
+	current          atomic.Pointer[snapshot]
+
+	mu             sync.Mutex
+	replicas       [serving.NumTopics]*serving.Replica
+	completeAt     [serving.NumTopics]time.Time // when the replica was last known to be complete
+	config         *serving.Index
+	targets        *serving.TargetSet
+	evacuated      map[string]bool           // by data centre
+	outageEndedAt  time.Time                 // end of the last outage of the store for all entries
+	storeFailing   bool                      // this entry's last call to the store failed
+	entryPresences map[string]peers.Presence // by entry name, from the records in the store
+	onEntryRecord  func(p peers.Presence)    // called for each record of an entry
+}
+
+// outageHeartbeats is the number of target heartbeat intervals without a read of the targets by
+// any entry that counts as an outage of the store. Target records lapse after three intervals
+// without a heartbeat, and the last heartbeat may have been just before the outage, so a shorter
+// outage lets no record lapse.
+const outageHeartbeats = 2
+
+func newReplicaState(o *Options) *replicaState {
+	s := &replicaState{
+		decodeConfig:     o.DecodeConfig,
+		decodeEvacuation: o.DecodeEvacuation,
+		decodeTarget:     o.DecodeTarget,
+		outageThreshold:  outageHeartbeats * o.TargetHeartbeatInterval,
+		log:              o.Log,
+		metrics:          o.Metrics,
+		targets:          serving.NewTargetSet(),
+		evacuated:        make(map[string]bool),
+		entryPresences:   make(map[string]peers.Presence),
+		onEntryRecord:    func(peers.Presence) {},
+	}
+	for i := range s.replicas {
+		s.replicas[i] = serving.NewPermanentReplica()
+	}
+	s.replicas[serving.TopicTargets] = serving.NewReplica(s.isSameTarget)
+	s.replicas[serving.TopicConfig] = serving.NewReplica(nil)
+	return s
+}
+
+// isSameTarget reports whether two records of a target have the same meaning.
+func (s *replicaState) isSameTarget(id string, old, new []byte) bool {
+	oldTarget, oldErr := s.decodeTarget(id, old)
+	newTarget, newErr := s.decodeTarget(id, new)
+	return oldErr == nil && newErr == nil && oldTarget.Equivalent(newTarget)
+}
+
+// snapshot returns the current snapshot, nil until there is a configuration.
+func (s *replicaState) snapshot() *snapshot { return s.current.Load() }
+
+// readOffset returns the offset from which to read a topic next, and whether the topic has been
+// read completely.
+func (s *replicaState) readOffset(t serving.Topic) (next uint64, loaded bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replicas[t].NextOffset(), s.replicas[t].IsLoaded()
+}
+
+// age returns the time since a topic was last known to be complete.
+func (s *replicaState) age(t serving.Topic, now time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now.Sub(s.completeAt[t])
+}
+
+// isStoreReachable reports whether this entry's latest call to the store succeeded.
+func (s *replicaState) isStoreReachable() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.storeFailing
+}
+
+// recordStoreSuccess logs that this entry reaches the store again.
+func (s *replicaState) recordStoreSuccess() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.storeFailing {
+		s.storeFailing = false
+		s.log.Info("store regained")
+	}
+}
+
+func (s *replicaState) recordStoreFailure(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.storeFailing {
+		s.storeFailing = true
+		s.log.Info("store lost", "error", err.Error())
+	}
+}
+
+// applyChanges applies records read from the store that make the topic complete up to offset next
+// as of the time asOf.
+func (s *replicaState) applyChanges(t serving.Topic, records []serving.Record, next uint64, asOf time.Time) {
+	s.mu.Lock()
+	applied := s.replicas[t].Apply(records, next)
+	s.recordComplete(t, asOf)
+	s.applyRecords(t, applied)
+}
+
+// applyNewest applies a read of the newest record of each key.
+func (s *replicaState) applyNewest(t serving.Topic, records []serving.Record, end uint64, asOf time.Time) {
+	s.mu.Lock()
+	applied := s.replicas[t].ApplySnapshot(records, end)
+	s.recordComplete(t, asOf)
+	s.applyRecords(t, applied)
+}
+
+// applyPeerUpdate applies records from a peer. It ignores an update that would leave a gap.
+func (s *replicaState) applyPeerUpdate(t serving.Topic, update serving.ReplicaUpdate, asOf time.Time) {
+	s.mu.Lock()
+	if update.FromOffset > s.replicas[t].NextOffset() {
+		s.mu.Unlock()
+		return
+	}
+	applied := s.replicas[t].ApplyUpdate(update)
+	s.recordComplete(t, asOf)
+	s.applyRecords(t, applied)
+}
+
+// recordComplete records that a topic was complete as of a time, by a read of this entry or of a
+// peer. If the store is unreachable only for this entry, peers keep the topic fresh, so this does
+// not count as an outage, in which target records may lapse.
+func (s *replicaState) recordComplete(t serving.Topic, asOf time.Time) {
+	if !asOf.After(s.completeAt[t]) {
+		return
+	}
+	if t == serving.TopicTargets && !s.completeAt[t].IsZero() && asOf.Sub(s.completeAt[t]) > s.outageThreshold {
+		s.outageEndedAt = time.Now()
+		s.log.Info("targets known again after an outage", "ms", asOf.Sub(s.completeAt[t]).Milliseconds())
+	}
+	s.completeAt[t] = asOf
+}
+
+// isOutage reports whether no entry has reached the store for so long that target records may
+// have lapsed.
+func (s *replicaState) isOutage(now time.Time) bool {
+	return now.Sub(s.completeAt[serving.TopicTargets]) > s.outageThreshold
+}
+
+// confirmComplete records that a peer had all records before offset next as of the time asOf. If
+// this entry has them too, its replica is as fresh. It returns true if the gain in freshness is
+// worth propagating.
+func (s *replicaState) confirmComplete(t serving.Topic, next uint64, asOf time.Time) (isFresher bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if next == 0 {
+		s.replicas[t].MarkEmpty()
+	}
+	if !s.replicas[t].IsLoaded() || s.replicas[t].NextOffset() < next {
+		return false
+	}
+	isFresher = asOf.Sub(s.completeAt[t]) > minFreshnessGain
+	s.recordComplete(t, asOf)
+	return isFresher
+}
+
+// updateSince returns the records of a topic from offset next on, for a peer.
+func (s *replicaState) updateSince(t serving.Topic, next uint64) serving.ReplicaUpdate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replicas[t].UpdateSince(next)
+}
+
+// applyRecords updates the snapshot with changed records. The lock must be held; applyRecords
+// releases it.
+func (s *replicaState) applyRecords(t serving.Topic, records []serving.Record) {
+	now := time.Now()
+	changed := false
+	for i := range records {
+		switch t {
+		case serving.TopicConfig:
+			changed = s.applyConfig(&records[i]) || s.applyEvacuation(&records[i]) || changed
+		case serving.TopicTargets:
+			changed = s.applyTarget(&records[i], now) || changed
+		case serving.TopicEntries:
+			s.applyEntry(&records[i])
+		}
+	}
+	if s.targets.ExpireLapsed(now, s.isOutage(now)) {
+		changed = true
+	}
+	if changed && s.config != nil {
+		s.current.Store(&snapshot{index: s.config, targets: serving.MarkEvacuated(s.targets.ByService(s.config.HasService), s.evacuated)})
+	}
+	s.mu.Unlock()
+}
+
+func (s *replicaState) applyConfig(rec *serving.Record) bool {
+	if len(rec.Value) == 0 {
+		return false // a configuration can only be replaced, not removed
+	}
+	c, ok, err := s.decodeConfig(rec.Key, rec.Value)
+	if !ok {
+		return false
+	}
+	if err != nil {
+		s.log.Error(err, "configuration ignored", "offset", rec.Offset)
+		return false
+	}
+	if s.config != nil && c.Version <= s.config.Version {
+		return false
+	}
+	s.config = serving.NewIndex(c)
+	s.log.Info("configuration in force", "version", c.Version, "offset", rec.Offset,
+		"routes", len(c.Routes), "services", len(c.Services), "teams", len(c.Teams))
+	return true
+}
+
+// applyEvacuation applies an order to evacuate a data centre, or its withdrawal. An invalid
+// record changes nothing.
+func (s *replicaState) applyEvacuation(rec *serving.Record) bool {
+	dataCentre, ok, err := s.decodeEvacuation(rec.Key, rec.Value)
+	if !ok {
+		return false
+	}
+	if err != nil {
+		s.metrics.Count("evacuations_ignored", 1)
+		s.log.Error(err, "order to evacuate ignored", "key", rec.Key, "offset", rec.Offset)
+		return false
+	}
+	ordered := len(rec.Value) > 0
+	if ordered == s.evacuated[dataCentre] {
+		return false
+	}
+	if ordered {
+		s.evacuated[dataCentre] = true
+	} else {
+		delete(s.evacuated, dataCentre)
+	}
+	s.log.Info("evacuation", "data_centre", dataCentre, "ordered", ordered, "targets", s.targets.CountInDataCentre(dataCentre), "offset", rec.Offset)
+	return true
+}
+
+func (s *replicaState) applyTarget(rec *serving.Record, now time.Time) bool {
+	if len(rec.Value) == 0 {
+		removeAt := now
+		if now.Sub(s.outageEndedAt) < serving.LapsedGrace {
+			removeAt = s.outageEndedAt.Add(serving.LapsedGrace)
+		}
+		removed := s.targets.Remove(rec.Key, now, removeAt)
+		s.log.Info("target gone", "target", rec.Key, "believed", removed, "after_outage_ms", now.Sub(s.outageEndedAt).Milliseconds())
+		return removed
+	}
+	t, err := s.decodeTarget(rec.Key, rec.Value)
+	if err != nil {
+		// The newest record of the key is invalid, so the target counts as gone until it writes
+		// its next record.
+		s.metrics.Count("target_records_ignored", 1)
+		s.log.Info("record of a target ignored", "target", rec.Key, "offset", rec.Offset, "error", err.Error())
+		return s.targets.Remove(rec.Key, now, now)
+	}
+	if t.ColdRemaining > 0 {
+		t.ColdUntil = now.Add(t.ColdRemaining)
+	}
+	if !s.targets.Put(t, rec.Offset) {
+		return false
+	}
+	s.log.Info("target known", "target", t.ID, "service", t.Service, "address", t.Address, "leaving", t.Leaving, "born", t.StartedAtMS, "cold_ms", t.ColdRemaining.Milliseconds())
+	return true
+}
+
+// expireTargets drops targets that have not come back after an outage.
+func (s *replicaState) expireTargets() {
+	s.mu.Lock()
+	s.applyRecords(serving.TopicTargets, nil)
+}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,202 +13,202 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// streamBody is a stream of events on its way to a caller. The library reads it
-// while it writes: a slow caller holds back the target, and an end with an error
-// closes the connection, so that a part never looks whole.
+// streamBody is the response body of a stream. fasthttp reads it while it writes to the caller: a
+// slow caller slows down the target, and a read error closes the connection, so that a partial
+// stream never looks complete.
 type streamBody struct {
-	g      *Gateway
-	ctx    context.Context
-	t      *tries
-	x      *exchange // the try that goes on; nil after the last has failed
-	head   *exchange // the try whose head the answer has: the one that the first event is of
-	events eventScanner
-	out    []byte // whole events that the caller does not have yet
-	sent   int    // of them, bytes already handed over
-	ended  error  // io.EOF after the whole stream
-	reason *result.Error
-	first  time.Time     // when the first event came
-	latest time.Time     // when the latest came
-	gap    time.Duration // longest pause between events
-	done   func(b *streamBody)
+	g            *Gateway
+	ctx          context.Context
+	dispatch     *dispatch
+	current      *attempt // running attempt; nil after the last one has failed
+	headAttempt  *attempt // attempt that sent the first event; its header is used for the response
+	scanner      eventScanner
+	pending      []byte // complete events not yet delivered
+	pendingRead  int    // bytes of pending already delivered
+	endErr       error  // io.EOF after a complete stream
+	failure      *result.Error
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	longestPause time.Duration // between two events
+	onDone       func(b *streamBody)
 }
 
-// serveStream answers with a stream. The first event is awaited before anything
-// goes out: until then the request can be placed again, or refused with a status.
-func (g *Gateway) serveStream(ctx context.Context, c *fasthttp.RequestCtx, t *tries, done func(*streamBody)) *result.Error {
-	x, e := t.next(ctx, "")
+// serveStream answers with a stream. It waits for the first event before it sends the header:
+// until then the request can be retried, or refused with a status.
+func (g *Gateway) serveStream(ctx context.Context, c *fasthttp.RequestCtx, d *dispatch, onDone func(*streamBody)) *result.Error {
+	a, e := d.nextResponse(ctx, "")
 	if e != nil {
 		return e
 	}
-	b := &streamBody{g: g, ctx: ctx, t: t, x: x, head: x, done: done}
-	b.events.last = -1
-	if id, err := strconv.ParseInt(t.r.resumeAt, 10, 64); err == nil {
-		b.events.last = id
+	b := &streamBody{g: g, ctx: ctx, dispatch: d, current: a, headAttempt: a, onDone: onDone}
+	b.scanner.lastID = -1
+	if id, err := strconv.ParseInt(d.r.resumeAfter, 10, 64); err == nil {
+		b.scanner.lastID = id
 	}
-	if x.resp.Status != fasthttp.StatusOK {
-		return b.failure(c)
+	if a.resp.Status != fasthttp.StatusOK {
+		return b.forwardFailure(c)
 	}
 	b.fill()
-	if len(b.out) == 0 && b.ended != io.EOF {
-		return b.reason
+	if len(b.pending) == 0 && b.endErr != io.EOF {
+		return b.failure
 	}
-	g.copyHead(c, b.head)
+	g.copyHeader(c, b.headAttempt)
 	c.Response.Header.Del(fasthttp.HeaderContentLength)
 	c.Response.SetBodyStream(b, -1)
 	return nil
 }
 
-// failure passes on a target's own failure, whole.
-func (b *streamBody) failure(c *fasthttp.RequestCtx) *result.Error {
-	body, err := readWhole(b.x)
-	defer b.x.close()
+// forwardFailure delivers a target's own error response.
+func (b *streamBody) forwardFailure(c *fasthttp.RequestCtx) *result.Error {
+	body, err := readBody(b.current)
+	defer b.current.close()
 	if err != nil {
-		return result.New(result.AnswerBroken, "%s: %w", b.x.target.ID, err)
+		return result.New(result.AnswerBroken, "%s: %w", b.current.target.ID, err)
 	}
-	b.g.copyHead(c, b.x)
+	b.g.copyHeader(c, b.current)
 	c.Response.SetBodyRaw(body)
-	b.ended = io.EOF
-	b.done(b)
+	b.endErr = io.EOF
+	b.onDone(b)
 	return nil
 }
 
 // Read implements io.Reader.
 func (b *streamBody) Read(p []byte) (int, error) {
-	if b.sent == len(b.out) {
-		b.out, b.sent = b.out[:0], 0
+	if b.pendingRead == len(b.pending) {
+		b.pending, b.pendingRead = b.pending[:0], 0
 		b.fill()
 	}
-	if b.sent < len(b.out) {
-		n := copy(p, b.out[b.sent:])
-		b.sent += n
+	if b.pendingRead < len(b.pending) {
+		n := copy(p, b.pending[b.pendingRead:])
+		b.pendingRead += n
 		return n, nil
 	}
-	return 0, b.ended
+	return 0, b.endErr
 }
 
-// fill waits for events. When a target fails, the stream goes on at another one
-// after the last whole event.
+// fill waits for events. If a target fails, the stream resumes at another target after the last
+// complete event.
 //
-// Failure: a first event and the end of its target come in one read. Symptom: by the time
-// the answer's head is written that try is over, and the head of the next one, or of none,
-// would be taken. So the try that the first event is of is kept for it.
+// The first event and the end of the connection may arrive in one read, so the attempt may be
+// over, or replaced by the next one, before the response header is written. headAttempt therefore
+// keeps the attempt that sent the first event.
 func (b *streamBody) fill() {
 	var buf [4 << 10]byte
-	for len(b.out) == 0 && b.ended == nil {
-		n, err := b.x.resp.Read(buf[:])
+	for len(b.pending) == 0 && b.endErr == nil {
+		n, err := b.current.resp.Read(buf[:])
 		if n > 0 {
-			var bad error
-			if b.out, bad = b.events.add(b.out, buf[:n]); bad != nil {
-				err = bad
+			var scanErr error
+			if b.pending, scanErr = b.scanner.add(b.pending, buf[:n]); scanErr != nil {
+				err = scanErr
 			}
 		}
-		if len(b.out) > 0 {
-			b.came(time.Now())
+		if len(b.pending) > 0 {
+			b.recordEvents(time.Now())
 		}
-		if err == io.EOF && b.events.half() {
-			err = errEventHalf
+		if err == io.EOF && b.scanner.hasPartialEvent() {
+			err = errEventTruncated
 		}
 		switch {
 		case err == nil:
 		case err == io.EOF:
-			b.ended = io.EOF
+			b.endErr = io.EOF
 		default:
-			b.broken(err)
+			b.handleBrokenStream(err)
 		}
 	}
 }
 
-// came notes that events have come.
-func (b *streamBody) came(now time.Time) {
-	if b.first.IsZero() {
-		b.first, b.head = now, b.x
-		b.x.firstByte()
+// recordEvents records the arrival of events and the pause before them.
+func (b *streamBody) recordEvents(now time.Time) {
+	if b.firstEventAt.IsZero() {
+		b.firstEventAt, b.headAttempt = now, b.current
+		b.current.recordFirstByte()
 	} else {
-		pause := now.Sub(b.latest)
-		b.gap = max(b.gap, pause)
-		if gt := b.g.gate(b.t.r.service); gt != nil {
-			gt.RecordEventGap(pause, now)
+		pause := now.Sub(b.lastEventAt)
+		b.longestPause = max(b.longestPause, pause)
+		if queue := b.g.admissionQueue(b.dispatch.r.service); queue != nil {
+			queue.RecordEventGap(pause, now)
 		}
 	}
-	b.latest = now
+	b.lastEventAt = now
 }
 
-// What makes an answer late.
+// Causes of a late response.
 const (
-	lateNot   = "no"
-	lateFirst = "first event"
-	latePause = "pause"
-	// lateAnswer is for answers that are no streams.
+	notLate        = "no"
+	lateFirstEvent = "first event"
+	latePause      = "pause"
+	// lateAnswer is for responses that are not streams.
 	lateAnswer = "answer"
 )
 
-// lateBy tells what made the stream late.
-func (b *streamBody) lateBy() string {
-	route := b.t.r.route
+// lateness returns what made the stream late.
+func (b *streamBody) lateness() string {
+	route := b.dispatch.r.route
 	switch {
-	case b.first.IsZero():
-		return lateNot
-	case route.LatencyObjective > 0 && b.first.Sub(b.t.r.arrived) > route.LatencyObjective:
-		return lateFirst
-	case route.EventGapObjective > 0 && b.gap > route.EventGapObjective:
+	case b.firstEventAt.IsZero():
+		return notLate
+	case route.LatencyObjective > 0 && b.firstEventAt.Sub(b.dispatch.r.arrived) > route.LatencyObjective:
+		return lateFirstEvent
+	case route.EventGapObjective > 0 && b.longestPause > route.EventGapObjective:
 		return latePause
 	}
-	return lateNot
+	return notLate
 }
 
-// broken goes on at another target, or ends the stream.
-func (b *streamBody) broken(err error) {
-	lost := b.x
-	lost.close()
-	b.x = nil
-	b.events.restart()
-	b.reason = b.t.ended(b.ctx)
-	if b.reason == nil {
-		b.g.book.RecordOutcome(lost.target, false, time.Now())
-		b.reason = result.New(result.AnswerBroken, "%s: %w", lost.target.ID, err)
-		b.t.last = b.reason
-		if b.t.mayRetry(b.reason) && !ablate.Off(ablate.Resume) {
+// handleBrokenStream resumes the stream at another target, or ends it.
+func (b *streamBody) handleBrokenStream(err error) {
+	broken := b.current
+	broken.close()
+	b.current = nil
+	b.scanner.discardPending()
+	b.failure = b.dispatch.stopError(b.ctx)
+	if b.failure == nil {
+		b.g.tracker.RecordOutcome(broken.target, false, time.Now())
+		b.failure = result.New(result.AnswerBroken, "%s: %w", broken.target.ID, err)
+		b.dispatch.lastErr = b.failure
+		if b.dispatch.canRetry(b.failure) && !ablate.Off(ablate.Resume) {
 			b.resume()
 			return
 		}
 	}
-	b.ended = b.reason
+	b.endErr = b.failure
 }
 
 func (b *streamBody) resume() {
 	after := ""
-	if b.events.last >= 0 {
-		after = strconv.FormatInt(b.events.last, 10)
+	if b.scanner.lastID >= 0 {
+		after = strconv.FormatInt(b.scanner.lastID, 10)
 	}
-	b.g.opts.Metrics.Retry(b.reason.Code)
-	x, e := b.t.next(b.ctx, after)
+	b.g.opts.Metrics.Retry(b.failure.Code)
+	a, e := b.dispatch.nextResponse(b.ctx, after)
 	switch {
 	case e != nil:
-		b.reason, b.ended = e, e
-	case x.resp.Status != fasthttp.StatusOK:
-		b.reason = result.New(result.EngineLost, "%s answered %d in the middle of a stream", x.target.ID, x.resp.Status)
-		b.ended = b.reason
-		x.close()
+		b.failure, b.endErr = e, e
+	case a.resp.Status != fasthttp.StatusOK:
+		b.failure = result.New(result.EngineLost, "%s answered the resumption of a stream with status %d", a.target.ID, a.resp.Status)
+		b.endErr = b.failure
+		a.close()
 	default:
-		b.x = x
+		b.current = a
 	}
 }
 
-var errNotRead = errors.New("caller stopped reading")
+var errCallerStoppedReading = errors.New("caller stopped reading")
 
-// Close implements io.Closer; the library calls it when the answer is over.
+// Close implements io.Closer; fasthttp calls it after the response.
 func (b *streamBody) Close() error {
-	if b.x != nil {
-		b.x.close()
-		b.x = nil
+	if b.current != nil {
+		b.current.close()
+		b.current = nil
 	}
-	if b.ended == nil {
-		b.reason = b.t.ended(b.ctx)
-		if b.reason == nil {
-			b.reason = result.New(result.CallerGone, "%w", errNotRead)
+	if b.endErr == nil {
+		b.failure = b.dispatch.stopError(b.ctx)
+		if b.failure == nil {
+			b.failure = result.New(result.CallerGone, "%w", errCallerStoppedReading)
 		}
-		b.ended = b.reason
+		b.endErr = b.failure
 	}
-	b.done(b)
+	b.onDone(b)
 	return nil
 }
