--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -61,7 +61,7 @@
 // recordEntry adds an entry by its record in the store.
 func (c *cluster) recordEntry(p peers.Presence) { c.membership.AddFromRecord(p) }
 
-// notify propagates this entry's news to other entries at once.
+// notify propagates this entry's updates to other entries at once.
 func (c *cluster) notify() { c.membership.Disseminate() }
 
 // readerPosition returns this entry's position in the order in which entries read the store, and
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Guards against a target that says it is cold and gets all that comes.
-func TestAColdTargetGetsNoMoreThanItBears(t *testing.T) {
+// Guards against a cold target that gets all requests at once.
+func TestColdTargetStaysWithinColdRate(t *testing.T) {
 	g := NewWithT(t)
 	const rate = 4.0
 	target := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool { return reply(w, r, 200, sealHeader, "x") })
@@ -21,11 +21,11 @@
 	store := new(memStore)
 	store.put(serving.TopicConfig, "config", config)
 	store.put(serving.TopicTargets, "i1", serving.Target{Service: "plain", Address: target.addr, DataCentre: "a", ColdRemaining: 3 * time.Second})
-	f := startEntry(t, "gw", store)
-	g.Eventually(f.gw.Ready, "5s", "5ms").Should(BeTrue())
-	begun, refused := time.Now(), 0
-	for time.Since(begun) < 2*time.Second {
-		resp, _, err := f.request("POST", "/once/x", "k1", "", "Left", "100")
+	e := startEntry(t, "gw", store)
+	g.Eventually(e.gw.Ready, "5s", "5ms").Should(BeTrue())
+	start, refused := time.Now(), 0
+	for time.Since(start) < 2*time.Second {
+		resp, _, err := e.request("POST", "/once/x", "k1", "", "Left", "100")
 		g.Expect(err).NotTo(HaveOccurred())
 		if resp.StatusCode == 503 {
 			refused++
@@ -35,7 +35,7 @@
 	g.Expect(refused).To(BeNumerically(">", 0))
 	g.Expect(len(target.received())).To(And(BeNumerically(">=", 4), BeNumerically("<=", 2*rate+1)))
 	g.Eventually(func() int {
-		resp, _, err := f.request("POST", "/once/x", "k1", "", "Left", "100")
+		resp, _, err := e.request("POST", "/once/x", "k1", "", "Left", "100")
 		g.Expect(err).NotTo(HaveOccurred())
 		return resp.StatusCode
 	}, "5s", "5ms").Should(Equal(200))
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -16,9 +16,9 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Several entries retry as much as each may, with requests and failures at random
-// times. In no window of the bound's length do their retries together exceed it.
-func TestRetriesStayWithinTheBoundInEveryWindow(t *testing.T) {
+// Several entries retry as often as each of them may, with requests and failures at random times.
+// In no window may their retries together exceed the budget.
+func TestRetriesStayWithinBudgetInEveryWindow(t *testing.T) {
 	for seed := range uint64(20) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -42,22 +42,22 @@
 				retries = append(retries, now)
 			}
 		}
-		g.Expect(len(retries)).To(BeNumerically(">", 100), "the budget must be of use")
+		g.Expect(len(retries)).To(BeNumerically(">", 100), "the budget must allow some retries")
 		for _, from := range retries {
-			sent, asked := countInWindow(retries, from, bounds.Window), countInWindow(requests, from, bounds.Window)
-			g.Expect(float64(sent)).To(BeNumerically("<=", bounds.Ratio*float64(asked)+bounds.Slack), "seed %d", seed)
+			retryCount, requestCount := countInWindow(retries, from, bounds.Window), countInWindow(requests, from, bounds.Window)
+			g.Expect(float64(retryCount)).To(BeNumerically("<=", bounds.Ratio*float64(requestCount)+bounds.Slack), "seed %d", seed)
 		}
 	}
 }
 
 func countInWindow(times []time.Time, from time.Time, window time.Duration) int {
-	n := 0
+	count := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(from.Add(window)) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func testReplicaState() *replicaState {
@@ -68,166 +68,160 @@
 	return serving.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// Another writer puts records into the topic of the targets that can't be read, one of
-// them under the key of a target. That key names no target until the target's own next
-// record; all others hold, and each record is counted.
-func TestRecordsOfOtherWritersLeaveTheOthersAlone(t *testing.T) {
+// Another writer puts invalid records into the targets topic, one of them under the key of a
+// target. Only that target must disappear, until its own next record, and each invalid record
+// must be counted.
+func TestInvalidTargetRecordsAffectOnlyTheirKey(t *testing.T) {
 	g := NewWithT(t)
-	k := testReplicaState()
+	s := testReplicaState()
 	now := time.Now()
-	k.config = serving.NewIndex(testConfig())
-	k.applyNewest(serving.TopicTargets, []serving.Record{
+	s.config = serving.NewIndex(testConfig())
+	s.applyNewest(serving.TopicTargets, []serving.Record{
 		targetRecord(1, "i1", `{"Service":"plain","Address":"a"}`),
 		targetRecord(2, "i2", `{"Service":"plain","Address":"b"}`),
 	}, 3, now)
-	k.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(3, "x", "\x00\xfe"), targetRecord(4, "i2", `{"Service":7}`)}, 5, now)
-	left := k.snapshot().targets["plain"]
+	s.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(3, "x", "\x00\xfe"), targetRecord(4, "i2", `{"Service":7}`)}, 5, now)
+	left := s.snapshot().targets["plain"]
 	g.Expect(left).To(HaveLen(1))
 	g.Expect(left[0].ID).To(Equal("i1"))
 	var counters strings.Builder
-	g.Expect(k.metrics.Write(&counters)).To(Succeed())
+	g.Expect(s.metrics.Write(&counters)).To(Succeed())
 	g.Expect(counters.String()).To(MatchRegexp(`target_records_ignored\S* 2`))
-	k.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(5, "i2", `{"Service":"plain","Address":"b","Sequence":3}`)}, 6, now)
-	g.Expect(k.snapshot().targets["plain"]).To(HaveLen(2))
+	s.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(5, "i2", `{"Service":"plain","Address":"b","Sequence":3}`)}, 6, now)
+	g.Expect(s.snapshot().targets["plain"]).To(HaveLen(2))
 }
 
-// The store is away for seconds, and the records of targets lapse that could not
-// renew them. They must stay usable until the targets had time to come back; one
-// that is still missing then is gone.
-func TestTargetsSurviveAnOutageOfTheStore(t *testing.T) {
+// Target records lapse during an outage of the store, as targets cannot renew them. The targets
+// must stay usable for a grace period, and targets still missing after it must be removed.
+func TestTargetsSurviveStoreOutage(t *testing.T) {
 	g := NewWithT(t)
-	k := testReplicaState()
+	s := testReplicaState()
 	now := time.Now()
-	k.config = serving.NewIndex(testConfig())
-	k.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain"}`)}, 2, now.Add(-5*time.Second))
-	k.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", "")}, 3, now)
-	g.Expect(k.snapshot().targets["plain"]).To(HaveLen(1))
-	k.mu.Lock()
-	changed := k.targets.ExpireLapsed(now.Add(serving.LapsedGrace+time.Second), false)
-	k.mu.Unlock()
+	s.config = serving.NewIndex(testConfig())
+	s.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain"}`)}, 2, now.Add(-5*time.Second))
+	s.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", "")}, 3, now)
+	g.Expect(s.snapshot().targets["plain"]).To(HaveLen(1))
+	s.mu.Lock()
+	changed := s.targets.ExpireLapsed(now.Add(serving.LapsedGrace+time.Second), false)
+	s.mu.Unlock()
 	g.Expect(changed).To(BeTrue())
 }
 
-// The store turns this entry away and serves the others; a peer tells that a
-// target has been taken out. There was no outage for the targets, so it is gone at
-// once and gets no more requests.
-func TestATargetGoesAtOnceIfOnlyThisEntryLostTheStore(t *testing.T) {
+// Only this entry loses the store, and a peer reports that a target was removed. As this is no
+// outage for the targets, the target must be removed at once.
+func TestTargetIsRemovedAtOnceIfOnlyThisEntryLostStore(t *testing.T) {
 	g := NewWithT(t)
-	k := testReplicaState()
+	s := testReplicaState()
 	now := time.Now()
-	k.config = serving.NewIndex(testConfig())
-	k.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain"}`)}, 2, now.Add(-time.Second))
-	k.recordStoreFailure(errStoreDown)
-	k.applyPeerUpdate(serving.TopicTargets, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(2, "i1", "")}, FromOffset: 2, NextOffset: 3}, now)
-	g.Expect(k.snapshot().targets["plain"]).To(BeEmpty())
+	s.config = serving.NewIndex(testConfig())
+	s.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain"}`)}, 2, now.Add(-time.Second))
+	s.recordStoreFailure(errStoreDown)
+	s.applyPeerUpdate(serving.TopicTargets, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(2, "i1", "")}, FromOffset: 2, NextOffset: 3}, now)
+	g.Expect(s.snapshot().targets["plain"]).To(BeEmpty())
 }
 
-// A target writes its record at every heartbeat. That it lives is no news to
-// peers: only what it says of itself is.
-func TestRecordsThatOnlyShowLifeAreNoNews(t *testing.T) {
+// A target writes a record at every heartbeat. Records that change only the sequence must not be
+// propagated to peers.
+func TestUnchangedTargetHeartbeatsAreNotPropagated(t *testing.T) {
 	g := NewWithT(t)
-	k := testReplicaState()
+	s := testReplicaState()
 	now := time.Now()
-	k.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain","sequence":1}`)}, 2, now)
-	k.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", `{"Service":"plain","sequence":2}`)}, 3, now)
-	news := k.updateSince(serving.TopicTargets, 2)
-	g.Expect(news.Records).To(BeEmpty())
-	g.Expect(news.NextOffset).To(Equal(uint64(3)))
-	k.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(3, "i1", `{"Service":"plain","Leaving":true}`)}, 4, now)
-	news = k.updateSince(serving.TopicTargets, 3)
-	g.Expect(news.Records).To(HaveLen(1))
+	s.applyNewest(serving.TopicTargets, []serving.Record{targetRecord(1, "i1", `{"Service":"plain","sequence":1}`)}, 2, now)
+	s.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(2, "i1", `{"Service":"plain","sequence":2}`)}, 3, now)
+	update := s.updateSince(serving.TopicTargets, 2)
+	g.Expect(update.Records).To(BeEmpty())
+	g.Expect(update.NextOffset).To(Equal(uint64(3)))
+	s.applyChanges(serving.TopicTargets, []serving.Record{targetRecord(3, "i1", `{"Service":"plain","Leaving":true}`)}, 4, now)
+	update = s.updateSince(serving.TopicTargets, 3)
+	g.Expect(update.Records).To(HaveLen(1))
 }
 
-// Three entries pass on to each other, again and again, how fresh a topic is that one of
-// them read once. If it seemed fresher with any of these answers, they would keep each
-// other from reading a store that only they could reach. Questions tell nothing of it: one
-// may have waited at an entry that stood still.
-func TestWhatIsPassedOnNeverSeemsFresher(t *testing.T) {
+// Three entries keep passing on the freshness of a topic that one of them read once. If any of
+// them overstated it, they would keep each other from reading the store.
+func TestPropagatedFreshnessIsNeverOverstated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var entries []*cluster
 		for range 3 {
-			k := testReplicaState()
-			k.applyNewest(serving.TopicConfig, nil, 1, time.Now().Add(-time.Hour))
-			m := &cluster{g: &Gateway{state: k, tracker: testTracker()}, peerTopics: make(map[string][]peers.TopicState)}
-			m.membership = members.New(members.Options{Piggyback: m})
-			entries = append(entries, m)
+			s := testReplicaState()
+			s.applyNewest(serving.TopicConfig, nil, 1, time.Now().Add(-time.Hour))
+			c := &cluster{g: &Gateway{state: s, tracker: testTracker()}, peerTopics: make(map[string][]peers.TopicState)}
+			c.membership = members.New(members.Options{Piggyback: c})
+			entries = append(entries, c)
 		}
 		read := time.Now()
 		entries[0].g.state.applyNewest(serving.TopicConfig, nil, 1, read)
 		for n := range 400 {
-			asks, asked := entries[(n+1)%3], entries[n%3]
+			prober, probed := entries[(n+1)%3], entries[n%3]
 			sent := time.Now()
 			time.Sleep(time.Duration(n%7) * 300 * time.Microsecond)
-			answer := &peers.Heartbeat{}
-			question := &peers.Heartbeat{Topics: asks.topicStates()}
-			asked.HandleProbe(question, answer)
-			asks.HandleAck(answer, sent)
-			for _, m := range entries {
-				g.Expect(m.g.state.age(serving.TopicConfig, time.Now())).To(BeNumerically(">=", time.Since(read)))
+			ack := &peers.Heartbeat{}
+			probe := &peers.Heartbeat{Topics: prober.topicStates()}
+			probed.HandleProbe(probe, ack)
+			prober.HandleAck(ack, sent)
+			for _, c := range entries {
+				g.Expect(c.g.state.age(serving.TopicConfig, time.Now())).To(BeNumerically(">=", time.Since(read)))
 			}
 		}
 		g.Expect(entries[1].g.state.age(serving.TopicConfig, time.Now())).To(BeNumerically("<", time.Since(read)+time.Second))
 	})
 }
 
-// A configuration never goes back: neither an older record that comes late from a
-// peer nor a store that reads stale replaces a newer one.
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+// Neither an older record that arrives late from a peer nor a stale read of the store may replace
+// a newer configuration.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
-	k := testReplicaState()
+	s := testReplicaState()
 	now := time.Now()
-	k.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(5, "config", `{"Version":9}`)}, 6, now)
-	k.applyPeerUpdate(serving.TopicConfig, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, NextOffset: 4}, now)
-	g.Expect(k.snapshot().index.Version).To(Equal(uint64(9)))
-	k.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, 4, now)
-	k.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(8, "config", `{"Version":8}`)}, 9, now)
-	g.Expect(k.snapshot().index.Version).To(Equal(uint64(9)))
+	s.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(5, "config", `{"Version":9}`)}, 6, now)
+	s.applyPeerUpdate(serving.TopicConfig, serving.ReplicaUpdate{Records: []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, NextOffset: 4}, now)
+	g.Expect(s.snapshot().index.Version).To(Equal(uint64(9)))
+	s.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(3, "config", `{"Version":7}`)}, 4, now)
+	s.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(8, "config", `{"Version":8}`)}, 9, now)
+	g.Expect(s.snapshot().index.Version).To(Equal(uint64(9)))
 }
 
-// Of many entries the first reads the store and the others follow it. If it fails,
-// exactly the next takes over first, the rest one after the other, all within the
-// bound; not all at the same moment.
-func TestReadersTakeOverOneAfterTheOther(t *testing.T) {
+// The first entry reads the store. If it fails, the others must take over one after the other
+// within the time limit, not all at the same moment.
+func TestStoreReadersTakeOverInTurn(t *testing.T) {
 	g := NewWithT(t)
 	bound := 3 * time.Second
-	p := readSchedule{leadAge: fractionOf(bound, targetsLeadShare), followAge: fractionOf(bound, targetsFollowShare), takeoverSpread: fractionOf(bound, takeoverSpreadShare)}
+	s := readSchedule{leadAge: fractionOf(bound, targetsLeadShare), followAge: fractionOf(bound, targetsFollowShare), takeoverSpread: fractionOf(bound, takeoverSpreadShare)}
 	last := time.Duration(0)
-	for place := range 46 {
-		age, _ := p.readLimits(place, 46)
+	for position := range 46 {
+		age, _ := s.readLimits(position, 46)
 		g.Expect(age).To(BeNumerically(">", last))
 		g.Expect(age).To(BeNumerically("<", bound*9/10))
 		last = age
 	}
 }
 
-// An entry that the store turns away stands behind all that it serves, whatever
-// its name: it would keep them waiting for its news.
-func TestWhoDoesNotReachTheStoreReadsLast(t *testing.T) {
+// An entry that the store refuses must come last in the read order whatever its name; otherwise
+// the other entries would wait for its updates.
+func TestEntryWithoutStoreIsLastInReadOrder(t *testing.T) {
 	g := NewWithT(t)
-	f := startEntry(t, "b", new(memStore))
-	meet := func(name string, reaches bool) {
-		f.gw.cluster.membership.MergeHeartbeat(&peers.Heartbeat{Entry: peers.Presence{Name: name, PeerAddr: "127.0.0.1:1", Incarnation: 1, StoreReachable: reaches}})
+	e := startEntry(t, "b", new(memStore))
+	addEntry := func(name string, reachable bool) {
+		e.gw.cluster.membership.MergeHeartbeat(&peers.Heartbeat{Entry: peers.Presence{Name: name, PeerAddr: "127.0.0.1:1", Incarnation: 1, StoreReachable: reachable}})
 	}
-	meet("a", false)
-	meet("c", true)
-	place, of := f.gw.cluster.readerPosition()
-	g.Expect(place).To(Equal(0))
-	g.Expect(of).To(Equal(3))
-	f.gw.state.recordStoreFailure(errStoreDown)
-	place, _ = f.gw.cluster.readerPosition()
-	g.Expect(place).To(Equal(2))
+	addEntry("a", false)
+	addEntry("c", true)
+	position, count := e.gw.cluster.readerPosition()
+	g.Expect(position).To(Equal(0))
+	g.Expect(count).To(Equal(3))
+	e.gw.state.recordStoreFailure(errStoreDown)
+	position, _ = e.gw.cluster.readerPosition()
+	g.Expect(position).To(Equal(2))
 }
 
-// The time of day of a VM is set back, and its entry starts again there. What it
-// says of itself must count although its incarnation looks older; an older record
-// in the store must not.
-func TestAnEntryWhoseClockWasSetBackIsHeard(t *testing.T) {
+// The clock of a VM is set back before its entry restarts, so the new incarnation looks older.
+// The entry's own presence must be accepted, an older record in the store must not.
+func TestEntryWithLowerIncarnationAfterRestartIsAccepted(t *testing.T) {
 	g := NewWithT(t)
-	f := startEntry(t, "a", new(memStore))
-	m := f.gw.cluster
-	before := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:1", CallerAddr: "old", Incarnation: 9, Ready: true}
-	after := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:2", CallerAddr: "new", Incarnation: 4, Ready: true}
+	e := startEntry(t, "a", new(memStore))
+	m := e.gw.cluster
+	oldPresence := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:1", CallerAddr: "old", Incarnation: 9, Ready: true}
+	newPresence := peers.Presence{Name: "b", PeerAddr: "127.0.0.1:2", CallerAddr: "new", Incarnation: 4, Ready: true}
 	callers := func() []string {
 		var list []string
 		for _, p := range m.readyEntries() {
@@ -235,12 +229,12 @@
 		}
 		return list
 	}
-	m.membership.MergeHeartbeat(&peers.Heartbeat{Entry: before})
+	m.membership.MergeHeartbeat(&peers.Heartbeat{Entry: oldPresence})
 	g.Expect(callers()).To(Equal([]string{"old"}))
-	m.membership.MergeHeartbeat(&peers.Heartbeat{Entry: after})
+	m.membership.MergeHeartbeat(&peers.Heartbeat{Entry: newPresence})
 	g.Expect(callers()).To(Equal([]string{"new"}))
-	older := before
-	older.Incarnation = 2
-	m.recordEntry(older)
+	oldRecord := oldPresence
+	oldRecord.Incarnation = 2
+	m.recordEntry(oldRecord)
 	g.Expect(callers()).To(Equal([]string{"new"}))
 }
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Targets repeat events after a resumption, leave some out, or stop in the middle
-// of one. Only whole events with the next id may reach the caller.
-func TestEventsFollowEachOther(t *testing.T) {
+// A target may repeat events after a resumption, leave events out or stop within one. Only
+// complete events with the next id may reach the caller.
+func TestScannerForwardsOnlyConsecutiveEvents(t *testing.T) {
 	g := NewWithT(t)
 	s := eventScanner{lastID: -1}
 	out, err := s.add(nil, []byte(eventText(0)+eventText(1)[:4]))
@@ -18,13 +18,13 @@
 	g.Expect(s.hasPartialEvent()).To(BeTrue())
 	out, err = s.add(nil, []byte(eventText(1)[4:]+eventText(1)+eventText(2)))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(string(out)).To(Equal(eventText(1)+eventText(2)), "the repeated event is left out")
+	g.Expect(string(out)).To(Equal(eventText(1)+eventText(2)), "the repeated event is dropped")
 	_, err = s.add(nil, []byte(eventText(4)))
 	g.Expect(err).To(MatchError(errEventGap))
 }
 
-// Whatever the pieces in which a stream arrives, what is passed on is the same.
-func FuzzEventsDoNotDependOnPieces(f *testing.F) {
+// The forwarded events must not depend on the pieces in which a stream arrives.
+func FuzzEventsDoNotDependOnChunking(f *testing.F) {
 	f.Add(eventText(0)+eventText(1)+eventText(2), uint8(3))
 	f.Add("data: no id\r\n\r\nid: 5\ndata: x\n\nid: 6\n\n", uint8(1))
 	f.Fuzz(func(t *testing.T, stream string, size uint8) {
@@ -40,7 +40,7 @@
 			rest = rest[n:]
 		}
 		if strings.Contains(stream, "\r") {
-			return // a carriage return at the edge of a piece may join an event to the next
+			return // a carriage return at the end of a piece may join two events
 		}
 		if string(want) != string(got) || (wantErr == nil) != (gotErr == nil) {
 			t.Errorf("whole: %q, %v; in pieces of %d: %q, %v", want, wantErr, step, got, gotErr)
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -9,27 +9,27 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// testLoadFollower returns a follower of a service with four engines, and its targets.
+// testLoadFollower returns a load follower of a service with four engines, and its targets.
 func testLoadFollower() (*loadFollower, []*serving.Target) {
-	k := testReplicaState()
+	s := testReplicaState()
 	var targets []*serving.Target
 	for _, id := range []string{"a", "b", "c", "d"} {
 		targets = append(targets, &serving.Target{ID: id, Service: "s", Address: id})
 	}
-	k.current.Store(&snapshot{targets: map[string][]*serving.Target{"s": targets}})
-	return newLoadFollower(&Gateway{state: k}, "s"), targets
+	s.current.Store(&snapshot{targets: map[string][]*serving.Target{"s": targets}})
+	return newLoadFollower(&Gateway{state: s}, "s"), targets
 }
 
-// A service has two groups. The first reader finds one of them; as long as engines are left
-// that are not of it, a second one asks these, and each group is read by one.
-func TestEachGroupOfAServiceIsRead(t *testing.T) {
+// A service has two groups. While engines remain outside the group of the first reader, a second
+// reader must poll these, and each group must have one reader.
+func TestEachGroupOfServiceHasOneReader(t *testing.T) {
 	g := NewWithT(t)
 	f, targets := testLoadFollower()
 	first, second, third := &loadReader{follower: f}, &loadReader{follower: f}, &loadReader{follower: f}
 	g.Expect(f.tryBeginSearch()).To(BeTrue())
-	g.Expect(f.tryBeginSearch()).To(BeFalse(), "one looks already")
+	g.Expect(f.tryBeginSearch()).To(BeFalse(), "a search is already running")
 	g.Expect(f.candidates(first, targets)).To(Equal(targets))
-	g.Expect(f.stopIfUnneeded(first)).To(BeFalse(), "nobody else would look")
+	g.Expect(f.stopIfUnneeded(first)).To(BeFalse(), "it is the only reader")
 	g.Expect(f.claimGroup(first, "g")).To(BeTrue())
 	f.setEngines("g", []string{"a", "b"})
 
@@ -39,21 +39,21 @@
 	g.Expect(f.claimGroup(second, "h")).To(BeTrue())
 	f.setEngines("h", []string{"c", "d"})
 	g.Expect(f.candidates(first, targets)).To(Equal(targets[:2]))
-	g.Expect(f.tryBeginSearch()).To(BeFalse(), "all engines are read of")
+	g.Expect(f.tryBeginSearch()).To(BeFalse(), "all engines belong to a group that is read")
 
 	f.setEngines("h", []string{"c"})
 	g.Expect(f.tryBeginSearch()).To(BeTrue())
 	third.engineAddr = "d"
 	g.Expect(f.stopIfUnneeded(third)).To(BeTrue())
-	g.Expect(f.tryBeginSearch()).To(BeFalse(), "an engine that is down is not asked all the time")
+	g.Expect(f.tryBeginSearch()).To(BeFalse(), "an unreachable engine is not polled again at once")
 	f.noGroupAt["d"] = time.Now().Add(-engineRetryDelay)
-	g.Expect(f.tryBeginSearch()).To(BeTrue(), "it may be up by now")
+	g.Expect(f.tryBeginSearch()).To(BeTrue(), "the engine may be reachable again")
 }
 
-// After a restart of everything an entry finds the groups one by one, and some engines are not
-// up yet. One that was asked in vain must not keep the entry from asking others: a group that
-// is not found gets no requests.
-func TestAnEngineThatIsDownDoesNotHideItsGroup(t *testing.T) {
+// After a restart of everything some engines are not up yet. An engine that was polled without
+// success must not block the search for other groups, as a group that is not found gets no
+// requests.
+func TestUnreachableEngineDoesNotBlockGroupSearch(t *testing.T) {
 	g := NewWithT(t)
 	f, targets := testLoadFollower()
 	first, second := &loadReader{follower: f}, &loadReader{follower: f, engineAddr: "c"}
@@ -66,18 +66,18 @@
 	g.Expect(f.candidates(&loadReader{follower: f}, targets)).To(Equal(targets[3:]))
 }
 
-// The engines of a group are gone, or have joined another one. Its reader ends, and what is
-// left is read by others.
-func TestAReaderWhoseGroupIsGoneEnds(t *testing.T) {
+// The engines of a group have stopped or joined another group. The reader of the group must end,
+// so that other readers can cover the remaining engines.
+func TestReaderEndsWhenGroupHasNoEngines(t *testing.T) {
 	g := NewWithT(t)
 	f, _ := testLoadFollower()
 	first, second := &loadReader{follower: f}, &loadReader{follower: f}
 	g.Expect(f.claimGroup(first, "g")).To(BeTrue())
 	f.setEngines("g", []string{"a", "b"})
-	g.Expect(f.stopIfUnneeded(first)).To(BeFalse(), "an answer is missing now and then")
+	g.Expect(f.stopIfUnneeded(first)).To(BeFalse(), "one failed poll does not end a reader")
 	f.setEngines("g", []string{"x"})
 	g.Expect(f.stopIfUnneeded(first)).To(BeTrue())
 	g.Expect(f.claimGroup(second, "g")).To(BeTrue())
-	g.Expect(f.claimGroup(second, "h")).To(BeTrue(), "its engines have joined another group")
+	g.Expect(f.claimGroup(second, "h")).To(BeTrue(), "the engines of the reader have joined another group")
 	g.Expect(f.readers).To(HaveLen(1))
 }
--- a/gateway/kit_test.go
+++ b/gateway/kit_test.go
@@ -23,14 +23,14 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// testHeaders has field names of its own: nothing in the package may depend on
-// those of one platform.
+// testHeaders has header names of its own, as the package must not depend on the names of one
+// platform.
 var testHeaders = HeaderNames{
 	RequestID: "Rid", Deadline: "Left", Key: "Key", Team: "Team", Instance: "Run-Id", NotRun: "Not-Run",
 	FaultAt: "Fault-At", RateLimit: "Rate", Seal: "Seal", ResumeAfter: "After", Priority: "Prio", Tokens: "Tokens", LengthHint: "Hint",
 }
 
-// memStore keeps topics in memory and can be away.
+// memStore is a store in memory that can be made unreachable.
 type memStore struct {
 	mu     sync.Mutex
 	topics [serving.NumTopics][]serving.Record
@@ -38,7 +38,7 @@
 	reads  int
 }
 
-var errStoreDown = errors.New("store is away")
+var errStoreDown = errors.New("store is unreachable")
 
 // Newest implements serving.Store.
 func (s *memStore) Newest(_ context.Context, t serving.Topic) ([]serving.Record, uint64, error) {
@@ -68,10 +68,10 @@
 			s.mu.Unlock()
 			return nil, 0, errStoreDown
 		}
-		have := s.topics[t]
+		records := s.topics[t]
 		s.mu.Unlock()
-		if uint64(len(have)) > from || !time.Now().Before(end) || ctx.Err() != nil {
-			return have[min(from, uint64(len(have))):], max(from, uint64(len(have))), nil
+		if uint64(len(records)) > from || !time.Now().Before(end) || ctx.Err() != nil {
+			return records[min(from, uint64(len(records))):], max(from, uint64(len(records))), nil
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -110,7 +110,7 @@
 	return c, key == "config", err
 }
 
-var errInvalidOrder = errors.New("no order")
+var errInvalidOrder = errors.New("invalid order")
 
 func decodeTestEvacuation(key string, value []byte) (string, bool, error) {
 	dataCentre, ok := strings.CutPrefix(key, "away-from-")
@@ -127,17 +127,17 @@
 	return t, err
 }
 
-// testTarget is a target whose answers a test writes by hand.
+// testTarget is a target whose responses are written by the test.
 type testTarget struct {
 	id       string
 	addr     string
 	mu       sync.Mutex
 	requests []*http.Request
-	closed   chan struct{} // one for each connection that its caller closed
+	closed   chan struct{} // receives a value for each connection that the gateway closed
 }
 
-// startTarget starts a target; serve answers one request and tells whether the
-// connection goes on.
+// startTarget starts a target. serve answers one request and reports whether the connection stays
+// open.
 func startTarget(t *testing.T, id string, serve func(w net.Conn, r *http.Request) bool) *testTarget {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -185,7 +185,7 @@
 	return append([]*http.Request(nil), target.requests...)
 }
 
-// reply writes a whole answer.
+// reply writes a complete response.
 func reply(w net.Conn, r *http.Request, status int, fields, body string) bool {
 	_, err := fmt.Fprintf(w, "HTTP/1.1 %d X\r\nRid: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("Rid"), fields, len(body), body)
 	return err == nil
@@ -193,7 +193,7 @@
 
 const sealHeader = "Seal: yes\r\n"
 
-// writeStreamHead begins a stream of events.
+// writeStreamHead writes the header of an event stream.
 func writeStreamHead(w net.Conn, r *http.Request) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nRid: %s\r\n%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Rid"), sealHeader)
 }
@@ -207,7 +207,7 @@
 	return false
 }
 
-// testEntry is a gateway with a store and targets.
+// testEntry is a running gateway with its store.
 type testEntry struct {
 	t            *testing.T
 	store        *memStore
@@ -257,17 +257,17 @@
 	callersLn, peersLn := listen(t), listen(t)
 	o := testOptions(name, store)
 	o.CallerAddr, o.PeerAddr = callersLn.Addr().String(), peersLn.Addr().String()
-	f := &testEntry{t: t, store: store, addr: o.CallerAddr}
-	f.gw = Start(o, callersLn, peersLn)
+	e := &testEntry{t: t, store: store, addr: o.CallerAddr}
+	e.gw = Start(o, callersLn, peersLn)
 	t.Cleanup(func() {
-		f.gw.cancel()
-		f.gw.peerServer.Close()
+		e.gw.cancel()
+		e.gw.peerServer.Close()
 		_ = callersLn.Close()
 	})
-	return f
+	return e
 }
 
-// startEntryWithTargets starts a gateway that knows a configuration and targets.
+// startEntryWithTargets starts a gateway and waits until it knows the configuration and targets.
 func startEntryWithTargets(t *testing.T, service string, targets ...*testTarget) *testEntry {
 	t.Helper()
 	store := new(memStore)
@@ -275,17 +275,17 @@
 	for _, target := range targets {
 		store.put(serving.TopicTargets, target.id, serving.Target{Service: service, Address: target.addr, DataCentre: "a"})
 	}
-	f := startEntry(t, "gw", store)
+	e := startEntry(t, "gw", store)
 	NewWithT(t).Eventually(func() int {
-		if v := f.gw.state.snapshot(); v != nil {
+		if v := e.gw.state.snapshot(); v != nil {
 			return len(v.targets[service])
 		}
 		return -1
 	}, "5s", "5ms").Should(Equal(len(targets)))
-	return f
+	return e
 }
 
-// request sends one request on a connection of its own and reads the whole answer.
+// request sends a request on a new connection and reads the complete response.
 func (e *testEntry) request(method, path, key, body string, fields ...string) (*http.Response, string, error) {
 	e.requestCount++
 	req, err := http.NewRequest(method, "http://"+e.addr+path, strings.NewReader(body))
@@ -310,5 +310,5 @@
 	return resp, string(text), err
 }
 
-// testTracker is the book of an entry that has sent nothing yet.
+// testTracker returns the tracker of an entry that has not sent any requests.
 func testTracker() *placing.Tracker { return placing.NewTracker("e", "a", rand.New(rand.NewPCG(1, 1))) }
--- a/gateway/ratelimit_test.go
+++ b/gateway/ratelimit_test.go
@@ -17,8 +17,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Guards against rates that are named, changed or ended and that no entry takes note of.
-func TestTheRateThatATargetNamesIsNoted(t *testing.T) {
+// Guards against reported rate limits that an entry does not record, update or remove.
+func TestReportedRateLimitIsRecorded(t *testing.T) {
 	g := NewWithT(t)
 	fields := []string{"Rate: 1.5\r\n", "Rate: much\r\n", "Rate: 0.8\r\n", ""}
 	answered := 0
@@ -26,25 +26,25 @@
 		answered++
 		return reply(w, r, http.StatusOK, sealHeader+fields[answered-1], "ok")
 	})
-	f := startEntryWithTargets(t, "plain", target)
-	known := f.gw.state.snapshot().targets["plain"][0]
+	e := startEntryWithTargets(t, "plain", target)
+	known := e.gw.state.snapshot().targets["plain"][0]
 	g.Eventually(func() bool {
-		_, self := f.gw.cluster.permitOwner(known.Run())
+		_, self := e.gw.cluster.permitOwner(known.Run())
 		return self
 	}, "5s", "5ms").Should(BeTrue())
 	for _, rate := range []float64{1.5, 1.5, 0.8, placing.Unlimited} {
-		_, _, err := f.request("POST", "/once/x", "k1", "")
+		_, _, err := e.request("POST", "/once/x", "k1", "")
 		g.Expect(err).NotTo(HaveOccurred())
-		noted, _ := f.gw.tracker.RateLimitOf(known.Run())
+		noted, _ := e.gw.tracker.RateLimitOf(known.Run())
 		g.Expect(noted).To(Equal(rate))
 	}
 }
 
-// limitedTarget names a rate in its answers and notes when requests come.
+// limitedTarget reports a rate limit in its responses and records the arrival times of requests.
 type limitedTarget struct {
 	*testTarget
 	mu       sync.Mutex
-	rate     float64 // requests a second; 0: it names none
+	rate     float64 // requests per second; 0: no limit is reported
 	arrivals []time.Time
 }
 
@@ -56,7 +56,7 @@
 	return l
 }
 
-// recordArrival notes an arrival and returns the field of its answer.
+// recordArrival records an arrival and returns the rate limit header for the response.
 func (l *limitedTarget) recordArrival() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,30 +73,31 @@
 	l.rate = rate
 }
 
-// maxInWindow returns the maxInWindow arrivals in any window of a length between two times.
+// maxInWindow returns the largest number of arrivals between from and to within any window.
 func (l *limitedTarget) maxInWindow(from, to time.Time, window time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := 0
+	maxCount := 0
 	for _, at := range l.arrivals {
 		if !at.Before(from) && at.Before(to) {
-			most = max(most, countInWindow(l.arrivals, at, min(window, to.Sub(at))))
+			maxCount = max(maxCount, countInWindow(l.arrivals, at, min(window, to.Sub(at))))
 		}
 	}
-	return most
+	return maxCount
 }
 
 const (
-	// limitSettleTime is from when on a rate must be kept after it was named or an entry has
-	// started. Source: the least that the platform grants.
+	// limitSettleTime is the time after which a rate limit must hold once it was reported or an
+	// entry has started. Source: the shortest time that the platform grants.
 	limitSettleTime = 3 * time.Second
 	limitWindow     = 4 * time.Second
 )
 
-// maxAllowed returns how many requests a rate allows in a window: one may come at either end.
+// maxAllowed returns how many requests a rate allows in a window. Two are added, as one may
+// arrive at either end.
 func maxAllowed(rate float64) int { return int(rate*limitWindow.Seconds()) + 2 }
 
-// rateLimitCluster are some entries, and callers that press them until they are stopped.
+// rateLimitCluster is a set of entries and callers that send load to them.
 type rateLimitCluster struct {
 	t           *testing.T
 	store       *memStore
@@ -108,7 +109,7 @@
 	refused     []refusal
 }
 
-// refusal is what a caller gets in place of an answer.
+// refusal is an error response to a caller.
 type refusal struct {
 	status     int
 	retryAfter string
@@ -116,18 +117,18 @@
 }
 
 func startRateLimitCluster(t *testing.T, entries int, service string, targets ...*testTarget) *rateLimitCluster {
-	f := &rateLimitCluster{t: t, store: new(memStore), service: service, targetCount: len(targets)}
-	f.store.put(serving.TopicConfig, "config", testConfig())
+	c := &rateLimitCluster{t: t, store: new(memStore), service: service, targetCount: len(targets)}
+	c.store.put(serving.TopicConfig, "config", testConfig())
 	for _, target := range targets {
-		f.store.put(serving.TopicTargets, target.id, serving.Target{Service: service, Address: target.addr, DataCentre: "a"})
+		c.store.put(serving.TopicTargets, target.id, serving.Target{Service: service, Address: target.addr, DataCentre: "a"})
 	}
 	for i := range entries {
-		f.startEntry(fmt.Sprintf("gw%d", i))
+		c.startEntry(fmt.Sprintf("gw%d", i))
 	}
-	return f
+	return c
 }
 
-// startEntry starts an entry, which takes the place of an earlier one of its name.
+// startEntry starts an entry, which replaces an earlier one with the same name.
 func (c *rateLimitCluster) startEntry(name string) {
 	e := startEntry(c.t, name, c.store)
 	NewWithT(c.t).Eventually(func() int {
@@ -142,17 +143,17 @@
 	c.entries = append(c.entries, e)
 }
 
-// crashEntry ends an entry as a crash would.
+// crashEntry ends an entry without notice.
 func (c *rateLimitCluster) crashEntry(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := slices.IndexFunc(c.entries, func(e *testEntry) bool { return e.gw.opts.Name == name })
-	c.entries[at].gw.Abort()
-	c.entries = slices.Delete(c.entries, at, at+1)
+	i := slices.IndexFunc(c.entries, func(e *testEntry) bool { return e.gw.opts.Name == name })
+	c.entries[i].gw.Abort()
+	c.entries = slices.Delete(c.entries, i, i+1)
 }
 
-// sendLoad has callers send requests on a path until stop is called.
-func (c *rateLimitCluster) sendLoad(path string, callers int, pause time.Duration) (stop func()) {
+// sendLoad sends requests to a path from several callers until stop is called.
+func (c *rateLimitCluster) sendLoad(path string, callers int, meanPause time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	for caller := range callers {
@@ -160,7 +161,7 @@
 		tasks.Go(func() {
 			for ctx.Err() == nil {
 				c.send(path, rng)
-				sleep(ctx, time.Duration(rng.Int64N(int64(2*pause))))
+				sleep(ctx, time.Duration(rng.Int64N(int64(2*meanPause))))
 			}
 		})
 	}
@@ -184,9 +185,9 @@
 	c.refused = append(c.refused, refusal{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"), body: body})
 }
 
-// Guards against a target that names a rate and gets more than that from all entries together,
-// whichever service it is of, while entries crash and start again.
-func TestATargetGetsNoMoreThanTheRateThatItNames(t *testing.T) {
+// Guards against entries that together exceed the rate limit of a target of a plain or a stream
+// service, while entries crash and restart.
+func TestTargetStaysWithinReportedRateLimit(t *testing.T) {
 	t.Parallel()
 	for service, path := range map[string]string{"plain": "/once/x", "llm": "/s/x"} {
 		t.Run(service, func(t *testing.T) {
@@ -194,51 +195,51 @@
 			g := NewWithT(t)
 			const rate = 1.5
 			limited, other := startLimitedTarget(t, "i1", rate), startLimitedTarget(t, "i2", 0)
-			f := startRateLimitCluster(t, 4, service, limited.testTarget, other.testTarget)
-			begun := time.Now()
-			stop := f.sendLoad(path, 12, 50*time.Millisecond)
+			c := startRateLimitCluster(t, 4, service, limited.testTarget, other.testTarget)
+			start := time.Now()
+			stop := c.sendLoad(path, 12, 50*time.Millisecond)
 			time.Sleep(limitSettleTime)
-			f.crashEntry("gw1")
+			c.crashEntry("gw1")
 			time.Sleep(time.Second)
-			f.startEntry("gw1")
+			c.startEntry("gw1")
 			time.Sleep(limitSettleTime)
-			f.startEntry("gw4")
+			c.startEntry("gw4")
 			time.Sleep(limitWindow)
 			stop()
-			most := limited.maxInWindow(begun.Add(limitSettleTime), time.Now(), limitWindow)
-			g.Expect(most).To(BeNumerically("<=", maxAllowed(rate)))
-			g.Expect(most).To(BeNumerically(">=", 2), "what the target takes must be of use")
-			g.Expect(f.refused).To(BeEmpty(), "the other target has room")
+			maxRequests := limited.maxInWindow(start.Add(limitSettleTime), time.Now(), limitWindow)
+			g.Expect(maxRequests).To(BeNumerically("<=", maxAllowed(rate)))
+			g.Expect(maxRequests).To(BeNumerically(">=", 2), "the reported rate must be used")
+			g.Expect(c.refused).To(BeEmpty(), "the target without a rate limit takes the other requests")
 		})
 	}
 }
 
-// Guards against callers that wait in vain, or are told a time at which there is no room, while
-// all targets of a service name a rate; and against an end of the rate that nobody takes note of.
-func TestWhatNoTargetTakesInTimeIsRefusedWithATimeToComeBack(t *testing.T) {
+// All targets of a service report rate limits. Guards against callers that wait in vain or are
+// refused without a Retry-After, and against entries that miss the end of a rate limit.
+func TestRequestsOverAllRateLimitsAreRefusedWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	const rate = 2
 	targets := []*limitedTarget{startLimitedTarget(t, "i1", rate), startLimitedTarget(t, "i2", rate)}
-	f := startRateLimitCluster(t, 3, "plain", targets[0].testTarget, targets[1].testTarget)
-	begun := time.Now()
-	stop := f.sendLoad("/once/x", 12, 50*time.Millisecond)
+	c := startRateLimitCluster(t, 3, "plain", targets[0].testTarget, targets[1].testTarget)
+	start := time.Now()
+	stop := c.sendLoad("/once/x", 12, 50*time.Millisecond)
 	time.Sleep(limitSettleTime + 2*limitWindow)
 	ended := time.Now()
 	for _, target := range targets {
 		target.setRate(0)
-		g.Expect(target.maxInWindow(begun.Add(limitSettleTime), ended, limitWindow)).To(And(
+		g.Expect(target.maxInWindow(start.Add(limitSettleTime), ended, limitWindow)).To(And(
 			BeNumerically("<=", maxAllowed(rate)), BeNumerically(">=", maxAllowed(rate)/2)))
 	}
-	f.mu.Lock()
-	g.Expect(len(f.refused)).To(BeNumerically(">", 20))
-	for _, r := range f.refused {
+	c.mu.Lock()
+	g.Expect(len(c.refused)).To(BeNumerically(">", 20))
+	for _, r := range c.refused {
 		g.Expect(r.status).To(Equal(http.StatusServiceUnavailable), "%+v", r)
 		g.Expect(r.retryAfter).NotTo(BeEmpty(), "%+v", r)
 	}
-	f.mu.Unlock()
+	c.mu.Unlock()
 	g.Eventually(func() bool {
-		for _, e := range f.entries {
+		for _, e := range c.entries {
 			for _, target := range targets {
 				if known, _ := e.gw.tracker.RateLimitOf(serving.Run{ID: target.id}); known != placing.Unlimited {
 					return false
--- a/gateway/register_test.go
+++ b/gateway/register_test.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// idleGateway returns an entry that does nothing by itself.
+// idleGateway returns a gateway without running tasks.
 func idleGateway(name string) *Gateway {
 	o := testOptions(name, new(memStore))
 	o.PeerAddr = name + ":1"
@@ -25,7 +25,8 @@
 	return g
 }
 
-// learnEntries lets an entry learnEntries others, and read the records of the first of them.
+// learnEntries adds other entries to an entry, and applies the store records of the first of
+// them.
 func learnEntries(g *Gateway, others, records int) {
 	var read []serving.Record
 	for n := range others {
@@ -42,10 +43,9 @@
 	g.state.applyNewest(serving.TopicEntries, read, uint64(records+1), time.Now())
 }
 
-// All entries of a large fleet start, and each call to the store is paid for. Those that
-// find enough records of others that live write none, and those that write some are the
-// first by name, or all would write at once when records are too few.
-func TestOnlyAFewEntriesWriteTheirRecords(t *testing.T) {
+// Each call to the store is paid for when a large fleet starts. Entries must write no record if
+// enough live entries have one; otherwise only the first by name write theirs, not all at once.
+func TestOnlyFewEntriesWriteRecords(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		others, records int
@@ -59,62 +59,61 @@
 		g := NewWithT(t)
 		gw := idleGateway(c.name)
 		_, known := gw.needsRecord()
-		g.Expect(known).To(BeFalse(), "the records have not been read")
+		g.Expect(known).To(BeFalse(), "the entry records have not been read")
 		learnEntries(gw, c.others, c.records)
-		wanted, known := gw.needsRecord()
+		needsRecord, known := gw.needsRecord()
 		g.Expect(known).To(BeTrue())
-		g.Expect(wanted).To(Equal(c.wanted), "%s, %d records", c.name, c.records)
+		g.Expect(needsRecord).To(Equal(c.wanted), "%s, %d records", c.name, c.records)
 	}
 }
 
-// An entry has its record already, as after a restart of the whole fleet: it writes none.
-func TestAnEntryKeepsItsRecord(t *testing.T) {
+// After a restart of the whole fleet an entry that already has a record must not write another.
+func TestEntryWithRecordWritesNone(t *testing.T) {
 	g := NewWithT(t)
 	gw := idleGateway("entry-000")
 	value, err := (&peers.Presence{Name: "entry-000", Incarnation: 1, PeerAddr: "entry-000:1"}).MarshalMsg(nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	gw.state.applyNewest(serving.TopicEntries, []serving.Record{{Key: "entry-000", Value: value, Offset: 1}}, 2, time.Now())
-	wanted, _ := gw.needsRecord()
-	g.Expect(wanted).To(BeFalse())
+	needsRecord, _ := gw.needsRecord()
+	g.Expect(needsRecord).To(BeFalse())
 }
 
-// Many entries start at once. Each would read all topics from the store, unless another
-// tells it before its turn; and it must not wait for that for longer than its turn.
-func TestAnEntryThatIsToldDoesNotReadTheStore(t *testing.T) {
+// When many entries start at once, an entry must not read topics from the store that a peer sends
+// before its turn, and must not wait longer than its turn and the wait for peers.
+func TestFirstReadWaitsForTurnAndPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gw := idleGateway("entry-004")
 		turn := gw.startupDelay()
 		g.Expect(turn).To(BeNumerically(">", 2*startupPollInterval))
 		gw.awaitFirstRead(serving.TopicEntries)
-		g.Expect(time.Since(gw.started)).To(Equal(turn), "nobody has told it")
+		g.Expect(time.Since(gw.started)).To(Equal(turn), "no peer has sent the topic")
 		learnEntries(gw, 0, 0)
 		gw.started = time.Now()
 		gw.awaitFirstRead(serving.TopicTargets)
-		g.Expect(time.Since(gw.started)).To(Equal(turn), "there is nobody to tell it")
+		g.Expect(time.Since(gw.started)).To(Equal(turn), "there are no peers")
 		learnEntries(gw, 3, 3)
 		gw.started = time.Now()
 		gw.awaitFirstRead(serving.TopicTargets)
-		g.Expect(time.Since(gw.started)).To(Equal(turn+startupWait), "those that it knows do not tell it")
+		g.Expect(time.Since(gw.started)).To(Equal(turn+startupWait), "the known peers do not send the topic")
 
-		told := idleGateway("entry-004")
+		informed := idleGateway("entry-004")
 		time.AfterFunc(startupPollInterval, func() {
-			told.state.applyPeerUpdate(serving.TopicTargets, serving.ReplicaUpdate{NextOffset: 5, Full: true}, time.Now())
+			informed.state.applyPeerUpdate(serving.TopicTargets, serving.ReplicaUpdate{NextOffset: 5, Full: true}, time.Now())
 		})
-		told.awaitFirstRead(serving.TopicTargets)
-		g.Expect(time.Since(told.started)).To(BeNumerically("<=", 2*startupPollInterval))
-		g.Expect(told.cluster.requestTopics("x")).To(BeZero())
-		told.cluster.recordPeerTopics(&peers.Heartbeat{Entry: peers.Presence{Name: "x"}, Topics: []peers.TopicState{{Next: 9}}})
-		g.Expect(told.cluster.requestTopics("x")).To(Equal(uint8(1)), "what it has not read is asked for in the first moment")
+		informed.awaitFirstRead(serving.TopicTargets)
+		g.Expect(time.Since(informed.started)).To(BeNumerically("<=", 2*startupPollInterval))
+		g.Expect(informed.cluster.requestTopics("x")).To(BeZero())
+		informed.cluster.recordPeerTopics(&peers.Heartbeat{Entry: peers.Presence{Name: "x"}, Topics: []peers.TopicState{{Next: 9}}})
+		g.Expect(informed.cluster.requestTopics("x")).To(Equal(uint8(1)), "unread topics are requested from peers during startup")
 	})
 }
 
 var _ members.Piggyback = (*cluster)(nil)
 
-// Callers connect to an entry that has just started and does not know the configuration
-// yet. It is told a moment later: their requests wait for that and are not refused. If
-// nobody tells it they are refused, well before callers give it up.
-func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+// Callers connect to a starting entry without a configuration. Their requests must wait for it
+// for a moment, and must be refused well before callers give up if it does not arrive.
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gw := idleGateway("gw")
@@ -129,9 +128,9 @@
 	})
 }
 
-// Three VMs whose names differ in their last letter start together. If they read the store in
-// the same moment all of them read it, and none finds the record of another one.
-func TestVMsWithSimilarNamesReadTheStoreOneAfterTheOther(t *testing.T) {
+// VMs whose names differ only in the last letter start together. If they read the store at the
+// same moment, none of them finds the records of the others.
+func TestSimilarNamesGetSpreadStartupDelays(t *testing.T) {
 	g := NewWithT(t)
 	var delays []time.Duration
 	for n := range 9 {
@@ -141,10 +140,9 @@
 	g.Expect(delays[8]-delays[0]).To(BeNumerically(">", startupSpread/2), "%v", delays)
 }
 
-// An entry has read the records of others in the same moment as these, and found none. It
-// looks again within a second, and not after the usual time; one that stays alone looks less
-// and less often, since calls to the store are paid for.
-func TestAnEntryThatKnowsNobodyLooksAgainSoon(t *testing.T) {
+// An entry that started together with others may find no records of them. It must read again
+// within a second, and then less and less often, as calls to the store are paid for.
+func TestEntryWithoutPeersReadsAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gw := idleGateway("entry-000")
@@ -160,6 +158,6 @@
 		g.Expect(age()).To(Equal(entriesReadInterval))
 		learnEntries(gw, 2, 2)
 		_, alone := gw.aloneReadAge()
-		g.Expect(alone).To(BeFalse(), "the usual turns count")
+		g.Expect(alone).To(BeFalse(), "the regular schedule applies")
 	})
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -22,8 +22,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// scaleCluster is many entries in virtual time, with their duties towards the store and each other.
-// Links are times only; nobody calls and no target answers.
+// scaleCluster simulates many entries in virtual time, with their calls to the store and to each
+// other. Links only add delays; there are no callers, and no target responds.
 type scaleCluster struct {
 	store     *scaleStore
 	entries   map[string]*scaleEntry // by address
@@ -31,8 +31,8 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	callCount, crossCentreCalls atomic.Int64 // questions; those between data centres
-	byteCount, crossCentreBytes atomic.Int64 // of questions and answers; between data centres
+	callCount, crossCentreCalls atomic.Int64 // between entries; between data centres
+	byteCount, crossCentreBytes atomic.Int64 // of calls and responses; between data centres
 	dialCount                   atomic.Int64
 }
 
@@ -42,7 +42,7 @@
 	down    atomic.Bool
 }
 
-// Shape of the emulated fleet.
+// Parameters of the simulated fleet.
 const (
 	scaleCentres           = 3
 	scaleTargets           = 600 // more than one page of the store's answers
@@ -55,7 +55,7 @@
 	firstRecordsDelay      = 600 * time.Millisecond // after all entries have started
 )
 
-// scaleStore counts calls.
+// scaleStore counts calls to the store.
 type scaleStore struct {
 	memStore
 	calls atomic.Int64
@@ -92,13 +92,13 @@
 }
 
 func newScaleCluster(size int, seed uint64) *scaleCluster {
-	f := &scaleCluster{store: new(scaleStore), entries: make(map[string]*scaleEntry)}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
+	c := &scaleCluster{store: new(scaleStore), entries: make(map[string]*scaleEntry)}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for n := range size {
-		f.add(n, rng.Uint64())
+		c.add(n, rng.Uint64())
 	}
-	return f
+	return c
 }
 
 func (c *scaleCluster) add(n int, seed uint64) {
@@ -108,7 +108,7 @@
 	o.CallerAddr = o.PeerAddr
 	o.DrainTimeout, o.ConfigApplyTimeout, o.TargetHeartbeatInterval = 5*time.Second, 5*time.Second, scaleHeartbeatInterval
 	e := &scaleEntry{cluster: c}
-	o.Dial = func(to string) members.PeerClient { return &scaleAsker{cluster: c, from: e, to: to} }
+	o.Dial = func(to string) members.PeerClient { return &scalePeerClient{cluster: c, from: e, to: to} }
 	e.gw = &Gateway{
 		opts: o, state: newReplicaState(&o), connPools: newConnPools(), queues: make(map[string]*placing.AdmissionQueue),
 		tracker: placing.NewTracker(o.Name, o.DataCentre, rand.New(rand.NewPCG(seed, 2))),
@@ -118,8 +118,8 @@
 	c.addresses = append(c.addresses, o.PeerAddr)
 }
 
-// start starts all entries nearly at once, as after a loss of power; the configuration and the targets come after
-// that, so that the first entries read topics without records.
+// start starts all entries nearly at once, as after a power failure. The configuration and the
+// targets are written later, so that the first entries read empty topics.
 func (c *scaleCluster) start() {
 	for _, address := range c.addresses {
 		c.entries[address].start()
@@ -157,8 +157,8 @@
 	time.Sleep(5 * time.Second)
 }
 
-// scaleAsker asks one entry from another.
-type scaleAsker struct {
+// scalePeerClient calls one entry from another.
+type scalePeerClient struct {
 	cluster *scaleCluster
 	from    *scaleEntry
 	to      string
@@ -167,31 +167,31 @@
 }
 
 // Close implements members.PeerClient.
-func (a *scaleAsker) Close() {
-	a.isConnected.Store(false)
+func (c *scalePeerClient) Close() {
+	c.isConnected.Store(false)
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoAnswer = errors.New("entry did not answer")
 
 // Ask implements members.PeerClient.
-func (a *scaleAsker) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
-	to := a.cluster.entries[a.to]
+func (c *scalePeerClient) Ask(_ context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
+	to := c.cluster.entries[c.to]
 	payload, err := question.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	if !a.isConnected.Swap(true) {
-		a.cluster.dialCount.Add(1)
+	if !c.isConnected.Swap(true) {
+		c.cluster.dialCount.Add(1)
 	}
-	if to == nil || to.down.Load() || a.from.down.Load() || to.gw.cluster == nil {
+	if to == nil || to.down.Load() || c.from.down.Load() || to.gw.cluster == nil {
 		time.Sleep(limit)
 		return errNoAnswer
 	}
-	way, isFar := localLinkDelay, to.gw.opts.DataCentre != a.from.gw.opts.DataCentre
+	delay, isFar := localLinkDelay, to.gw.opts.DataCentre != c.from.gw.opts.DataCentre
 	if isFar {
-		way = crossCentreLinkDelay
+		delay = crossCentreLinkDelay
 	}
-	time.Sleep(way)
+	time.Sleep(delay)
 	handler := to.gw.cluster.membership.HandleProbe
 	if kind == peers.KindProbe {
 		handler = to.gw.cluster.membership.HandleIndirectProbe
@@ -200,13 +200,13 @@
 	if err != nil {
 		return err
 	}
-	text, err := m.MarshalMsg(nil)
+	reply, err := m.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	time.Sleep(way)
-	a.cluster.recordCall(len(payload)+len(text), isFar)
-	_, err = answer.UnmarshalMsg(text)
+	time.Sleep(delay)
+	c.cluster.recordCall(len(payload)+len(reply), isFar)
+	_, err = answer.UnmarshalMsg(reply)
 	return err
 }
 
@@ -219,25 +219,25 @@
 	}
 }
 
-// scaleCost is what an entry causes in a second.
+// scaleCost is the cost of one entry per second; storeCallRate is that of all entries.
 type scaleCost struct{ callRate, byteRate, crossCentreByteRate, dialRate, storeCallRate float64 }
 
-// measure returns what entries cause while time passes.
+// measure returns the cost over a period of time.
 func (c *scaleCluster) measure(d time.Duration) scaleCost {
-	asked, bytes, farBytes := c.callCount.Load(), c.byteCount.Load(), c.crossCentreBytes.Load()
-	dialled, calls := c.dialCount.Load(), c.store.calls.Load()
+	callCount, byteCount, crossCentreBytes := c.callCount.Load(), c.byteCount.Load(), c.crossCentreBytes.Load()
+	dialCount, storeCalls := c.dialCount.Load(), c.store.calls.Load()
 	time.Sleep(d)
-	each := float64(len(c.entries)) * d.Seconds()
+	entrySeconds := float64(len(c.entries)) * d.Seconds()
 	return scaleCost{
-		callRate:            float64(c.callCount.Load()-asked) / each,
-		byteRate:            float64(c.byteCount.Load()-bytes) / each,
-		crossCentreByteRate: float64(c.crossCentreBytes.Load()-farBytes) / each,
-		dialRate:            float64(c.dialCount.Load()-dialled) / each,
-		storeCallRate:       float64(c.store.calls.Load()-calls) / d.Seconds(),
+		callRate:            float64(c.callCount.Load()-callCount) / entrySeconds,
+		byteRate:            float64(c.byteCount.Load()-byteCount) / entrySeconds,
+		crossCentreByteRate: float64(c.crossCentreBytes.Load()-crossCentreBytes) / entrySeconds,
+		dialRate:            float64(c.dialCount.Load()-dialCount) / entrySeconds,
+		storeCallRate:       float64(c.store.calls.Load()-storeCalls) / d.Seconds(),
 	}
 }
 
-// maxAge returns the greatest age of a topic at any entry.
+// maxAge returns the greatest replica age of a topic over all entries.
 func (c *scaleCluster) maxAge(t serving.Topic) time.Duration {
 	var oldest time.Duration
 	for _, e := range c.entries {
@@ -246,63 +246,64 @@
 	return oldest
 }
 
-// scaleSizes are numbers of entries. Those beyond a large deployment take minutes:
+// scaleSizes are the fleet sizes to simulate. Sizes beyond a large deployment take minutes:
 // go test ./gateway -run Scale -scale 530,1000
-var scaleSizes = flag.String("scale", "8,46,149", "numbers of entries to play")
+var scaleSizes = flag.String("scale", "8,46,149", "comma-separated numbers of entries to simulate")
 
-func forEachScale(t *testing.T, play func(t *testing.T, g *WithT, f *scaleCluster)) {
+func forEachScale(t *testing.T, test func(t *testing.T, g *WithT, c *scaleCluster)) {
 	for text := range strings.SplitSeq(*scaleSizes, ",") {
 		t.Run(text, func(t *testing.T) {
 			t.Parallel()
 			size, err := strconv.Atoi(text)
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
-			synctest.Test(t, func(t *testing.T) { play(t, NewWithT(t), newScaleCluster(size, 1)) })
+			synctest.Test(t, func(t *testing.T) { test(t, NewWithT(t), newScaleCluster(size, 1)) })
 		})
 	}
 }
 
-// Guards against a start of all entries that each pay for with a call to the store for every topic,
-// and against news of who has started that fill the links between data centres.
-func TestAStartOfAllEntriesCostsEachOfThemLittle(t *testing.T) {
-	forEachScale(t, func(t *testing.T, g *WithT, f *scaleCluster) {
-		f.start()
-		cost := f.measure(startSettleTime)
-		size := float64(len(f.entries))
+// Guards against entries that each read every topic from the store when all start at once, and
+// against membership gossip that fills the links between data centres.
+func TestScaleStartOfAllEntriesStaysCheap(t *testing.T) {
+	forEachScale(t, func(t *testing.T, g *WithT, c *scaleCluster) {
+		c.start()
+		cost := c.measure(startSettleTime)
+		size := float64(len(c.entries))
 		calls := cost.storeCallRate * startSettleTime.Seconds() / size
-		bytes, farBytes := cost.byteRate*startSettleTime.Seconds(), cost.crossCentreByteRate*startSettleTime.Seconds()
-		t.Logf("an entry: %.2f calls to the store, %.0f bytes, %.0f to other data centres", calls, bytes, farBytes)
-		for _, e := range f.entries {
+		bytes, crossCentreBytes := cost.byteRate*startSettleTime.Seconds(), cost.crossCentreByteRate*startSettleTime.Seconds()
+		t.Logf("per entry: %.2f store calls, %.0f bytes, %.0f bytes to other data centres", calls, bytes, crossCentreBytes)
+		for _, e := range c.entries {
 			g.Expect(e.gw.Ready()).To(BeTrue())
-			g.Expect(e.gw.cluster.liveCount()).To(Equal(len(f.entries)))
+			g.Expect(e.gw.cluster.liveCount()).To(Equal(len(c.entries)))
 		}
-		f.stop()
-		g.Expect(calls*size).To(BeNumerically("<=", 1.25*size+2*minEntryRecords), "which others there are, a few records, and little else")
+		c.stop()
+		g.Expect(calls*size).To(BeNumerically("<=", 1.25*size+2*minEntryRecords), "one read of the entry records per entry, a few record writes and little else")
 		g.Expect(bytes).To(BeNumerically("<=", maxStartBytes+maxStartTables*presenceBytes*size))
 		if size > largeFleetSize {
-			g.Expect(farBytes).To(BeNumerically("<=", bytes/2))
+			g.Expect(crossCentreBytes).To(BeNumerically("<=", bytes/2))
 		}
 	})
 }
 
-// What a start may cost an entry.
+// Cost limits of a start per entry.
 const (
 	startSettleTime = 2 * time.Second
-	maxStartBytes   = 20e3 // the configuration and the targets, and the first questions
-	maxStartTables  = 14   // times what one entry tells of all others: twelve as news, two as a whole
+	maxStartBytes   = 20e3 // the configuration, the targets and the first probes
+	maxStartTables  = 14   // in sizes of the full membership table: twelve as updates, two as full state
 	presenceBytes   = 75
-	largeFleetSize  = 16 // entries from which on most others are not asked in the first moment
+	largeFleetSize  = 16 // number of entries above which most are not probed in the first moment
 )
 
-// Guards against costs in calm that grow with the fleet, at each entry and between data centres, and
-// against entries that hear too late that nothing has changed and read the store themselves.
-func TestCalmCostsAnEntryTheSameInAFleetOfAnySize(t *testing.T) {
-	forEachScale(t, func(t *testing.T, g *WithT, f *scaleCluster) {
-		f.start()
+// Guards against idle traffic that grows with the fleet, at each entry and between data centres,
+// and against entries that read the store themselves because they learn too late that nothing has
+// changed.
+func TestScaleIdleCostDoesNotGrowWithFleet(t *testing.T) {
+	forEachScale(t, func(t *testing.T, g *WithT, c *scaleCluster) {
+		c.start()
 		time.Sleep(startSettleTime)
-		cost := f.measure(idleMeasureTime)
-		targets, config := f.maxAge(serving.TopicTargets), f.maxAge(serving.TopicConfig)
-		t.Logf("an entry: %.1f questions, %.0f bytes, %.0f to other data centres, %.1f connections a second; %.1f calls of all", cost.callRate, cost.byteRate, cost.crossCentreByteRate, cost.dialRate, cost.storeCallRate)
-		f.stop()
+		cost := c.measure(idleMeasureTime)
+		targets, config := c.maxAge(serving.TopicTargets), c.maxAge(serving.TopicConfig)
+		t.Logf("per entry and second: %.1f calls, %.0f bytes, %.0f bytes to other data centres, %.1f connections; %.1f store calls of all entries per second", cost.callRate, cost.byteRate, cost.crossCentreByteRate, cost.dialRate, cost.storeCallRate)
+		c.stop()
 		g.Expect(cost.byteRate).To(BeNumerically("<=", 5000))
 		g.Expect(cost.crossCentreByteRate).To(BeNumerically("<=", 1500))
 		g.Expect(cost.storeCallRate).To(BeNumerically("<=", 2))
