--- a/members/clients.go
+++ b/members/clients.go
@@ -10,53 +10,54 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-type client struct {
-	address string
-	asker   PeerClient
-	used    time.Time
+type pooledClient struct {
+	address  string
+	peer     PeerClient
+	lastUsed time.Time
 }
 
-// client returns a client of an entry; nil if it is not known.
-func (g *Membership) client(name string) PeerClient {
-	address, ok := g.table.Address(name)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := g.clients[name]
+// clientFor returns a client for an entry, or nil if the entry is unknown. It replaces the
+// client if the entry's address has changed.
+func (m *Membership) clientFor(name string) PeerClient {
+	address, ok := m.table.Address(name)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.clients[name]
 	if c != nil && (!ok || c.address != address) {
-		c.asker.Close()
-		delete(g.clients, name)
+		c.peer.Close()
+		delete(m.clients, name)
 		c = nil
 	}
 	if !ok {
 		return nil
 	}
 	if c == nil {
-		c = &client{address: address, asker: g.opts.Dial(address)}
-		g.clients[name] = c
+		c = &pooledClient{address: address, peer: m.opts.Dial(address)}
+		m.clients[name] = c
 	}
-	c.used = time.Now()
-	return c.asker
+	c.lastUsed = time.Now()
+	return c.peer
 }
 
-func (g *Membership) closeIdle() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for name, c := range g.clients {
-		if time.Since(c.used) > idleAfter {
-			c.asker.Close()
-			delete(g.clients, name)
+func (m *Membership) closeIdleClients() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name, c := range m.clients {
+		if time.Since(c.lastUsed) > clientIdleTimeout {
+			c.peer.Close()
+			delete(m.clients, name)
 		}
 	}
 }
 
-// ErrUnknownEntry: no entry of that name is known.
-var ErrUnknownEntry = errors.New("entry is not known")
+// ErrUnknownEntry is returned by Ask for an entry that is not in the table.
+var ErrUnknownEntry = errors.New("unknown entry")
 
-// Ask asks an entry something else, on the connection for questions.
-func (g *Membership) Ask(ctx context.Context, name string, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
-	asker := g.client(name)
-	if asker == nil {
+// Ask sends a request of another kind to an entry, on the connection that probes use.
+func (m *Membership) Ask(ctx context.Context, name string, kind peers.Kind, request msgp.Marshaler, response msgp.Unmarshaler, limit time.Duration) error {
+	client := m.clientFor(name)
+	if client == nil {
 		return ErrUnknownEntry
 	}
-	return asker.Ask(ctx, kind, question, answer, limit)
+	return client.Ask(ctx, kind, request, response, limit)
 }
--- a/members/fleet_test.go
+++ b/members/fleet_test.go
@@ -20,36 +20,36 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// fleet is many groups that ask each other over links that are only times.
+// fleet runs many memberships in one process. Links between them are simulated as delays.
 type fleet struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	entries map[string]*entry // by address
-	asked   int
-	bytes   int
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	mu       sync.Mutex
+	rng      *rand.Rand
+	entries  map[string]*entry // by address
+	requests int
+	bytes    int
+	ctx      context.Context
+	cancel   context.CancelFunc
+	done     sync.WaitGroup
 }
 
 type entry struct {
-	f       *fleet
-	name    string
-	address string
-	group   *Membership
-	cancel  context.CancelFunc
-
-	mu    sync.Mutex
-	ready bool
-	away  bool // nothing reaches it, nor does it reach anybody
-	asked int  // questions that it has answered
-	links int  // connections that it holds
-	most  int
+	fleet      *fleet
+	name       string
+	address    string
+	membership *Membership
+	cancel     context.CancelFunc
+
+	mu               sync.Mutex
+	ready            bool
+	isolated         bool // cut off from all others in both directions
+	requestsAnswered int  // probes and indirect probes
+	openLinks        int
+	maxLinks         int
 }
 
-const linkTime = time.Millisecond
+const linkDelay = time.Millisecond
 
-var errAway = errors.New("no answer")
+var errIsolated = errors.New("probe timed out: an entry is isolated")
 
 func newFleet(size int, seed uint64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), entries: make(map[string]*entry)}
@@ -65,10 +65,10 @@
 
 func address(n int) string { return fmt.Sprintf("10.0.%d.%d:1", n/200, n%200) }
 
-// add makes an entry; start sets it going.
+// add creates an entry without starting it.
 func (f *fleet) add(n int, incarnation uint64) *entry {
-	e := &entry{f: f, name: fmt.Sprintf("entry-%03d", n), address: address(n), ready: true}
-	e.group = New(Options{
+	e := &entry{fleet: f, name: fmt.Sprintf("entry-%03d", n), address: address(n), ready: true}
+	e.membership = New(Options{
 		Self:             peers.Presence{Name: e.name, Incarnation: incarnation, DataCentre: dataCentre(n), PeerAddr: e.address, CallerAddr: e.address},
 		Piggyback:        e,
 		Dial:             func(to string) PeerClient { return f.dial(e, to) },
@@ -82,17 +82,17 @@
 	return e
 }
 
-// start sets an entry going, which knows the addresses of some others by their records.
+// start runs an entry that knows some others from their records in the store.
 func (e *entry) start(known []*entry) {
-	ctx, cancel := context.WithCancel(e.f.ctx)
+	ctx, cancel := context.WithCancel(e.fleet.ctx)
 	e.cancel = cancel
-	e.f.done.Go(func() { e.group.Run(ctx) })
+	e.fleet.done.Go(func() { e.membership.Run(ctx) })
 	for n, o := range known {
-		e.group.AddFromRecord(peers.Presence{Name: o.name, Incarnation: 1, DataCentre: dataCentre(n), PeerAddr: o.address, CallerAddr: o.address})
+		e.membership.AddFromRecord(peers.Presence{Name: o.name, Incarnation: 1, DataCentre: dataCentre(n), PeerAddr: o.address, CallerAddr: o.address})
 	}
 }
 
-func (f *fleet) list() []*entry {
+func (f *fleet) all() []*entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []*entry
@@ -102,9 +102,9 @@
 	return list
 }
 
-// startAll sets all entries going within 0.3 s; each knows who had its record written before.
+// startAll starts all entries within 0.3 s. Each knows the records of the entries started before.
 func (f *fleet) startAll() {
-	list := f.list()
+	list := f.all()
 	for n, e := range list {
 		e.start(list[:n])
 		time.Sleep(300 * time.Millisecond / time.Duration(len(list)))
@@ -133,147 +133,147 @@
 // HandleProbe implements Piggyback.
 func (e *entry) HandleProbe(_, _ *peers.Heartbeat) bool { return false }
 
-func (e *entry) isAway() bool {
+func (e *entry) isIsolated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.away
+	return e.isolated
 }
 
-func (e *entry) setAway(away bool) {
+func (e *entry) setIsolated(isolated bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.away = away
+	e.isolated = isolated
 }
 
-// asker asks one entry from another.
-type asker struct {
-	f    *fleet
-	from *entry
-	to   string
+// fakeClient sends requests of one entry to another over a simulated link.
+type fakeClient struct {
+	fleet *fleet
+	from  *entry
+	to    string
 }
 
 func (f *fleet) dial(from *entry, to string) PeerClient {
 	from.mu.Lock()
 	defer from.mu.Unlock()
-	from.links++
-	from.most = max(from.most, from.links)
-	return &asker{f: f, from: from, to: to}
+	from.openLinks++
+	from.maxLinks = max(from.maxLinks, from.openLinks)
+	return &fakeClient{fleet: f, from: from, to: to}
 }
 
 // Close implements PeerClient.
-func (a *asker) Close() {
-	a.from.mu.Lock()
-	defer a.from.mu.Unlock()
-	a.from.links--
+func (c *fakeClient) Close() {
+	c.from.mu.Lock()
+	defer c.from.mu.Unlock()
+	c.from.openLinks--
 }
 
 // Ask implements PeerClient.
-func (a *asker) Ask(ctx context.Context, kind peers.Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
-	a.f.mu.Lock()
-	to := a.f.entries[a.to]
-	a.f.mu.Unlock()
-	payload, err := question.MarshalMsg(nil)
+func (c *fakeClient) Ask(ctx context.Context, kind peers.Kind, request msgp.Marshaler, response msgp.Unmarshaler, limit time.Duration) error {
+	c.fleet.mu.Lock()
+	to := c.fleet.entries[c.to]
+	c.fleet.mu.Unlock()
+	payload, err := request.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	if to == nil || a.from.isAway() || to.isAway() {
+	if to == nil || c.from.isIsolated() || to.isIsolated() {
 		time.Sleep(limit)
-		return errAway
+		return errIsolated
 	}
-	begun := time.Now()
-	time.Sleep(linkTime)
-	handler := to.group.HandleProbe
+	started := time.Now()
+	time.Sleep(linkDelay)
+	handler := to.membership.HandleProbe
 	if kind == peers.KindProbe {
-		handler = to.group.HandleIndirectProbe
+		handler = to.membership.HandleIndirectProbe
 	}
-	m, err := handler(payload)
+	reply, err := handler(payload)
 	if err != nil {
 		return err
 	}
-	time.Sleep(linkTime)
-	if to.isAway() || a.from.isAway() || time.Since(begun) > limit {
-		time.Sleep(max(limit-time.Since(begun), 0))
-		return errAway
+	time.Sleep(linkDelay)
+	if to.isIsolated() || c.from.isIsolated() || time.Since(started) > limit {
+		time.Sleep(max(limit-time.Since(started), 0))
+		return errIsolated
 	}
-	text, err := m.MarshalMsg(nil)
+	encoded, err := reply.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
 	to.mu.Lock()
-	to.asked++
+	to.requestsAnswered++
 	to.mu.Unlock()
-	a.f.mu.Lock()
-	a.f.asked++
-	a.f.bytes += len(payload) + len(text)
-	a.f.mu.Unlock()
-	_, err = answer.UnmarshalMsg(text)
+	c.fleet.mu.Lock()
+	c.fleet.requests++
+	c.fleet.bytes += len(payload) + len(encoded)
+	c.fleet.mu.Unlock()
+	_, err = response.UnmarshalMsg(encoded)
 	return err
 }
 
-// ready returns how many of some entries an entry tells callers to use.
-func (e *entry) readyOf(some []*entry) int {
-	living := make(map[string]bool)
-	for _, p := range e.group.Table().Alive() {
-		living[p.Name] = p.Ready
+// countReady returns how many of the given entries are alive and ready in this entry's table.
+func (e *entry) countReady(entries []*entry) int {
+	ready := make(map[string]bool)
+	for _, p := range e.membership.Table().Alive() {
+		ready[p.Name] = p.Ready
 	}
 	count := 0
-	for _, o := range some {
-		if living[o.name] {
+	for _, o := range entries {
+		if ready[o.name] {
 			count++
 		}
 	}
 	return count
 }
 
-// stale returns how many of the answers of some entries about others are not as wanted,
-// as a share.
-func stale(some, others []*entry, named bool) float64 {
+// staleShare returns the share of table rows that are wrong: rows on others in the tables of
+// observers. wantListed says whether the others should be alive and ready in these tables.
+func staleShare(observers, others []*entry, wantListed bool) float64 {
 	wrong := 0
-	for _, e := range some {
-		if n := e.readyOf(others); named {
+	for _, e := range observers {
+		if n := e.countReady(others); wantListed {
 			wrong += len(others) - n
 		} else {
 			wrong += n
 		}
 	}
-	return float64(wrong) / float64(len(some)*len(others))
+	return float64(wrong) / float64(len(observers)*len(others))
 }
 
-// until returns how long it takes for a condition to hold, or the limit.
-func until(limit time.Duration, holds func() bool) time.Duration {
-	begun := time.Now()
-	for !holds() && time.Since(begun) < limit {
+// waitFor waits until a condition holds or the limit is reached, and returns the time it took.
+func waitFor(limit time.Duration, holds func() bool) time.Duration {
+	started := time.Now()
+	for !holds() && time.Since(started) < limit {
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(started)
 }
 
-// fleetSizes are those of small and large deployments. The size to come, 410, takes minutes:
-// go test ./members -sizes 410
-var fleetSizes = flag.String("sizes", "8,46,149", "numbers of entries to play")
+// fleetSizes are the sizes of small and large deployments. The expected future size, 410, takes
+// minutes: go test ./members -sizes 410
+var fleetSizes = flag.String("sizes", "8,46,149", "fleet sizes to test")
 
-func eachSize(t *testing.T, play func(t *testing.T, size int)) {
-	for text := range strings.SplitSeq(*fleetSizes, ",") {
-		t.Run(text, func(t *testing.T) {
+func forEachSize(t *testing.T, run func(t *testing.T, size int)) {
+	for sizeText := range strings.SplitSeq(*fleetSizes, ",") {
+		t.Run(sizeText, func(t *testing.T) {
 			t.Parallel()
-			size, err := strconv.Atoi(text)
+			size, err := strconv.Atoi(sizeText)
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
-			synctest.Test(t, func(t *testing.T) { play(t, size) })
+			synctest.Test(t, func(t *testing.T) { run(t, size) })
 		})
 	}
 }
 
-// All entries start within a third of a second, knowing only who was written down before.
-// Each must know all others soon, or callers of a data centre are all sent to a few.
+// All entries start within 0.3 s and know only the records of those started before. If they find
+// each other slowly, callers of a data centre are all sent to a few entries.
 func TestAllEntriesFindEachOther(t *testing.T) {
-	eachSize(t, func(t *testing.T, size int) {
+	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 1)
 		f.startAll()
-		all := f.list()
-		took := until(10*time.Second, func() bool {
+		all := f.all()
+		took := waitFor(10*time.Second, func() bool {
 			for _, e := range all {
-				if e.readyOf(all) != size-1 {
+				if e.countReady(all) != size-1 {
 					return false
 				}
 			}
@@ -285,72 +285,71 @@
 	})
 }
 
-// A fifth of the entries lose power at once. Callers connect to them for as long as the
-// others name them, a second for each try; they must be left out within two seconds,
-// however large the fleet is, and be back within three once they live again.
+// A fifth of the entries loses power at once. Callers lose a second on each attempt to connect to
+// an entry that the directory still lists. Entries that come back must be listed again.
 func TestDeadEntriesAreLeftOutSoon(t *testing.T) {
-	eachSize(t, func(t *testing.T, size int) {
+	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 2)
 		f.startAll()
 		time.Sleep(4 * time.Second)
-		all := f.list()
-		dead, living := all[:max(size/5, 1)], all[max(size/5, 1):]
+		all := f.all()
+		dead, alive := all[:max(size/5, 1)], all[max(size/5, 1):]
 		for _, e := range dead {
-			e.setAway(true)
+			e.setIsolated(true)
 		}
-		left := func(named bool) func() bool {
-			return func() bool { return stale(living, dead, named) <= fewAnswers }
+		converged := func(wantListed bool) func() bool {
+			return func() bool { return staleShare(alive, dead, wantListed) <= maxStaleShare }
 		}
-		gone := until(10*time.Second, left(false))
-		goneAll := gone + until(10*time.Second, func() bool { return stale(living, dead, false) == 0 })
+		mostRemoved := waitFor(10*time.Second, converged(false))
+		allRemoved := mostRemoved + waitFor(10*time.Second, func() bool { return staleShare(alive, dead, false) == 0 })
 		for _, e := range dead {
-			e.setAway(false)
+			e.setIsolated(false)
 		}
-		back := until(10*time.Second, left(true))
-		t.Log(gone, goneAll, back)
+		relisted := waitFor(10*time.Second, converged(true))
+		t.Log(mostRemoved, allRemoved, relisted)
 		f.stop()
-		g.Expect(gone).To(BeNumerically("<", 2*time.Second))
-		g.Expect(goneAll).To(BeNumerically("<", 5*time.Second))
-		g.Expect(back).To(BeNumerically("<", 3*time.Second))
+		g.Expect(mostRemoved).To(BeNumerically("<", 2*time.Second))
+		g.Expect(allRemoved).To(BeNumerically("<", 5*time.Second))
+		g.Expect(relisted).To(BeNumerically("<", 3*time.Second))
 	})
 }
 
-// fewAnswers is the share of answers that may be behind: some entry always hears last.
-const fewAnswers = 0.01
+// maxStaleShare of the rows may be wrong, since updates reach some entries late.
+const maxStaleShare = 0.01
 
-// Nothing happens for ten seconds. What an entry asks, answers and holds open must not
-// grow with the fleet, and nobody may have more to do than the others.
+// In an idle fleet, the requests, bytes and connections of an entry must not grow with the size of
+// the fleet, and no entry may have much more load than the others.
 func TestTheCostOfAnEntryDoesNotGrowWithTheFleet(t *testing.T) {
-	eachSize(t, func(t *testing.T, size int) {
+	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 3)
 		f.startAll()
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
-		f.bytes, f.asked = 0, 0
+		f.bytes, f.requests = 0, 0
 		f.mu.Unlock()
-		all := f.list()
+		all := f.all()
 		for _, e := range all {
 			e.mu.Lock()
-			e.asked, e.most = 0, e.links
+			e.requestsAnswered, e.maxLinks = 0, e.openLinks
 			e.mu.Unlock()
 		}
 		time.Sleep(10 * time.Second)
-		most, links := 0, 0
+		busiest, links := 0, 0
 		for _, e := range all {
 			e.mu.Lock()
-			most, links = max(most, e.asked), max(links, e.most)
+			busiest, links = max(busiest, e.requestsAnswered), max(links, e.maxLinks)
 			e.mu.Unlock()
 		}
 		f.mu.Lock()
-		asked, bytes := float64(f.asked)/float64(size)/10, float64(f.bytes)/float64(size)/10
+		requests, bytes := float64(f.requests)/float64(size)/10, float64(f.bytes)/float64(size)/10
 		f.mu.Unlock()
-		t.Logf("an entry: %.1f questions and %.0f bytes a second, the busiest answers %.1f, %d connections", asked, bytes, float64(most)/10, links)
+		t.Logf("per entry: %.1f requests and %.0f bytes a second; busiest entry answers %.1f; up to %d connections", requests, bytes, float64(busiest)/10, links)
 		f.stop()
-		g.Expect(asked).To(BeNumerically("<", 6))
+		g.Expect(requests).To(BeNumerically("<", 6))
 		g.Expect(bytes).To(BeNumerically("<", 5000))
-		g.Expect(float64(most) / 10).To(BeNumerically("<", 3*asked))
+		g.Expect(float64(busiest) / 10).To(BeNumerically("<", 3*requests))
 		g.Expect(links).To(BeNumerically("<=", 40))
 	})
 }
--- a/members/owner_test.go
+++ b/members/owner_test.go
@@ -11,7 +11,7 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-func ownerTables(count int) []*Table {
+func newOwnerTables(count int) []*Table {
 	now := time.Unix(1000, 0)
 	var tables []*Table
 	for i := range count {
@@ -24,49 +24,49 @@
 	return tables
 }
 
-// Guards against two entries that own the same thing, and against all that is owned changing
-// hands when one entry comes or goes.
+// Guards against two owners of one key, and against keys of other owners that move when one
+// entry leaves.
 func TestAllEntriesNameTheSameOwner(t *testing.T) {
 	g := NewWithT(t)
-	const entries, things = 12, 600
-	tables := ownerTables(entries)
+	const entries, keys = 12, 600
+	tables := newOwnerTables(entries)
 	owned, before := make(map[string]int), make(map[string]string)
-	for i := range things {
-		of := fmt.Sprintf("target-%d", i)
-		name, _ := tables[0].Owner(of)
+	for i := range keys {
+		key := fmt.Sprintf("target-%d", i)
+		name, _ := tables[0].Owner(key)
 		owned[name]++
-		before[of] = name
-		selves := 0
+		before[key] = name
+		selfCount := 0
 		for _, table := range tables {
-			other, self := table.Owner(of)
-			g.Expect(other).To(Equal(name))
+			owner, self := table.Owner(key)
+			g.Expect(owner).To(Equal(name))
 			if self {
-				selves++
+				selfCount++
 			}
 		}
-		g.Expect(selves).To(Equal(1))
+		g.Expect(selfCount).To(Equal(1))
 	}
 	for name, n := range owned {
-		g.Expect(n).To(BeNumerically("<", 2*things/entries), name)
+		g.Expect(n).To(BeNumerically("<", 2*keys/entries), name)
 	}
 	g.Expect(owned).To(HaveLen(entries))
 
 	lost := peers.Member{Entry: peers.Presence{Name: "e3", Incarnation: 1, Revision: 1}, Lost: true}
 	tables[0].MergeMembers([]peers.Member{lost}, time.Unix(2000, 0))
-	for of, name := range before {
+	for key, name := range before {
 		if name != "e3" {
-			now, _ := tables[0].Owner(of)
-			g.Expect(now).To(Equal(name))
+			owner, _ := tables[0].Owner(key)
+			g.Expect(owner).To(Equal(name))
 		}
 	}
-	living, known := tables[0].Counts()
-	g.Expect([]int{living, known}).To(Equal([]int{entries - 1, entries}))
+	alive, known := tables[0].Counts()
+	g.Expect([]int{alive, known}).To(Equal([]int{entries - 1, entries}))
 }
 
-// Guards against an entry that stops, or has not begun, and is asked for what it does not own.
-func TestOnlyEntriesThatTakeRequestsOwnAnything(t *testing.T) {
+// An entry that is starting or stopping accepts no requests, so it must not own any key.
+func TestOnlyReadyEntriesOwnKeys(t *testing.T) {
 	g := NewWithT(t)
-	tables := ownerTables(3)
+	tables := newOwnerTables(3)
 	tables[0].UpdateSelf(false, true)
 	for i := range 50 {
 		name, self := tables[0].Owner(fmt.Sprint(i))
--- a/members/table.go
+++ b/members/table.go
@@ -1,14 +1,14 @@
-// Package members knows which entries of a fleet live, at a cost for each of them that
-// does not grow with the fleet.
+// Package members detects which entries of a fleet are alive. The cost for each entry does
+// not grow with the size of the fleet.
 //
-// Each entry asks one other now and then, in turn. Who does not answer is asked by some
-// others too, and counts as lost if none of them is answered. What an entry learns it tells
-// to a few others at once, and they to a few more; every question and answer carries what
-// its sender learnt lately. This follows the published protocol SWIM, with two additions:
-// news is also pushed at once, and a digest finds what was missed.
+// It implements the published protocol SWIM. Each entry periodically probes the next one of the
+// others, in a random order. If a probe fails, some other entries are asked for an indirect probe;
+// the entry counts as lost if they get no ack either. Updates on entries are piggybacked on probes
+// and acks. Two things are added to SWIM: an entry also disseminates new updates at once, and a
+// digest of the table shows when an entry has missed updates.
 //
-// It decides nothing that must be exact: an entry that is taken for lost is left out of the
-// directory's answers and says that it lives as soon as it hears so.
+// Nothing that needs exact membership depends on this package. An entry that is wrongly
+// declared lost is missing from the directory's answers until it learns of it and refutes it.
 package members
 
 import (
@@ -23,49 +23,51 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// Table is what one entry knows of all others.
+// Table holds the state of all entries that one entry knows.
 type Table struct {
-	mu     sync.Mutex
-	self   peers.Presence
-	byName map[string]*member
-	names  []string // of byName, sorted
-	sum    uint64   // of the digests of those that are not lost
-	turn   []string // names that are still to be asked in this turn
-	rng    *rand.Rand
-	quiet  time.Time // of the latest news
+	mu          sync.Mutex
+	self        peers.Presence
+	byName      map[string]*member
+	names       []string // of byName, sorted
+	aliveDigest uint64   // XOR of the digests of the members that are not lost
+	probeOrder  []string // names that remain to be probed in this cycle
+	rng         *rand.Rand
+	lastUpdate  time.Time // time of the latest change
 }
 
 type member struct {
 	peers.Member
-	digest  uint64
-	hash    uint64    // of its name
-	learnt  time.Time // when the latest news of it came
-	told    int       // messages that have carried these, to this entry again or from it
-	heard   time.Time // its own word
-	lostAt  time.Time
-	failed  int  // questions in a row without an answer
-	unheard bool // does not answer this entry, and nobody can be asked whether it answers others
+	digest        uint64
+	nameHash      uint64
+	updatedAt     time.Time // time of the latest change of its state
+	transmissions int       // messages that carried this state, sent by this entry or received again
+	lastHeard     time.Time // time of the latest message from the entry itself, or of an update that it is alive
+	lostAt        time.Time
+	failedProbes  int  // consecutive
+	unreachable   bool // probes by this entry fail, and no other entry could be asked for an indirect probe
 }
 
-// Figures of the table.
 const (
-	// heardLately: an entry whose own word is so fresh is asked before it is believed lost.
-	// Whoever says that it is lost has asked for longer, so this is an entry that was cut
-	// off and tells what it believed then.
-	heardLately = 500 * time.Millisecond
-	// forgetAfter ends the questions to an entry that is gone for good.
-	forgetAfter = 30 * time.Second
-	// failuresLost questions in a row are enough where nobody else can be asked.
-	failuresLost = 3
+	// recentContact: an entry that was heard from within this time is probed before a report
+	// of its loss is accepted. Detecting a loss takes longer than this, so the report is stale:
+	// its sender was cut off from the network when it detected the loss.
+	recentContact = 500 * time.Millisecond
+	// lostRetention is the time after which an entry that stays lost is removed and no longer
+	// probed.
+	lostRetention = 30 * time.Second
+	// maxFailedProbes is the number of consecutive failed probes that make an entry unreachable
+	// if no other entry can be asked for an indirect probe.
+	maxFailedProbes = 3
 )
 
-// NewTable returns a table that knows only its own entry.
+// NewTable returns a table that holds only the entry's own presence.
 func NewTable(self peers.Presence, rng *rand.Rand) *Table {
 	return &Table{self: self, byName: make(map[string]*member), rng: rng}
 }
 
-// UpdateSelf returns what this entry says of itself. ready and store are as of now; if they
-// differ from what was said last, changed tells that others should hear of it.
+// UpdateSelf sets whether this entry accepts requests and whether it reaches the store, and
+// returns its presence. changed is true if either differs from before; the caller then
+// disseminates the presence.
 func (t *Table) UpdateSelf(ready, store bool) (p peers.Presence, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,8 +79,9 @@
 	return t.self, changed
 }
 
-// AddFromRecord keeps an entry by its record in the store. A record may be older than
-// what the entry said itself, and says nothing of whether it takes requests.
+// AddFromRecord adds an entry that is known from its record in the store. The record may be
+// older than the presence that the entry itself has sent, and does not say whether the entry
+// accepts requests.
 func (t *Table) AddFromRecord(p peers.Presence, now time.Time) (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,15 +93,17 @@
 		return false
 	}
 	p.Ready, p.Revision = false, 0
-	t.put(peers.Member{Entry: p}).heard = now
+	t.insert(peers.Member{Entry: p}).lastHeard = now
 	return true
 }
 
-// MergeOwnPresence takes an entry's own word. It always counts, whatever its incarnation: that comes
-// from the time of day, which may have been set back before the process started again, and
-// its peers would take it for dead. news tells that others should hear of it; believed is
-// what was known of it if that is newer than its own word, so that it can object.
-func (t *Table) MergeOwnPresence(p peers.Presence, now time.Time) (news bool, believed *peers.Member) {
+// MergeOwnPresence merges an entry's presence as sent by the entry itself. It replaces the known
+// state even if its incarnation is lower: incarnations come from the clock, which may have been
+// set back before the process restarted, and the entry would otherwise be taken for lost.
+//
+// changed is true if the new state is to be disseminated. newer is the state that was known
+// before, if it supersedes the entry's own presence; the entry must refute it.
+func (t *Table) MergeOwnPresence(p peers.Presence, now time.Time) (changed bool, newer *peers.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p.Name == t.self.Name || p.Name == "" {
@@ -106,37 +111,37 @@
 	}
 	known := t.byName[p.Name]
 	if known == nil {
-		known = t.put(peers.Member{Entry: p})
-		known.learnt, known.heard = now, now
-		t.quiet = now
+		known = t.insert(peers.Member{Entry: p})
+		known.updatedAt, known.lastHeard = now, now
+		t.lastUpdate = now
 		return true, nil
 	}
-	if order(p, known.Entry) < 0 || known.Lost && order(p, known.Entry) == 0 {
+	if compareFreshness(p, known.Entry) < 0 || known.Lost && compareFreshness(p, known.Entry) == 0 {
 		old := known.Member
-		believed = &old
+		newer = &old
 	}
-	news = order(p, known.Entry) > 0 || known.Lost || known.unheard || known.Entry != p
-	if news {
-		t.learn(known, now)
+	changed = compareFreshness(p, known.Entry) > 0 || known.Lost || known.unreachable || known.Entry != p
+	if changed {
+		t.markUpdated(known, now)
 	}
 	t.replace(known, peers.Member{Entry: p})
-	known.heard, known.failed, known.unheard = now, 0, false
-	return news, believed
+	known.lastHeard, known.failedProbes, known.unreachable = now, 0, false
+	return changed, newer
 }
 
-// order compares how new two words of one entry are.
-func order(a, b peers.Presence) int {
+// compareFreshness orders two presences of one entry by incarnation, then by revision.
+func compareFreshness(a, b peers.Presence) int {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Revision, b.Revision))
 }
 
-// MergeResult is what follows from what another entry tells.
+// MergeResult says what the caller of MergeMembers must do next.
 type MergeResult struct {
-	HasUpdates bool     // others should hear of something
-	ToProbe    []string // entries to be asked before they are believed lost
+	HasUpdates bool     // updates are to be disseminated
+	ToProbe    []string // entries that are reported lost but were heard from recently
 }
 
-// MergeMembers takes what another entry tells of others, and of this one.
-func (t *Table) MergeMembers(list []peers.Member, now time.Time) (told MergeResult) {
+// MergeMembers merges the updates that another entry has sent. Some may concern this entry.
+func (t *Table) MergeMembers(list []peers.Member, now time.Time) (result MergeResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range list {
@@ -145,22 +150,22 @@
 			continue
 		}
 		if m.Entry.Name == t.self.Name {
-			told.HasUpdates = t.object(m) || told.HasUpdates
+			result.HasUpdates = t.refute(m) || result.HasUpdates
 			continue
 		}
-		t.take(m, now, &told)
+		t.mergeMember(m, now, &result)
 	}
-	return told
+	return result
 }
 
-// object makes this entry's word newer than what others believe of it, if that is another.
+// refute raises this entry's incarnation and revision above those of an update on it, if that
+// update would supersede its own presence. It returns true if it did.
 //
-// Failure: this entry stood still and is back, or its clock was set back before it started
-// again. Symptom: it is left out of the directory's answers for good, since what others
-// tell each other of it is newer than its own word.
-func (t *Table) object(m *peers.Member) bool {
-	o := order(m.Entry, t.self)
-	if o < 0 || o == 0 && !m.Lost {
+// Such updates are spread while this entry is paused, or after its clock was set back before a
+// restart. Without refutation, the directory's answers would omit the entry for good.
+func (t *Table) refute(m *peers.Member) bool {
+	freshness := compareFreshness(m.Entry, t.self)
+	if freshness < 0 || freshness == 0 && !m.Lost {
 		return false
 	}
 	t.self.Incarnation = max(t.self.Incarnation, m.Entry.Incarnation)
@@ -168,77 +173,78 @@
 	return true
 }
 
-func (t *Table) take(m *peers.Member, now time.Time, told *MergeResult) {
+// mergeMember merges an update on another entry.
+func (t *Table) mergeMember(m *peers.Member, now time.Time, result *MergeResult) {
 	known := t.byName[m.Entry.Name]
 	if known == nil {
 		if m.Lost {
-			return // nothing is lost that was not known
+			return // the loss of an unknown entry changes nothing
 		}
-		known = t.put(*m)
-		known.learnt, known.heard = now, now
-		t.quiet = now
-		told.HasUpdates = true
+		known = t.insert(*m)
+		known.updatedAt, known.lastHeard = now, now
+		t.lastUpdate = now
+		result.HasUpdates = true
 		return
 	}
-	o := order(m.Entry, known.Entry)
-	if o < 0 || o == 0 && (known.Lost || !m.Lost) {
-		if o == 0 && !known.Lost && !m.Lost {
-			known.told++ // whoever told it knows it, and tells others
+	freshness := compareFreshness(m.Entry, known.Entry)
+	if freshness < 0 || freshness == 0 && (known.Lost || !m.Lost) {
+		if freshness == 0 && !known.Lost && !m.Lost {
+			known.transmissions++ // the sender knows this state and disseminates it too
 		}
 		return
 	}
-	if m.Lost && now.Sub(known.heard) < heardLately {
-		told.ToProbe = append(told.ToProbe, m.Entry.Name)
+	if m.Lost && now.Sub(known.lastHeard) < recentContact {
+		result.ToProbe = append(result.ToProbe, m.Entry.Name)
 		return
 	}
-	t.set(known, *m, now)
-	told.HasUpdates = true
+	t.update(known, *m, now)
+	result.HasUpdates = true
 }
 
-func (t *Table) set(known *member, m peers.Member, now time.Time) {
+// update sets the state of a known entry and marks it for dissemination.
+func (t *Table) update(known *member, m peers.Member, now time.Time) {
 	if m.Lost && !known.Lost {
 		known.lostAt = now
 	}
 	if !m.Lost {
-		known.unheard = false
-		known.heard = now
+		known.unreachable = false
+		known.lastHeard = now
 	}
 	t.replace(known, m)
-	t.learn(known, now)
+	t.markUpdated(known, now)
 }
 
-// put keeps an entry anew, in place of what was known of one with its name.
-func (t *Table) put(m peers.Member) *member {
+// insert adds an entry, replacing any member of the same name.
+func (t *Table) insert(m peers.Member) *member {
 	name := m.Entry.Name
 	t.remove(name)
-	known := &member{hash: xxhash.Sum64String(name)}
+	known := &member{nameHash: xxhash.Sum64String(name)}
 	at, _ := slices.BinarySearch(t.names, name)
 	t.names = slices.Insert(t.names, at, name)
 	t.byName[name] = known
-	known.Lost = true // it is not summed up yet
+	known.Lost = true // so that replace does not take its digest out of aliveDigest
 	t.replace(known, m)
 	return known
 }
 
-// replace sets what is known of an entry.
+// replace sets the state of an entry and keeps aliveDigest up to date.
 func (t *Table) replace(known *member, m peers.Member) {
 	if !known.Lost {
-		t.sum ^= known.digest
+		t.aliveDigest ^= known.digest
 	}
 	known.Member, known.digest = m, digest(&m)
 	if !known.Lost {
-		t.sum ^= known.digest
+		t.aliveDigest ^= known.digest
 	}
 }
 
-// remove forgets an entry.
 func (t *Table) remove(name string) {
 	known := t.byName[name]
 	if known == nil {
 		return
 	}
 	if !known.Lost {
-		t.sum ^= known.digest
+		t.aliveDigest ^= known.digest
 	}
 	delete(t.byName, name)
 	if at, found := slices.BinarySearch(t.names, name); found {
@@ -246,51 +252,52 @@
 	}
 }
 
-// learn notes that there is news of an entry.
-func (t *Table) learn(m *member, now time.Time) {
-	m.learnt, m.told = now, 0
-	t.quiet = now
+// markUpdated makes RecentUpdates return the entry's state again.
+func (t *Table) markUpdated(m *member, now time.Time) {
+	m.updatedAt, m.transmissions = now, 0
+	t.lastUpdate = now
 }
 
-// IndirectResult is what others say of an entry that did not answer this one.
+// IndirectResult is the combined result of the indirect probes of an entry.
 type IndirectResult int
 
-// Verdicts.
+// Results of indirect probes.
 const (
-	IndirectNone    IndirectResult = iota // nobody could be asked
-	IndirectAck                           // somebody is answered by it
-	IndirectTimeout                       // who could be asked is not answered either
+	IndirectNone    IndirectResult = iota // no other entry could be asked
+	IndirectAck                           // at least one other entry got an ack
+	IndirectTimeout                       // no entry that could be asked got an ack
 )
 
-// RecordProbeFailure notes that an entry did not answer, and what others say. It tells whether it is
-// lost by that.
+// RecordProbeFailure records a failed direct probe together with the result of the indirect
+// probes. It returns true if the entry is declared lost.
 //
-// An entry that is cut off itself finds nobody to ask: it leaves out who does not answer
-// it, and tells nobody, or the whole fleet would have to object once it is back.
-func (t *Table) RecordProbeFailure(name string, v IndirectResult, now time.Time) (lost bool) {
+// An entry that is itself cut off from the network finds no other entry to ask. It then treats
+// the entries that it cannot reach as not alive, but does not disseminate this. Otherwise the
+// whole fleet would have to refute it when the connection is back.
+func (t *Table) RecordProbeFailure(name string, indirect IndirectResult, now time.Time) (lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.byName[name]
 	if known == nil || known.Lost {
 		return false
 	}
-	known.failed++
+	known.failedProbes++
 	switch {
-	case v == IndirectTimeout:
-		t.set(known, peers.Member{Entry: known.Entry, Lost: true}, now)
+	case indirect == IndirectTimeout:
+		t.update(known, peers.Member{Entry: known.Entry, Lost: true}, now)
 		return true
-	case v == IndirectNone && known.failed >= failuresLost:
-		known.unheard = true
-	case v == IndirectAck:
-		known.failed = 0
+	case indirect == IndirectNone && known.failedProbes >= maxFailedProbes:
+		known.unreachable = true
+	case indirect == IndirectAck:
+		known.failedProbes = 0
 	}
 	return false
 }
 
-// lives tells whether an entry is taken to live; the lock must be held.
-func (m *member) lives() bool { return !m.Lost && !m.unheard }
+// isAlive reports whether an entry counts as alive. Table.mu must be held.
+func (m *member) isAlive() bool { return !m.Lost && !m.unreachable }
 
-// Address returns where an entry is asked.
+// Address returns the address at which an entry accepts probes; ok is false if it is unknown.
 func (t *Table) Address(name string) (address string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -301,75 +308,76 @@
 	return m.Entry.PeerAddr, true
 }
 
-// Alive returns the entries that live, by name, without this one.
+// Alive returns all entries that are alive, sorted by name, without this one.
 func (t *Table) Alive() []peers.Presence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]peers.Presence, 0, len(t.names))
 	for _, name := range t.names {
-		if m := t.byName[name]; m.lives() {
+		if m := t.byName[name]; m.isAlive() {
 			list = append(list, m.Entry)
 		}
 	}
 	return list
 }
 
-// Counts returns how many entries live and how many were known lately, the lost ones among
-// them; this one counts in both.
-func (t *Table) Counts() (living, known int) {
+// Counts returns the number of entries that are alive and of all known ones, including those
+// lost recently. Both include this entry.
+func (t *Table) Counts() (alive, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	living = 1
+	alive = 1
 	for _, m := range t.byName {
-		if m.lives() {
-			living++
+		if m.isAlive() {
+			alive++
 		}
 	}
-	return living, len(t.byName) + 1
+	return alive, len(t.byName) + 1
 }
 
-// Owner returns the entry that is responsible for something, by rendezvous hashing over those
-// that live and take requests: entries that know the same agree, and when one comes or goes only
-// what it owns moves.
-func (t *Table) Owner(of string) (name string, self bool) {
+// Owner returns the entry that owns a key, by rendezvous hashing over the entries that are alive
+// and accept requests. Entries with equal tables agree on the owner. When an entry joins or
+// leaves, only the keys that it owns move. self is true if this entry is the owner.
+func (t *Table) Owner(key string) (name string, self bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	key := xxhash.Sum64String(of)
-	var most uint64
-	consider := func(p *peers.Presence, hash uint64) {
-		if rank := mixed(hash ^ key); p.Ready && (name == "" || rank > most) {
-			name, most = p.Name, rank
+	keyHash := xxhash.Sum64String(key)
+	var highest uint64
+	consider := func(p *peers.Presence, nameHash uint64) {
+		if score := mixBits(nameHash ^ keyHash); p.Ready && (name == "" || score > highest) {
+			name, highest = p.Name, score
 		}
 	}
 	consider(&t.self, xxhash.Sum64String(t.self.Name))
 	for _, m := range t.byName {
-		if m.lives() {
-			consider(&m.Entry, m.hash)
+		if m.isAlive() {
+			consider(&m.Entry, m.nameHash)
 		}
 	}
 	return name, name == t.self.Name
 }
 
-// mixed spreads each bit of a number over all bits, by the finalizer of MurmurHash3.
-func mixed(v uint64) uint64 {
+// mixBits is the finalizer of MurmurHash3: each input bit affects all output bits.
+func mixBits(v uint64) uint64 {
 	v = (v ^ v>>33) * 0xff51afd7ed558ccd
 	v = (v ^ v>>33) * 0xc4ceb9fe1a85ec53
 	return v ^ v>>33
 }
 
-// PositionAmongAlive returns the place of this entry among those that live, and how many they are: those
-// that reach the store come first, each part by name. reaches tells whether this entry does.
-func (t *Table) PositionAmongAlive(reaches bool) (place, of int) {
+// PositionAmongAlive returns the index of this entry in the list of alive entries, and the length
+// of that list. Entries that reach the store come first; both parts are sorted by name. store
+// says whether this entry reaches the store.
+func (t *Table) PositionAmongAlive(store bool) (position, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, m := range t.byName {
-		if !m.lives() {
+		if !m.isAlive() {
 			continue
 		}
-		of++
-		if m.Entry.StoreReachable != reaches && m.Entry.StoreReachable || m.Entry.StoreReachable == reaches && name < t.self.Name {
-			place++
+		count++
+		if m.Entry.StoreReachable != store && m.Entry.StoreReachable || m.Entry.StoreReachable == store && name < t.self.Name {
+			position++
 		}
 	}
-	return place, of + 1
+	return position, count + 1
 }
