--- a/expert/attempt.go
+++ b/expert/attempt.go
@@ -6,52 +6,53 @@
 	"slices"
 )
 
-// SwitchAttempt is one orderer's ballot: it collects the replies of all ranks, then
-// their confirmations, and decides once; or it withdraws.
+// SwitchAttempt is the state of one ballot at its coordinator. The coordinator collects the replies
+// of all ranks and then their confirmations, and either decides once or withdraws.
 type SwitchAttempt struct {
 	Ballot    Ballot
-	HoldAt    uint64 // step that the ranks are asked to hold at
-	WantedMap MapID  // 0: go on with the map in use
+	HoldAt    uint64 // step before which the ranks are asked to hold
+	WantedMap MapID  // 0: keep the map in use
 	Replies   []*HoldReply
 
-	complete  bool // all replies are there and stay as they are
-	confirmed []bool
-	decided   *Decision
-	withdrawn bool
+	repliesComplete bool // all ranks have replied; later replies are ignored
+	confirmed       []bool
+	decision        *Decision
+	withdrawn       bool
 }
 
-// Reasons why an attempt can't decide.
+// Reasons for which an attempt cannot decide.
 var (
-	ErrUnconfirmed     = errors.New("not all ranks have confirmed")
-	ErrMissingReplies  = errors.New("not all ranks have answered")
-	ErrWithdrawn       = errors.New("the attempt was withdrawn")
-	ErrConflictingMaps = errors.New("replies name two maps for one step")
-	ErrNotLoaded       = errors.New("a rank has not loaded a map that it needs")
-	ErrNoMap           = errors.New("no rank knows a map and none is wanted")
+	ErrUnconfirmed     = errors.New("confirmations of ranks are missing")
+	ErrMissingReplies  = errors.New("replies of ranks are missing")
+	ErrWithdrawn       = errors.New("switch attempt was withdrawn")
+	ErrConflictingMaps = errors.New("replies contain two maps for one step")
+	ErrNotLoaded       = errors.New("rank has not loaded a map that the schedule uses")
+	ErrNoMap           = errors.New("no rank has a map and the attempt sets none")
 )
 
-// NewSwitchAttempt begins a ballot over a number of ranks.
-func NewSwitchAttempt(b Ballot, at uint64, want MapID, ranks int) *SwitchAttempt {
-	return &SwitchAttempt{Ballot: b, HoldAt: at, WantedMap: want, Replies: make([]*HoldReply, ranks), confirmed: make([]bool, ranks)}
+// NewSwitchAttempt returns the state of a new ballot. want is the map to switch to; 0 keeps the map
+// in use.
+func NewSwitchAttempt(b Ballot, holdAt uint64, want MapID, ranks int) *SwitchAttempt {
+	return &SwitchAttempt{Ballot: b, HoldAt: holdAt, WantedMap: want, Replies: make([]*HoldReply, ranks), confirmed: make([]bool, ranks)}
 }
 
-// RecordReply books a rank's reply; a later one replaces it until all have answered.
-// It returns true when all have: confirmations may be asked for from then on.
+// RecordReply records the reply of a rank. A later reply of the same rank replaces it until all
+// ranks have replied. It returns true if they have; confirmations can then be requested.
 func (a *SwitchAttempt) RecordReply(rank int, r HoldReply) bool {
-	if !a.complete {
+	if !a.repliesComplete {
 		a.Replies[rank] = &r
-		a.complete = len(a.MissingRanks()) == 0
+		a.repliesComplete = len(a.MissingRanks()) == 0
 	}
-	return a.complete
+	return a.repliesComplete
 }
 
-// RecordConfirmation books a rank's answer to a question that was sent after the last reply
-// had come.
+// RecordConfirmation records the confirmation of a rank. It counts only if it was requested after
+// the last reply had arrived.
 func (a *SwitchAttempt) RecordConfirmation(rank int) {
-	a.confirmed[rank] = a.complete
+	a.confirmed[rank] = a.repliesComplete
 }
 
-// MissingRanks returns the ranks that have not answered.
+// MissingRanks returns the ranks that have not replied.
 func (a *SwitchAttempt) MissingRanks() []int {
 	var ranks []int
 	for i, r := range a.Replies {
@@ -62,26 +63,27 @@
 	return ranks
 }
 
-// Withdraw gives the attempt up; false if it has decided.
+// Withdraw ends the attempt without a decision. It returns false if the attempt has decided.
 func (a *SwitchAttempt) Withdraw() bool {
-	if a.decided == nil {
+	if a.decision == nil {
 		a.withdrawn = true
 	}
-	return a.decided == nil
+	return a.decision == nil
 }
 
-// Decide returns the attempt's only decision. Every rank has promised the
-// ballot and none goes past its hold, so:
+// Decide returns the one decision of the attempt. Every rank has promised the ballot and no rank
+// passes its hold, so:
 //
-//   - a step that some rank has entered or will enter before its hold keeps that
-//     rank's map for all;
-//   - the first step that no rank can have entered, the furthest hold, is free.
+//   - a step that some rank has entered, or will enter before its hold, gets the map of that rank
+//     on all ranks;
+//   - the first step that no rank can have entered, which is the highest HoldAt, can get the
+//     wanted map.
 //
-// Without a reply of every rank a silent one may be past the step already.
+// If the reply of a rank is missing, that rank may have passed the step already.
 func (a *SwitchAttempt) Decide() (*Decision, error) {
 	switch {
-	case a.decided != nil:
-		return a.decided, nil
+	case a.decision != nil:
+		return a.decision, nil
 	case a.withdrawn:
 		return nil, ErrWithdrawn
 	case len(a.MissingRanks()) > 0:
@@ -89,17 +91,17 @@
 	case slices.Contains(a.confirmed, false):
 		return nil, ErrUnconfirmed
 	}
-	d, err := a.decide()
+	d, err := a.computeDecision()
 	if err != nil {
 		return nil, err
 	}
-	a.decided = d
+	a.decision = d
 	return d, nil
 }
 
-func (a *SwitchAttempt) decide() (*Decision, error) {
+func (a *SwitchAttempt) computeDecision() (*Decision, error) {
 	d := &Decision{Ballot: a.Ballot}
-	join, free, found := a.span()
+	joinStep, freeStep, found := a.stepSpan()
 	if !found {
 		if a.WantedMap == 0 {
 			return nil, ErrNoMap
@@ -108,37 +110,38 @@
 		d.Schedule = Schedule{{From: a.HoldAt, Map: a.WantedMap}}
 		return d, a.checkLoaded(d)
 	}
-	d.JoinStep = join
-	inUse := MapID(0)
-	for step := join; step < free; step++ {
-		m, err := a.mapOf(step)
+	d.JoinStep = joinStep
+	mapInUse := MapID(0)
+	for step := joinStep; step < freeStep; step++ {
+		m, err := a.mapAtStep(step)
 		if err != nil {
 			return nil, err
 		}
-		d.Schedule = d.Schedule.with(step, m)
-		inUse = m
+		d.Schedule = d.Schedule.withSegment(step, m)
+		mapInUse = m
 	}
-	if inUse == 0 {
-		inUse = a.currentMap()
+	if mapInUse == 0 {
+		mapInUse = a.currentMap()
 	}
 	want := a.WantedMap
-	if want == 0 || !a.allLoaded(want) {
-		want = inUse
+	if want == 0 || !a.isLoadedOnAllRanks(want) {
+		want = mapInUse
 	}
-	d.Schedule = d.Schedule.with(free, want)
+	d.Schedule = d.Schedule.withSegment(freeStep, want)
 	return d, a.checkLoaded(d)
 }
 
-func (s Schedule) with(from uint64, m MapID) Schedule {
+// withSegment appends a segment unless it would repeat the map of the last one.
+func (s Schedule) withSegment(from uint64, m MapID) Schedule {
 	if n := len(s); n > 0 && s[n-1].Map == m {
 		return s
 	}
 	return append(s, Segment{From: from, Map: m})
 }
 
-// span returns the first step that is not complete everywhere and the first
-// that no rank can have entered; found is false if no rank knows its step.
-func (a *SwitchAttempt) span() (join, free uint64, found bool) {
+// stepSpan returns the first step that is not complete on all ranks and the first step that no
+// rank can have entered. found is false if no rank has entered a step since its start.
+func (a *SwitchAttempt) stepSpan() (joinStep, freeStep uint64, found bool) {
 	for _, r := range a.Replies {
 		if r == nil || !r.Joined {
 			continue
@@ -147,17 +150,17 @@
 		if r.InStep {
 			first--
 		}
-		if !found || first < join {
-			join = first
+		if !found || first < joinStep {
+			joinStep = first
 		}
-		free = max(free, r.HoldAt)
+		freeStep = max(freeStep, r.HoldAt)
 		found = true
 	}
-	return join, free, found
+	return joinStep, freeStep, found
 }
 
-// mapOf returns the map of a step that some rank enters before its hold.
-func (a *SwitchAttempt) mapOf(step uint64) (MapID, error) {
+// mapAtStep returns the map of a step that some rank has entered or enters before its hold.
+func (a *SwitchAttempt) mapAtStep(step uint64) (MapID, error) {
 	m := MapID(0)
 	for _, r := range a.Replies {
 		if r == nil || !r.Joined || step+1 < r.NextStep || step >= r.HoldAt {
@@ -169,12 +172,12 @@
 		m = r.Map
 	}
 	if m == 0 {
-		return 0, fmt.Errorf("%w: nobody enters step %d", ErrMissingReplies, step)
+		return 0, fmt.Errorf("%w: no rank enters step %d", ErrMissingReplies, step)
 	}
 	return m, nil
 }
 
-// currentMap returns the map of the rank that is furthest.
+// currentMap returns the map of the rank with the highest next step.
 func (a *SwitchAttempt) currentMap() MapID {
 	m, next := MapID(0), uint64(0)
 	for _, r := range a.Replies {
@@ -185,7 +188,8 @@
 	return m
 }
 
-func (a *SwitchAttempt) allLoaded(m MapID) bool {
+// isLoadedOnAllRanks reports whether no rank is known to lack the weights of a map.
+func (a *SwitchAttempt) isLoadedOnAllRanks(m MapID) bool {
 	for _, r := range a.Replies {
 		if r != nil && r.Loaded != nil && !slices.Contains(r.Loaded, m) {
 			return false
@@ -194,15 +198,15 @@
 	return true
 }
 
-// checkLoaded keeps a rank from being sent into a step without its weights.
+// checkLoaded returns ErrNotLoaded if a rank would enter a step without the weights of its map.
 func (a *SwitchAttempt) checkLoaded(d *Decision) error {
 	for i, r := range a.Replies {
 		if r == nil || r.Loaded == nil {
 			continue
 		}
 		for j, seg := range d.Schedule {
-			passed := j+1 < len(d.Schedule) && r.Joined && d.Schedule[j+1].From <= r.NextStep
-			if !passed && !slices.Contains(r.Loaded, seg.Map) {
+			isPast := j+1 < len(d.Schedule) && r.Joined && d.Schedule[j+1].From <= r.NextStep
+			if !isPast && !slices.Contains(r.Loaded, seg.Map) {
 				return fmt.Errorf("%w: rank %d, map %016x", ErrNotLoaded, i, uint64(seg.Map))
 			}
 		}
--- a/expert/balance.go
+++ b/expert/balance.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Layout says which experts each rank holds in one set of layers. Ranks may hold
-// different numbers of them.
+// Layout holds the experts of each rank in one set of layers. Ranks may hold different numbers of
+// experts.
 type Layout [][]uint16
 
 // Clone returns a copy that shares no memory.
@@ -18,7 +18,7 @@
 	return c
 }
 
-// InitialLayout returns the layout that engines start with: the experts in turn.
+// InitialLayout returns the layout that engines start with: experts assigned to ranks round-robin.
 func InitialLayout(ranks, experts int) Layout {
 	l := make(Layout, ranks)
 	for e := range experts {
@@ -27,10 +27,10 @@
 	return l
 }
 
-// MaxAndMeanTime returns the time of the rank that takes longest, and of a rank if all
-// were alike. An expert's copies share its load evenly. pace is how many times as
-// long as usual each rank takes; nil: all are alike.
-func (l Layout) MaxAndMeanTime(loads, pace []float64) (longest, mean float64) {
+// MaxAndMeanTime returns the step time of the slowest rank and the mean load of a rank. The copies
+// of an expert share its load evenly. slowdown is the factor by which each rank is slower than
+// usual; nil means 1 for all.
+func (l Layout) MaxAndMeanTime(loads, slowdown []float64) (slowest, mean float64) {
 	copies := make([]int, len(loads))
 	for _, list := range l {
 		for _, e := range list {
@@ -43,94 +43,93 @@
 		for _, e := range list {
 			sum += loads[e] / float64(copies[e])
 		}
-		longest = max(longest, sum*paceOf(pace, r))
+		slowest = max(slowest, sum*slowdownOf(slowdown, r))
 		total += sum
 	}
-	return longest, total / float64(len(l))
+	return slowest, total / float64(len(l))
 }
 
-func paceOf(pace []float64, rank int) float64 {
-	if pace == nil {
+func slowdownOf(slowdown []float64, rank int) float64 {
+	if slowdown == nil {
 		return 1
 	}
-	return pace[rank]
+	return slowdown[rank]
 }
 
-// BalanceLimits bound one change of a layout.
+// BalanceLimits bounds one change of a layout.
 type BalanceLimits struct {
-	Base           Layout    // what ranks hold and need not copy; nil: the layout itself
-	ExpertsPerRank int       // experts on one rank
-	MaxNewPerRank  int       // experts that a rank gets and did not hold
-	MaxNewByRank   []int     // the same for each rank by itself, where that is less; nil: no bound
-	Slowdown       []float64 // how many times as long as usual each rank takes; nil: all are alike
-	PricePerCopy   float64   // that a step must gain for each expert that is copied
+	Base           Layout    // experts that ranks hold and need not copy; nil: the layout itself
+	ExpertsPerRank int       // maximum
+	MaxNewPerRank  int       // experts that one rank gets and does not hold in Base
+	MaxNewByRank   []int     // the same by rank, where it is lower; nil: no such bound
+	Slowdown       []float64 // by rank, factor by which it is slower than usual; nil: 1 for all
+	PricePerCopy   float64   // minimum gain of a step for each expert that must be copied
 	MaxSteps       int       // of the search
 }
 
-// fresh returns how many new experts a rank may get.
-func (l *BalanceLimits) fresh(rank int) int {
+// maxNew returns the maximum number of new experts on a rank.
+func (l *BalanceLimits) maxNew(rank int) int {
 	if l.MaxNewByRank == nil {
 		return l.MaxNewPerRank
 	}
 	return min(l.MaxNewPerRank, l.MaxNewByRank[rank])
 }
 
-// Balance changes a layout so that its busiest rank has less to do. It goes step
-// by step: each step takes load off the rank that is busiest then, by giving an
-// expert another copy, moving one, or exchanging two. A step counts if it lowers
-// the sum of a high power of all ranks' loads by more than the price of what must
-// be copied: the busiest rank decides, but ranks that are nearly as busy count
-// too, since they come next. The power is high enough for a rank at twice the
-// mean to outweigh sixty at the mean.
+// Balance changes a layout so that its busiest rank gets less load. Each step takes load off the
+// rank that is busiest at that point: it adds a copy of an expert elsewhere, moves an expert or
+// exchanges two. A step is taken if it lowers the sum of the sixth powers of all rank times by more
+// than the price of the copies it needs. The sum is dominated by the busiest rank, but ranks that
+// are nearly as busy count too, since they come next. With the sixth power, a rank at twice the
+// mean outweighs sixty ranks at the mean.
 func Balance(l Layout, loads []float64, lim BalanceLimits) Layout {
-	b := newBalance(l, loads, lim)
+	b := newBalancer(l, loads, lim)
 	for range lim.MaxSteps {
-		if !b.step() {
+		if !b.improve() {
 			break
 		}
 	}
-	return b.lists
+	return b.layout
 }
 
-type balance struct {
-	lim    BalanceLimits
-	lists  Layout
-	loads  []float64 // in means of a rank
-	before [][]bool  // by rank and expert
-	fresh  []int
-	copies []int
-	part   []float64 // of each expert's load, at one of the ranks that hold it
-	work   []float64 // of each rank
-	power  []float64 // of each rank's time, see power
-	at     [][]int   // ranks that hold an expert
-	order  []int     // ranks, those with least work first
-	delta  []float64 // change of the work of each rank in a trial
-	dirty  []int     // ranks whose delta is set
+type balancer struct {
+	lim          BalanceLimits
+	layout       Layout
+	loads        []float64 // of each expert, in units of the mean load of a rank
+	heldBefore   [][]bool  // by rank and expert: in the base layout
+	newExperts   []int     // of each rank, not in its base
+	copies       []int     // of each expert
+	copyLoad     []float64 // load of one copy of each expert
+	rankLoad     []float64
+	timePower    []float64 // sixth power of each rank's time
+	holders      [][]int   // ranks that hold each expert
+	ranksByTime  []int     // fastest first
+	loadDelta    []float64 // change of each rank's load by the candidate
+	changedRanks []int     // ranks whose loadDelta is set
 }
 
-// trial is one candidate change: add goes to rank to, in the place of out (if
-// any); the busiest rank a loses drop (if any) and gets back (if any).
-type trial struct {
-	to              int
-	add, drop       int // experts, -1: none
-	out, back       int
-	gain            float64
-	freshTo, freshA int
+// balanceChange is a candidate change. The receiver gets expert given, in the place of replaced if
+// that is set. The busiest rank loses dropped and gets returned, if these are set.
+type balanceChange struct {
+	receiver                    int
+	given, dropped              int // experts; -1: none
+	replaced, returned          int
+	gain                        float64
+	newOnReceiver, newOnBusiest int
 }
 
-func newBalance(l Layout, loads []float64, lim BalanceLimits) *balance {
-	b := &balance{
-		lim:    lim,
-		lists:  l.Clone(),
-		loads:  slices.Clone(loads),
-		before: make([][]bool, len(l)),
-		fresh:  make([]int, len(l)),
-		copies: make([]int, len(loads)),
-		part:   make([]float64, len(loads)),
-		work:   make([]float64, len(l)),
-		power:  make([]float64, len(l)),
-		at:     make([][]int, len(loads)),
-		delta:  make([]float64, len(l)),
+func newBalancer(l Layout, loads []float64, lim BalanceLimits) *balancer {
+	b := &balancer{
+		lim:        lim,
+		layout:     l.Clone(),
+		loads:      slices.Clone(loads),
+		heldBefore: make([][]bool, len(l)),
+		newExperts: make([]int, len(l)),
+		copies:     make([]int, len(loads)),
+		copyLoad:   make([]float64, len(loads)),
+		rankLoad:   make([]float64, len(l)),
+		timePower:  make([]float64, len(l)),
+		holders:    make([][]int, len(loads)),
+		loadDelta:  make([]float64, len(l)),
 	}
 	total := 0.0
 	for _, v := range loads {
@@ -146,137 +145,142 @@
 		base = l
 	}
 	for r, list := range l {
-		b.before[r] = make([]bool, len(loads))
-		b.order = append(b.order, r)
+		b.heldBefore[r] = make([]bool, len(loads))
+		b.ranksByTime = append(b.ranksByTime, r)
 		for _, e := range base[r] {
-			b.before[r][e] = true
+			b.heldBefore[r][e] = true
 		}
 		for _, e := range list {
 			b.copies[e]++
-			b.at[e] = append(b.at[e], r)
-			b.fresh[r] += b.freshness(r, int(e))
+			b.holders[e] = append(b.holders[e], r)
+			b.newExperts[r] += b.copiesNeeded(r, int(e))
 		}
 	}
 	for e := range b.loads {
-		b.share(e)
+		b.updateCopyLoad(e)
 	}
-	b.sumUp()
+	b.updateRankLoads()
 	return b
 }
 
-// share books an expert's load at each rank that holds it.
-func (b *balance) share(e int) { b.part[e] = b.loads[e] / float64(b.copies[e]) }
+// updateCopyLoad computes the load of one copy of an expert.
+func (b *balancer) updateCopyLoad(e int) { b.copyLoad[e] = b.loads[e] / float64(b.copies[e]) }
 
-// sumUp books the work of all ranks.
-func (b *balance) sumUp() {
-	for r, list := range b.lists {
-		b.work[r] = 0
+// updateRankLoads computes the loads of all ranks.
+func (b *balancer) updateRankLoads() {
+	for r, list := range b.layout {
+		b.rankLoad[r] = 0
 		for _, e := range list {
-			b.work[r] += b.part[e]
+			b.rankLoad[r] += b.copyLoad[e]
 		}
-		b.power[r] = power(b.time(r, 0))
+		b.timePower[r] = sixthPower(b.rankTime(r, 0))
 	}
 }
 
-// time returns how long a rank takes if its work changes by d.
-func (b *balance) time(r int, d float64) float64 { return (b.work[r] + d) * paceOf(b.lim.Slowdown, r) }
+// rankTime returns the time of a rank whose load changes by d.
+func (b *balancer) rankTime(r int, d float64) float64 {
+	return (b.rankLoad[r] + d) * slowdownOf(b.lim.Slowdown, r)
+}
 
-func (b *balance) weight(e int) float64 { return b.part[e] }
+func (b *balancer) loadPerCopy(e int) float64 { return b.copyLoad[e] }
 
-// receivers bounds the ranks that are looked at for what the busiest one gives.
-const receivers = 16
+// maxReceivers is the number of fastest ranks that are considered as receivers.
+const maxReceivers = 16
 
-func (b *balance) step() bool {
-	a := 0
-	for r := range b.work {
-		if b.time(r, 0) > b.time(a, 0) {
-			a = r
+// improve applies the best candidate change. It returns false if none gains enough.
+func (b *balancer) improve() bool {
+	busiest := 0
+	for r := range b.rankLoad {
+		if b.rankTime(r, 0) > b.rankTime(busiest, 0) {
+			busiest = r
 		}
 	}
-	slices.SortFunc(b.order, func(x, y int) int {
-		return cmp.Or(cmp.Compare(b.time(x, 0), b.time(y, 0)), x-y)
+	slices.SortFunc(b.ranksByTime, func(x, y int) int {
+		return cmp.Or(cmp.Compare(b.rankTime(x, 0), b.rankTime(y, 0)), x-y)
 	})
-	best := trial{gain: 0}
-	for _, x := range b.lists[a] {
-		for _, r := range b.order[:min(receivers, len(b.order))] {
-			if r != a && !slices.Contains(b.lists[r], x) {
-				b.tryRank(&best, a, r, int(x))
+	best := balanceChange{gain: 0}
+	for _, x := range b.layout[busiest] {
+		for _, r := range b.ranksByTime[:min(maxReceivers, len(b.ranksByTime))] {
+			if r != busiest && !slices.Contains(b.layout[r], x) {
+				b.tryReceiver(&best, busiest, r, int(x))
 			}
 		}
 	}
 	if best.gain <= 0 {
 		return false
 	}
-	b.apply(a, best)
+	b.apply(busiest, best)
 	return true
 }
 
-// tryRank considers what can be done with expert x of rank a and rank r.
-func (b *balance) tryRank(best *trial, a, r, x int) {
-	freshTo := b.freshness(r, x)
-	if b.fresh[r]+freshTo > b.lim.fresh(r) {
-		b.tryReturn(best, a, r, x)
+// tryReceiver considers the changes that give expert x of the busiest rank to rank r.
+func (b *balancer) tryReceiver(best *balanceChange, busiest, r, x int) {
+	newOnReceiver := b.copiesNeeded(r, x)
+	if b.newExperts[r]+newOnReceiver > b.lim.maxNew(r) {
+		b.trySwapOfNew(best, busiest, r, x)
 		return
 	}
-	if len(b.lists[r]) < b.lim.ExpertsPerRank {
-		b.consider(best, a, trial{to: r, add: x, drop: -1, out: -1, back: -1, freshTo: freshTo})
-		b.consider(best, a, trial{to: r, add: x, drop: x, out: -1, back: -1, freshTo: freshTo})
+	if len(b.layout[r]) < b.lim.ExpertsPerRank {
+		b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: -1, replaced: -1, returned: -1, newOnReceiver: newOnReceiver})
+		b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: x, replaced: -1, returned: -1, newOnReceiver: newOnReceiver})
 	}
-	b.tryReplace(best, a, r, x, freshTo)
+	b.tryReplace(best, busiest, r, x, newOnReceiver)
 }
 
-// tryReturn is for a rank that can take no more new experts: giving back one that
-// came in this change frees the room for another.
-func (b *balance) tryReturn(best *trial, a, r, x int) {
-	for _, z := range b.lists[r] {
-		if !b.before[r][z] && b.copies[z] >= 2 {
-			b.consider(best, a, trial{to: r, add: x, drop: -1, out: int(z), back: -1})
+// trySwapOfNew is for a receiver at its limit of new experts. It replaces an expert that the
+// receiver got in this change.
+func (b *balancer) trySwapOfNew(best *balanceChange, busiest, r, x int) {
+	for _, z := range b.layout[r] {
+		if !b.heldBefore[r][z] && b.copies[z] >= 2 {
+			b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: -1, replaced: int(z), returned: -1})
 		}
 	}
 }
 
-func (b *balance) tryReplace(best *trial, a, r, x, freshTo int) {
-	for _, z := range b.lists[r] {
+// tryReplace considers changes in which expert x replaces another expert of rank r, which may move
+// to the busiest rank in exchange.
+func (b *balancer) tryReplace(best *balanceChange, busiest, r, x, newOnReceiver int) {
+	for _, z := range b.layout[r] {
 		if b.copies[z] >= 2 {
-			b.consider(best, a, trial{to: r, add: x, drop: -1, out: int(z), back: -1, freshTo: freshTo})
-			b.consider(best, a, trial{to: r, add: x, drop: x, out: int(z), back: -1, freshTo: freshTo})
+			b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: -1, replaced: int(z), returned: -1, newOnReceiver: newOnReceiver})
+			b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: x, replaced: int(z), returned: -1, newOnReceiver: newOnReceiver})
 		}
-		if b.weight(int(z)) >= b.weight(x) || slices.Contains(b.lists[a], z) {
+		if b.loadPerCopy(int(z)) >= b.loadPerCopy(x) || slices.Contains(b.layout[busiest], z) {
 			continue
 		}
-		freshA := b.freshness(a, int(z))
-		if b.fresh[a]+freshA <= b.lim.fresh(a) {
-			b.consider(best, a, trial{to: r, add: x, drop: x, out: int(z), back: int(z), freshTo: freshTo, freshA: freshA})
+		newOnBusiest := b.copiesNeeded(busiest, int(z))
+		if b.newExperts[busiest]+newOnBusiest <= b.lim.maxNew(busiest) {
+			b.consider(best, busiest, balanceChange{receiver: r, given: x, dropped: x, replaced: int(z), returned: int(z), newOnReceiver: newOnReceiver, newOnBusiest: newOnBusiest})
 		}
 	}
 }
 
-// freshness is 1 if the rank would have to copy the expert.
-func (b *balance) freshness(r, e int) int {
-	if b.before[r][e] {
+// copiesNeeded returns 1 if the rank would have to copy the expert, 0 if its base has it.
+func (b *balancer) copiesNeeded(r, e int) int {
+	if b.heldBefore[r][e] {
 		return 0
 	}
 	return 1
 }
 
-// consider keeps a trial that gains more than the best one.
-func (b *balance) consider(best *trial, a int, t trial) {
-	if b.inVain(a, &t) {
+// consider replaces best by a candidate that gains more.
+func (b *balancer) consider(best *balanceChange, busiest int, t balanceChange) {
+	if b.makesReceiverBusiest(busiest, &t) {
 		return
 	}
-	b.clean()
-	b.recount(t.add, t.to, t.drop == t.add, a)
-	if t.out >= 0 {
-		if t.back >= 0 {
-			b.change(t.to, -b.weight(t.out))
-			b.change(a, b.weight(t.out))
+	b.clearLoadDeltas()
+	b.addCopyDeltas(t.given, t.receiver, t.dropped == t.given, busiest)
+	if t.replaced >= 0 {
+		if t.returned >= 0 {
+			b.addLoadDelta(t.receiver, -b.loadPerCopy(t.replaced))
+			b.addLoadDelta(busiest, b.loadPerCopy(t.replaced))
 		} else {
-			b.recountWithout(t.out, t.to)
+			b.dropCopyDeltas(t.replaced, t.receiver)
 		}
 	}
-	gain := -b.lim.PricePerCopy * float64(t.freshTo+t.freshA)
-	for _, r := range b.dirty {
-		gain += b.power[r] - power(b.time(r, b.delta[r]))
+	gain := -b.lim.PricePerCopy * float64(t.newOnReceiver+t.newOnBusiest)
+	for _, r := range b.changedRanks {
+		gain += b.timePower[r] - sixthPower(b.rankTime(r, b.loadDelta[r]))
 	}
 	if gain > best.gain+minGain {
 		t.gain = gain
@@ -284,97 +288,95 @@
 	}
 }
 
-// inVain tells whether the rank that gets an expert would be as busy as the busiest
-// one is. Most trials are such, and telling it takes a fifth of trying them.
-func (b *balance) inVain(a int, t *trial) bool {
-	gets := b.part[t.add]
-	if t.drop != t.add {
-		gets = b.loads[t.add] / float64(b.copies[t.add]+1)
+// makesReceiverBusiest reports whether the receiver would become at least as slow as the busiest
+// rank is. This holds for most candidates, and checking it takes a fifth of the time of rating them.
+func (b *balancer) makesReceiverBusiest(busiest int, t *balanceChange) bool {
+	extraLoad := b.copyLoad[t.given]
+	if t.dropped != t.given {
+		extraLoad = b.loads[t.given] / float64(b.copies[t.given]+1)
 	}
-	if t.out >= 0 {
-		gets -= b.part[t.out]
+	if t.replaced >= 0 {
+		extraLoad -= b.copyLoad[t.replaced]
 	}
-	return b.time(t.to, gets) >= b.time(a, 0)
+	return b.rankTime(t.receiver, extraLoad) >= b.rankTime(busiest, 0)
 }
 
-// minGain keeps the search from following the rounding of floats.
+// minGain keeps the search from following rounding errors.
 const minGain = 1e-9
 
-// power raises to the sixth.
-func power(w float64) float64 {
+func sixthPower(w float64) float64 {
 	cube := w * w * w
 	return cube * cube
 }
 
-// change books in delta that a rank's work changes.
-func (b *balance) change(r int, d float64) {
-	if b.delta[r] == 0 {
-		b.dirty = append(b.dirty, r)
+// addLoadDelta records a change of the load of a rank by the candidate.
+func (b *balancer) addLoadDelta(r int, d float64) {
+	if b.loadDelta[r] == 0 {
+		b.changedRanks = append(b.changedRanks, r)
 	}
-	b.delta[r] += d
+	b.loadDelta[r] += d
 }
 
-func (b *balance) clean() {
-	for _, r := range b.dirty {
-		b.delta[r] = 0
+func (b *balancer) clearLoadDeltas() {
+	for _, r := range b.changedRanks {
+		b.loadDelta[r] = 0
 	}
-	b.dirty = b.dirty[:0]
+	b.changedRanks = b.changedRanks[:0]
 }
 
-// recount books in delta that rank to gets a copy of expert e; if moved, rank
-// from gives up its own.
-func (b *balance) recount(e, to int, moved bool, from int) {
+// addCopyDeltas records that rank to gets a copy of expert e. If moved, rank from loses its copy.
+func (b *balancer) addCopyDeltas(e, to int, moved bool, from int) {
 	if moved {
-		w := b.weight(e)
-		b.change(from, -w)
-		b.change(to, w)
+		w := b.loadPerCopy(e)
+		b.addLoadDelta(from, -w)
+		b.addLoadDelta(to, w)
 		return
 	}
 	w := b.loads[e] / float64(b.copies[e]+1)
-	relief := b.weight(e) - w
-	for _, r := range b.at[e] {
-		b.change(r, -relief)
+	relief := b.loadPerCopy(e) - w
+	for _, r := range b.holders[e] {
+		b.addLoadDelta(r, -relief)
 	}
-	b.change(to, w)
+	b.addLoadDelta(to, w)
 }
 
-// recountWithout books in delta that rank r gives up its copy of expert e.
-func (b *balance) recountWithout(e, r int) {
-	extra := b.loads[e]/float64(b.copies[e]-1) - b.weight(e)
-	for _, h := range b.at[e] {
+// dropCopyDeltas records that rank r loses its copy of expert e.
+func (b *balancer) dropCopyDeltas(e, r int) {
+	extra := b.loads[e]/float64(b.copies[e]-1) - b.loadPerCopy(e)
+	for _, h := range b.holders[e] {
 		if h != r {
-			b.change(h, extra)
+			b.addLoadDelta(h, extra)
 		}
 	}
-	b.change(r, -b.weight(e))
+	b.addLoadDelta(r, -b.loadPerCopy(e))
 }
 
-func (b *balance) apply(a int, t trial) {
-	if t.out >= 0 {
-		b.remove(t.to, t.out)
+func (b *balancer) apply(busiest int, t balanceChange) {
+	if t.replaced >= 0 {
+		b.remove(t.receiver, t.replaced)
 	}
-	if t.drop >= 0 {
-		b.remove(a, t.drop)
+	if t.dropped >= 0 {
+		b.remove(busiest, t.dropped)
 	}
-	b.insert(t.to, t.add)
-	if t.back >= 0 {
-		b.insert(a, t.back)
+	b.insert(t.receiver, t.given)
+	if t.returned >= 0 {
+		b.insert(busiest, t.returned)
 	}
-	b.sumUp()
+	b.updateRankLoads()
 }
 
-func (b *balance) remove(r, e int) {
-	b.lists[r] = slices.DeleteFunc(b.lists[r], func(x uint16) bool { return int(x) == e })
-	b.at[e] = slices.DeleteFunc(b.at[e], func(x int) bool { return x == r })
+func (b *balancer) remove(r, e int) {
+	b.layout[r] = slices.DeleteFunc(b.layout[r], func(x uint16) bool { return int(x) == e })
+	b.holders[e] = slices.DeleteFunc(b.holders[e], func(x int) bool { return x == r })
 	b.copies[e]--
-	b.share(e)
-	b.fresh[r] -= b.freshness(r, e)
+	b.updateCopyLoad(e)
+	b.newExperts[r] -= b.copiesNeeded(r, e)
 }
 
-func (b *balance) insert(r, e int) {
-	b.lists[r] = append(b.lists[r], uint16(e))
-	b.at[e] = append(b.at[e], r)
+func (b *balancer) insert(r, e int) {
+	b.layout[r] = append(b.layout[r], uint16(e))
+	b.holders[e] = append(b.holders[e], r)
 	b.copies[e]++
-	b.share(e)
-	b.fresh[r] += b.freshness(r, e)
+	b.updateCopyLoad(e)
+	b.newExperts[r] += b.copiesNeeded(r, e)
 }
--- a/expert/balance_test.go
+++ b/expert/balance_test.go
@@ -10,7 +10,7 @@
 	"github.com/heatherrail/heatherrail/expert"
 )
 
-// skewedLoads draws loads of which a few experts have most, as model engines show.
+// skewedLoads returns random loads of which a few experts have most, as model engines have them.
 func skewedLoads(rng *rand.Rand, experts int) []float64 {
 	loads := make([]float64, experts)
 	for i, e := range rng.Perm(experts) {
@@ -19,83 +19,80 @@
 	return loads
 }
 
-// The busiest rank makes all others wait in each pass. From the layout that
-// engines start with, some steps of at most three new experts a rank must bring
-// it near the mean, with every expert still held and no rank over its places.
+// All ranks wait for the busiest one in each pass. A few changes from the initial layout must bring
+// it near the mean without dropping an expert or exceeding a limit.
 func TestBalanceBringsTheBusiestRankNearTheMean(t *testing.T) {
 	g := NewWithT(t)
-	shapes := []struct{ ranks, experts, places, fresh int }{{12, 72, 8, 3}, {63, 252, 5, 2}}
+	shapes := []struct{ ranks, experts, maxExperts, maxNew int }{{12, 72, 8, 3}, {63, 252, 5, 2}}
 	for _, s := range shapes {
 		for seed := range uint64(5) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			loads := skewedLoads(rng, s.experts)
 			layout := expert.InitialLayout(s.ranks, s.experts)
-			start, mean := layout.MaxAndMeanTime(loads, nil)
-			lim := expert.BalanceLimits{ExpertsPerRank: s.places, MaxNewPerRank: s.fresh, MaxSteps: 200}
+			before, mean := layout.MaxAndMeanTime(loads, nil)
+			lim := expert.BalanceLimits{ExpertsPerRank: s.maxExperts, MaxNewPerRank: s.maxNew, MaxSteps: 200}
 			for range 4 {
 				next := expert.Balance(layout, loads, lim)
-				checkLayout(g, layout, next, s.experts, s.places, s.fresh)
+				checkLayout(g, layout, next, s.experts, s.maxExperts, s.maxNew)
 				layout = next
 			}
-			end, _ := layout.MaxAndMeanTime(loads, nil)
-			t.Logf("%d ranks, seed %d: %.2f to %.2f of the mean", s.ranks, seed, start/mean, end/mean)
-			g.Expect(end/mean).To(BeNumerically("<", 1.35), "%d ranks, seed %d: from %.2f", s.ranks, seed, start/mean)
+			after, _ := layout.MaxAndMeanTime(loads, nil)
+			t.Logf("%d ranks, seed %d: %.2f to %.2f of the mean", s.ranks, seed, before/mean, after/mean)
+			g.Expect(after/mean).To(BeNumerically("<", 1.35), "%d ranks, seed %d: from %.2f", s.ranks, seed, before/mean)
 		}
 	}
 }
 
-func checkLayout(g *WithT, before, after expert.Layout, experts, places, fresh int) {
+func checkLayout(g *WithT, before, after expert.Layout, experts, maxExperts, maxNew int) {
 	g.THelper()
-	held := make([]int, experts)
+	copies := make([]int, experts)
 	for r, list := range after {
-		g.Expect(len(list)).To(BeNumerically("<=", places))
-		seen := make(map[uint16]bool)
+		g.Expect(len(list)).To(BeNumerically("<=", maxExperts))
+		hadBefore := make(map[uint16]bool)
 		for _, e := range before[r] {
-			seen[e] = true
+			hadBefore[e] = true
 		}
 		added := 0
-		own := make(map[uint16]bool)
+		hasExpert := make(map[uint16]bool)
 		for _, e := range list {
-			held[e]++
-			g.Expect(own[e]).To(BeFalse(), "rank %d holds expert %d twice", r, e)
-			own[e] = true
-			if !seen[e] {
+			copies[e]++
+			g.Expect(hasExpert[e]).To(BeFalse(), "rank %d holds expert %d twice", r, e)
+			hasExpert[e] = true
+			if !hadBefore[e] {
 				added++
 			}
 		}
-		g.Expect(added).To(BeNumerically("<=", fresh))
+		g.Expect(added).To(BeNumerically("<=", maxNew))
 	}
-	for e, n := range held {
+	for e, n := range copies {
 		g.Expect(n).To(BeNumerically(">", 0), "no rank holds expert %d", e)
 	}
 }
 
-// One rank has become eight times as slow, and all others wait for it in each
-// pass. The experts that it holds must go to others: what it keeps is held
-// elsewhere too, or little wanted.
-func TestBalanceTakesWorkOffASlowRank(t *testing.T) {
+// One rank has become eight times as slow, so all others wait for it. Its experts must go to other
+// ranks; those it keeps must have copies elsewhere or hardly any load.
+func TestBalanceTakesLoadOffASlowRank(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 1))
 	loads := skewedLoads(rng, 72)
-	pace := make([]float64, 12)
-	for r := range pace {
-		pace[r] = 1
+	slowdown := make([]float64, 12)
+	for r := range slowdown {
+		slowdown[r] = 1
 	}
-	pace[4] = 8
+	slowdown[4] = 8
 	layout := expert.InitialLayout(12, 72)
-	start, mean := layout.MaxAndMeanTime(loads, pace)
+	before, mean := layout.MaxAndMeanTime(loads, slowdown)
 	for range 5 {
-		next := expert.Balance(layout, loads, expert.BalanceLimits{ExpertsPerRank: 8, MaxNewPerRank: 3, MaxSteps: 100, Slowdown: pace})
+		next := expert.Balance(layout, loads, expert.BalanceLimits{ExpertsPerRank: 8, MaxNewPerRank: 3, MaxSteps: 100, Slowdown: slowdown})
 		checkLayout(g, layout, next, 72, 8, 3)
 		layout = next
 	}
-	end, _ := layout.MaxAndMeanTime(loads, pace)
-	g.Expect(end/mean).To(BeNumerically("<", 1.5), "from %.2f", start/mean)
+	after, _ := layout.MaxAndMeanTime(loads, slowdown)
+	g.Expect(after/mean).To(BeNumerically("<", 1.5), "from %.2f", before/mean)
 }
 
-// Demand that all experts share evenly needs no copies: a change would cost
-// transfers and gain nothing.
-func TestBalanceLeavesEvenLoadsAlone(t *testing.T) {
+// With equal loads, a change would cost transfers and gain nothing.
+func TestBalanceKeepsTheLayoutUnderEqualLoads(t *testing.T) {
 	g := NewWithT(t)
 	loads := make([]float64, 72)
 	for e := range loads {
--- a/expert/estimate.go
+++ b/expert/estimate.go
@@ -2,85 +2,85 @@
 
 import "math"
 
-// LoadEstimator smooths loads that arrive late, with gaps, and noisy. The weight of
-// what it knew halves with each HalfLifeSeconds without a report, so that after a gap
-// the newest report counts for more.
+// LoadEstimator smooths expert loads that are reported late, with gaps and with noise. The weight of
+// earlier reports halves with each HalfLifeSeconds since the last one, so the first report after a
+// gap has a higher weight.
 type LoadEstimator struct {
-	HalfLifeSeconds float64 // seconds
-	TrendShare      float64 // share of the observed slope that Forecast carries on; 0: none
+	HalfLifeSeconds float64
+	TrendShare      float64 // share of the observed slope that Forecast extrapolates; 0: none
 
-	level []float64
-	slope []float64 // a second
-	at    float64
-	seen  bool
+	level      []float64
+	slope      []float64 // change of level per second
+	observedAt float64
+	hasLoads   bool
 }
 
-// Observe takes loads that were measured at a time in seconds. Late ones, older
-// than what is known, are left out.
+// Observe adds loads that were measured at a time in seconds. It ignores loads that are not newer
+// than the last ones.
 func (e *LoadEstimator) Observe(at float64, loads []float64) {
-	if !e.seen || len(e.level) != len(loads) {
+	if !e.hasLoads || len(e.level) != len(loads) {
 		e.level = append([]float64(nil), loads...)
 		e.slope = make([]float64, len(loads))
-		e.at, e.seen = at, true
+		e.observedAt, e.hasLoads = at, true
 		return
 	}
-	dt := at - e.at
-	if dt <= 0 {
+	elapsed := at - e.observedAt
+	if elapsed <= 0 {
 		return
 	}
-	gain := 1 - math.Exp2(-dt/e.HalfLifeSeconds)
+	gain := 1 - math.Exp2(-elapsed/e.HalfLifeSeconds)
 	for i, v := range loads {
-		old := e.level[i]
-		ahead := old + e.TrendShare*e.slope[i]*dt
-		e.level[i] = ahead + gain*(v-ahead)
+		oldLevel := e.level[i]
+		predicted := oldLevel + e.TrendShare*e.slope[i]*elapsed
+		e.level[i] = predicted + gain*(v-predicted)
 		if e.TrendShare > 0 {
-			e.slope[i] += gain * gain * ((e.level[i]-old)/dt - e.slope[i])
+			e.slope[i] += gain * gain * ((e.level[i]-oldLevel)/elapsed - e.slope[i])
 		}
 	}
-	e.at = at
+	e.observedAt = at
 }
 
-// Forecast returns the loads expected at a time; the slice is appended to buf.
+// Forecast appends the loads expected at a time, in seconds, to buf.
 func (e *LoadEstimator) Forecast(at float64, buf []float64) []float64 {
-	dt := max(0, at-e.at)
+	elapsed := max(0, at-e.observedAt)
 	for i, v := range e.level {
-		buf = append(buf, max(0, v+e.TrendShare*e.slope[i]*dt))
+		buf = append(buf, max(0, v+e.TrendShare*e.slope[i]*elapsed))
 	}
 	return buf
 }
 
 // HasLoads reports whether any loads have been observed.
-func (e *LoadEstimator) HasLoads() bool { return e.seen }
+func (e *LoadEstimator) HasLoads() bool { return e.hasLoads }
 
-// SpeedEstimator learns how fast ranks compute, from the time that each spent computing
-// before the barrier. In lock-step all ranks look equally slow from outside.
+// SpeedEstimator estimates the speeds of ranks from the time that each rank computes before the
+// barrier. Step times cannot be used: in lock-step they are the same for all ranks.
 type SpeedEstimator struct {
-	Gain float64 // share of a new observation; 0: defaultSpeedGain
+	Gain float64 // weight of a new observation; 0: defaultSpeedGain
 
-	speed []float64
-	slow  []int // consecutive observations below StragglerSpeed
+	speeds           []float64
+	slowObservations []int // consecutive observations below StragglerSpeed
 }
 
 const (
 	defaultSpeedGain = 0.2
-	// StragglerSpeed is the speed below which a rank counts as slow.
+	// StragglerSpeed is the relative speed below which a rank counts as slow.
 	StragglerSpeed = 0.9
-	// slowFor is how many observations make a rank a straggler to report: a burst
-	// or a collector's pause is shorter.
-	slowFor = 5
-	// fastest and slowest bound what one odd report can claim.
-	fastestSpeed = 2.0
-	slowestSpeed = 0.05
+	// stragglerObservations is the number of consecutive slow observations that make a rank a
+	// straggler. Bursts and garbage collection pauses are shorter.
+	stragglerObservations = 5
+	// maxSpeed and minSpeed bound the effect of a single wrong report.
+	maxSpeed = 2.0
+	minSpeed = 0.05
 )
 
-// Observe takes each rank's tokens and seconds of computing; ranks with zero of
-// either are left as they are.
+// Observe adds the number of tokens and the seconds of computing of each rank. The speeds of ranks
+// with zero tokens or seconds do not change.
 func (s *SpeedEstimator) Observe(tokens, seconds []float64) {
-	if len(s.speed) != len(tokens) {
-		s.speed = make([]float64, len(tokens))
-		s.slow = make([]int, len(tokens))
-		for r := range s.speed {
-			s.speed[r] = 1
+	if len(s.speeds) != len(tokens) {
+		s.speeds = make([]float64, len(tokens))
+		s.slowObservations = make([]int, len(tokens))
+		for r := range s.speeds {
+			s.speeds[r] = 1
 		}
 	}
 	rates := make([]float64, 0, len(tokens))
@@ -92,7 +92,7 @@
 	if len(rates) == 0 {
 		return
 	}
-	usual := median(rates)
+	medianRate := median(rates)
 	gain := s.Gain
 	if gain == 0 {
 		gain = defaultSpeedGain
@@ -101,25 +101,26 @@
 		if tokens[r] <= 0 || seconds[r] <= 0 {
 			continue
 		}
-		v := min(max(tokens[r]/seconds[r]/usual, slowestSpeed), fastestSpeed)
-		s.speed[r] += gain * (v - s.speed[r])
-		if s.speed[r] < StragglerSpeed {
-			s.slow[r]++
+		speed := min(max(tokens[r]/seconds[r]/medianRate, minSpeed), maxSpeed)
+		s.speeds[r] += gain * (speed - s.speeds[r])
+		if s.speeds[r] < StragglerSpeed {
+			s.slowObservations[r]++
 		} else {
-			s.slow[r] = 0
+			s.slowObservations[r] = 0
 		}
 	}
 }
 
-// RankSpeeds returns the speeds, 1 being the median; nil before the first observation.
-func (s *SpeedEstimator) RankSpeeds() []float64 { return s.speed }
+// RankSpeeds returns the speeds of the ranks relative to the median, or nil before the first
+// observation.
+func (s *SpeedEstimator) RankSpeeds() []float64 { return s.speeds }
 
-// Stragglers returns the ranks that have been slow for long: give them less, and
-// suggest to replace them.
+// Stragglers returns the ranks that have been slow in each of the last stragglerObservations
+// observations. They should get less load, and their VMs should be replaced.
 func (s *SpeedEstimator) Stragglers() []int {
 	var ranks []int
-	for r, n := range s.slow {
-		if n >= slowFor {
+	for r, n := range s.slowObservations {
+		if n >= stragglerObservations {
 			ranks = append(ranks, r)
 		}
 	}
--- a/expert/expert.go
+++ b/expert/expert.go
@@ -1,7 +1,7 @@
-// Package expert holds the pure decisions on expert maps: which expert lives on
-// which rank, when a move pays, which rank is slow, and how a rank group goes from
-// one map to the next without ever mixing two in a step. Nothing here has a
-// clock, socket, goroutine or global.
+// Package expert places the experts of a model on the ranks of a group. It decides which expert
+// each rank holds, when moving experts is worth its cost and which rank is slow, and it defines
+// the protocol by which a group switches from one expert map to the next so that no step mixes
+// two maps. The package has no clocks, sockets, goroutines or mutable globals.
 package expert
 
 import (
@@ -12,27 +12,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MapID is the digest of a map's content; 0 means that no map is known.
+// MapID is the digest of a map's content. 0 means that no map is known.
 type MapID uint64
 
-// Shape is the fixed geometry of a rank group.
+// Shape is the fixed geometry of a rank group. Its fields are encoded as JSON under their Go names.
 type Shape struct {
 	Ranks       int
 	Layers      int
-	Experts     int // a layer
-	SlotsOfRank int // slots a layer on each rank
+	Experts     int // in each layer
+	SlotsOfRank int // in each layer, on each rank
 }
 
-// Slots returns the slots of one layer over all ranks.
+// Slots returns the number of slots of one layer over all ranks.
 func (s Shape) Slots() int { return s.Ranks * s.SlotsOfRank }
 
 // Errors of shapes and maps.
 var (
-	ErrInvalidShape = errors.New("shape cannot hold its experts")
-	ErrInvalidMap   = errors.New("map does not fit its shape")
+	ErrInvalidShape = errors.New("invalid shape of rank group")
+	ErrInvalidMap   = errors.New("expert map does not match its shape")
 )
 
-// Validate refuses a shape in which some expert would have no slot.
+// Validate returns ErrInvalidShape if a size is below one, if some expert would have no slot, or
+// if a rank has more slots than there are experts.
 func (s Shape) Validate() error {
 	if s.Ranks < 1 || s.Layers < 1 || s.Experts < 1 || s.Slots() < s.Experts || s.SlotsOfRank > s.Experts {
 		return fmt.Errorf("%w: %+v", ErrInvalidShape, s)
@@ -40,14 +41,15 @@
 	return nil
 }
 
-// Map says which expert each slot holds: layer by layer, rank by rank.
+// Map holds the expert of each slot, ordered by layer and then by rank. Its fields are encoded as
+// JSON under their Go names.
 type Map struct {
 	Shape Shape
 	Slot  []uint16
 }
 
-// InitialMap returns the map that groups start with: experts in order, and the
-// redundant slots filled with the first ones again.
+// InitialMap returns the map that a group starts with: the experts in order, and then the first
+// experts again in the redundant slots.
 func InitialMap(s Shape) *Map {
 	m := &Map{Shape: s, Slot: make([]uint16, s.Layers*s.Slots())}
 	for i := range m.Slot {
@@ -58,13 +60,13 @@
 	return m
 }
 
-// Layer returns the slots of one layer; it shares memory with the map.
+// Layer returns the slots of one layer. The slice shares memory with the map.
 func (m *Map) Layer(l int) []uint16 {
 	n := m.Shape.Slots()
 	return m.Slot[l*n : (l+1)*n]
 }
 
-// RankLayer returns the slots of one layer on one rank.
+// RankLayer returns the slots of one layer on one rank. The slice shares memory with the map.
 func (m *Map) RankLayer(l, rank int) []uint16 {
 	k := m.Shape.SlotsOfRank
 	return m.Layer(l)[rank*k : (rank+1)*k]
@@ -75,7 +77,7 @@
 	return &Map{Shape: m.Shape, Slot: append([]uint16(nil), m.Slot...)}
 }
 
-// ID returns the digest of the content.
+// ID returns the digest of the map's content. It is never 0.
 func (m *Map) ID() MapID {
 	var d xxhash.Digest
 	d.Reset()
@@ -90,20 +92,21 @@
 	return 1
 }
 
-// Validate refuses a map in which an expert is missing or unknown.
+// Validate returns an error if the shape is invalid, or if a layer lacks an expert or has an
+// unknown one.
 func (m *Map) Validate() error {
 	if err := m.Shape.Validate(); err != nil {
 		return err
 	}
 	if len(m.Slot) != m.Shape.Layers*m.Shape.Slots() {
-		return fmt.Errorf("%w: %d slots, want %d", ErrInvalidMap, len(m.Slot), m.Shape.Layers*m.Shape.Slots())
+		return fmt.Errorf("%w: got %d slots, want %d", ErrInvalidMap, len(m.Slot), m.Shape.Layers*m.Shape.Slots())
 	}
 	seen := make([]bool, m.Shape.Experts)
 	for l := range m.Shape.Layers {
 		clear(seen)
 		for _, e := range m.Layer(l) {
 			if int(e) >= len(seen) {
-				return fmt.Errorf("%w: layer %d names expert %d of %d", ErrInvalidMap, l, e, len(seen))
+				return fmt.Errorf("%w: layer %d has expert %d, want below %d", ErrInvalidMap, l, e, len(seen))
 			}
 			seen[e] = true
 		}
@@ -116,8 +119,8 @@
 	return nil
 }
 
-// Moves returns how many experts the ranks must load to go from m to next; an
-// expert that stays on its rank costs nothing.
+// Moves returns the number of experts that all ranks together must load to switch from m to next.
+// An expert that stays on its rank needs no load.
 func (m *Map) Moves(next *Map) int {
 	n := 0
 	for r := range m.Shape.Ranks {
@@ -126,7 +129,7 @@
 	return n
 }
 
-// MovesOfRank returns how many experts one rank must load to go from m to next.
+// MovesOfRank returns the number of experts that one rank must load to switch from m to next.
 func (m *Map) MovesOfRank(rank int, next *Map) int {
 	n := 0
 	for l := range m.Shape.Layers {
@@ -135,6 +138,7 @@
 	return n
 }
 
+// rankMoves counts the distinct experts of want that are not in have.
 func rankMoves(have, want []uint16) int {
 	n := 0
 	for i, e := range want {
--- a/expert/history_test.go
+++ b/expert/history_test.go
@@ -14,32 +14,32 @@
 	historyActions = 60_000
 )
 
-// largeWorld is a group of 64 under random orderers, losses and restarts.
+// largeWorld is a group of 64 ranks with random coordinators, message losses and restarts.
 type largeWorld struct {
-	rng      *rand.Rand
-	engines  [largeGroup]Position
-	agents   [largeGroup]RankState
-	sent     [largeGroup]uint64 // one more than the last step whose data the others have
-	used     map[uint64]MapID
-	inStep   map[uint64]int // ranks that have entered a step and live
-	attempts []*SwitchAttempt
-	switched int
+	rng              *rand.Rand
+	engines          [largeGroup]Position
+	agents           [largeGroup]RankState
+	sentUpTo         [largeGroup]uint64 // next step after the last one whose data the other ranks have
+	mapOfStep        map[uint64]MapID   // map in use in each step
+	liveInStep       map[uint64]int     // ranks that have entered a step and have not restarted since
+	attempts         []*SwitchAttempt
+	decisionsApplied int
 }
 
 func (w *largeWorld) enter(r int) error {
 	step := w.engines[r].Next
 	m := w.engines[r].EnterStep()
-	if u, ok := w.used[step]; ok && u != m {
-		return fmt.Errorf("%w: step %d, rank %d uses %d, others %d", errMixedStep, step, r, m, u)
+	if other, ok := w.mapOfStep[step]; ok && other != m {
+		return fmt.Errorf("%w: step %d, rank %d uses %d, others %d", errMixedStep, step, r, m, other)
 	}
-	w.used[step] = m
-	w.inStep[step]++
-	w.sent[r] = max(w.sent[r], step+1)
+	w.mapOfStep[step] = m
+	w.liveInStep[step]++
+	w.sentUpTo[r] = max(w.sentUpTo[r], step+1)
 	return nil
 }
 
 func (w *largeWorld) complete(r int) bool {
-	for _, sent := range w.sent {
+	for _, sent := range w.sentUpTo {
 		if sent < w.engines[r].Next {
 			return false
 		}
@@ -49,41 +49,42 @@
 }
 
 func (w *largeWorld) restartEngine(r int) {
-	p := w.engines[r]
-	if p.Inside {
-		step := p.Next - 1
-		if w.inStep[step]--; w.inStep[step] == 0 {
-			delete(w.used, step) // nobody else began it, and what was sent is dropped
-			w.sent[r] = step
+	pos := w.engines[r]
+	if pos.Inside {
+		step := pos.Next - 1
+		if w.liveInStep[step]--; w.liveInStep[step] == 0 {
+			delete(w.mapOfStep, step) // no other rank has entered the step, and the data that was sent is dropped
+			w.sentUpTo[r] = step
 		}
 	}
-	w.engines[r] = p.AfterRestart()
+	w.engines[r] = pos.AfterRestart()
 }
 
-// deliver passes one order of an attempt to one rank; the reply may be lost.
-func (w *largeWorld) deliver(a *SwitchAttempt, r int) {
-	e := simEngine{&w.engines[r], whole}
-	lost := w.rng.IntN(20) == 0
+// deliver sends the next request of an attempt to one rank. The reply may be lost.
+func (w *largeWorld) deliver(attempt *SwitchAttempt, r int) {
+	engine := simEngine{&w.engines[r], noVariant}
+	replyLost := w.rng.IntN(20) == 0
 	switch {
-	case a.withdrawn:
-		_ = w.agents[r].Withdraw(e, a.Ballot) // refusals are part of the history
-	case a.decided != nil:
-		reply := a.Replies[r]
-		if w.agents[r].Decide(e, *a.decided, reply.Incarnation, reply.EngineRun) == nil {
-			w.switched++
+	case attempt.withdrawn:
+		_ = w.agents[r].Withdraw(engine, attempt.Ballot) // the rank may refuse it
+	case attempt.decision != nil:
+		reply := attempt.Replies[r]
+		if w.agents[r].Decide(engine, *attempt.decision, reply.Incarnation, reply.EngineRun) == nil {
+			w.decisionsApplied++
 		}
-	case a.complete:
-		if w.agents[r].Confirm(a.Ballot, a.Replies[r].Incarnation) == nil && !lost {
-			a.RecordConfirmation(r)
+	case attempt.repliesComplete:
+		if w.agents[r].Confirm(attempt.Ballot, attempt.Replies[r].Incarnation) == nil && !replyLost {
+			attempt.RecordConfirmation(r)
 		}
 	default:
-		reply, err := w.agents[r].Hold(e, HoldRequest{Ballot: a.Ballot, HoldAt: a.HoldAt})
-		if err == nil && !lost {
-			a.RecordReply(r, reply)
+		reply, err := w.agents[r].Hold(engine, HoldRequest{Ballot: attempt.Ballot, HoldAt: attempt.HoldAt})
+		if err == nil && !replyLost {
+			attempt.RecordReply(r, reply)
 		}
 	}
 }
 
+// act performs one random action: a restart, a new attempt, a request or a step of an engine.
 func (w *largeWorld) act() error {
 	r := w.rng.IntN(largeGroup)
 	switch p := w.rng.IntN(10_000); {
@@ -111,12 +112,13 @@
 		}
 		w.deliver(a, r)
 	default:
-		return w.run(r)
+		return w.advance(r)
 	}
 	return nil
 }
 
-func (w *largeWorld) run(r int) error {
+// advance completes the current step of an engine and enters the next one, where possible.
+func (w *largeWorld) advance(r int) error {
 	if w.engines[r].Inside {
 		w.complete(r)
 	}
@@ -126,12 +128,13 @@
 	return nil
 }
 
-// finish brings the group on with one more ballot and no more faults.
-func (w *largeWorld) finish() error {
+// checkProgress runs one more ballot without faults and returns an error if some engine does not
+// advance by at least three steps.
+func (w *largeWorld) checkProgress() error {
 	a := NewSwitchAttempt(Ballot{Round: 1 << 40}, 0, 1, largeGroup)
 	for r := range w.engines {
 		w.rng = rand.New(rand.NewPCG(1, 1))
-		reply, err := w.agents[r].Hold(simEngine{&w.engines[r], whole}, HoldRequest{Ballot: a.Ballot})
+		reply, err := w.agents[r].Hold(simEngine{&w.engines[r], noVariant}, HoldRequest{Ballot: a.Ballot})
 		if err != nil {
 			return err
 		}
@@ -151,7 +154,7 @@
 	for range 20 * largeGroup {
 		for r := range w.engines {
 			if w.engines[r].Next < goal || w.engines[r].Inside {
-				if err := w.run(r); err != nil {
+				if err := w.advance(r); err != nil {
 					return err
 				}
 			}
@@ -159,28 +162,28 @@
 	}
 	for r := range w.engines {
 		if w.engines[r].Next < goal {
-			return fmt.Errorf("%w: rank %d is at %+v", errStuck, r, w.engines[r])
+			return fmt.Errorf("%w: rank %d is at %+v", errNoProgress, r, w.engines[r])
 		}
 	}
 	return nil
 }
 
-// 64 ranks, three orderers that outbid each other, lost replies, restarts of
-// agents and engines, withdrawals: no step mixes maps, and one quiet ballot at the
-// end brings the group on from wherever it stands.
+// 64 ranks and three coordinators with competing ballots, under lost replies, withdrawals and
+// restarts of agents and engines. No step may mix maps, and one ballot without faults must make the
+// group advance again.
 func TestRandomHistoriesOfLargeGroups(t *testing.T) {
 	for seed := range uint64(12) {
 		g := NewWithT(t)
-		w := &largeWorld{rng: rand.New(rand.NewPCG(seed, 7)), used: map[uint64]MapID{}, inStep: map[uint64]int{}}
+		w := &largeWorld{rng: rand.New(rand.NewPCG(seed, 7)), mapOfStep: map[uint64]MapID{}, liveInStep: map[uint64]int{}}
 		for r := range w.engines {
 			w.engines[r] = Position{Start: 1, Joined: true, Next: 1, Map: 1}
 			w.agents[r] = NewRankState(1)
-			w.sent[r] = 1
+			w.sentUpTo[r] = 1
 		}
 		for range historyActions {
 			g.Expect(w.act()).To(Succeed(), "seed %d", seed)
 		}
-		g.Expect(w.finish()).To(Succeed(), "seed %d", seed)
-		t.Logf("seed %d: %d steps, %d ballots, %d orders obeyed", seed, w.engines[0].Next, len(w.attempts), w.switched)
+		g.Expect(w.checkProgress()).To(Succeed(), "seed %d", seed)
+		t.Logf("seed %d: %d steps, %d ballots, %d decisions applied", seed, w.engines[0].Next, len(w.attempts), w.decisionsApplied)
 	}
 }
--- a/expert/layer.go
+++ b/expert/layer.go
@@ -3,16 +3,15 @@
 import "slices"
 
 const (
-	maxRounds = 64 // steps in one layer for one plan
-	// maxSteps bounds a plan's time; what is left over is found by the next plan.
-	maxSteps = 800
-	// evenEnough ends the search in a layer: this close to the bound, what is left
-	// is less than the noise of the loads.
-	evenEnough = 1.002
-	// leastSaving is the least share of a mean layer's time that one moved expert
-	// must save; below it a plan would follow the noise, or the rounding of floats
-	// in a layer that hardly computes.
-	leastSaving = 0.001
+	maxStepsPerLayer = 64 // in one plan
+	// maxStepsPerPlan bounds the time of one plan. The next plan continues from there.
+	maxStepsPerPlan = 800
+	// boundTolerance ends the search in a layer. So close to the lower bound, the remaining excess
+	// is below the noise of the loads.
+	boundTolerance = 1.002
+	// minSavingShare is the share of a mean layer's time that each moved expert must save. With a
+	// lower one, plans would follow noise, or rounding errors in layers with hardly any load.
+	minSavingShare = 0.001
 )
 
 // slotChange puts an expert into a slot of a layer.
@@ -21,12 +20,13 @@
 	expert uint16
 }
 
-// change is one candidate: a swap of two slots, or one slot filled anew.
+// change is a candidate change: a swap of the experts of two slots, or a new expert in one slot.
 type change struct {
 	first, second slotChange
 	isSwap        bool
 }
 
+// cost returns the number of experts that must be loaded.
 func (c *change) cost() int {
 	if c.isSwap {
 		return 2
@@ -34,85 +34,86 @@
 	return 1
 }
 
-// layerSearch improves one layer step by step: each step takes load off the rank
-// that is done last. It keeps its memory between layers.
+// layerSearch improves one layer step by step. Each step takes load off the slowest rank. Its
+// buffers are reused for the next layer.
 type layerSearch struct {
-	shape   Shape
-	slots   []uint16
-	loads   []float64
-	inverse []float64 // of the ranks' speeds
-	copies  []int
-	weight  []float64 // load of one copy of each expert
-	times   []float64 // of each rank
-	holders [][]int   // slots of each expert
-	ops     []slotChange
-	budget  int // steps left for this plan
+	shape        Shape
+	slots        []uint16
+	loads        []float64
+	inverseSpeed []float64 // 1/speed of each rank
+	copies       []int     // of each expert
+	copyLoad     []float64 // load of one copy of each expert
+	rankTimes    []float64
+	holders      [][]int // slots of each expert
+	applied      []slotChange
+	stepsLeft    int // in this plan
 
-	top, second float64 // longest rank times before a step
-	best        change
-	found       bool
-	bestScore   float64
-	below       [2]float64 // time that a better change of cost 1 or 2 must stay below
+	slowestTime, secondTime float64 // times of the slowest and the second slowest rank before a step
+	bestChange              change
+	hasChange               bool
+	bestScore               float64
+	maxTime                 [2]float64 // a better change of cost 1 or 2 must have a lower time
 }
 
-// layerPrices say when a change of a layer pays.
+// layerPrices decides whether a change of a layer is worth its cost.
 type layerPrices struct {
-	bound float64 // no map can make the layer shorter
-	worth float64 // of one unit of layer time
-	price float64 // of one expert moved
-	least float64 // time that one expert moved must save
+	lowerBound   float64 // of the layer's time, for any map
+	gainPerTime  float64 // gain of saving one unit of layer time
+	pricePerMove float64 // price of moving one expert
+	minSaving    float64 // layer time that each moved expert must save
 }
 
-// run returns the prefix of improving steps whose worth exceeds its price by
-// most. any reports whether the layer was uneven at all.
-func (s *layerSearch) run(slots []uint16, shape Shape, loads, speeds []float64, p layerPrices) (best improvement, any bool) {
-	s.load(slots, shape, loads, speeds)
-	start, _ := s.longest(-1)
-	if start == 0 {
+// improve searches improving steps and returns the prefix of them with the highest net gain. isUneven
+// is true if the layer was further from its lower bound than the tolerance.
+func (s *layerSearch) improve(slots []uint16, shape Shape, loads, speeds []float64, p layerPrices) (best improvement, isUneven bool) {
+	s.reset(slots, shape, loads, speeds)
+	startTime, _ := s.slowestRank(-1)
+	if startTime == 0 {
 		return best, false
 	}
-	now, cost, bestNet := start, 0, 0.0
-	kept := 0
-	for range min(maxRounds, s.budget) {
-		if now <= p.bound*evenEnough {
+	currentTime, cost, bestNet := startTime, 0, 0.0
+	bestLength := 0
+	for range min(maxStepsPerLayer, s.stepsLeft) {
+		if currentTime <= p.lowerBound*boundTolerance {
 			break
 		}
-		any = true
-		// Not even a perfect layer would pay for one more step.
-		if (start-p.bound)*p.worth-float64(cost+1)*p.price <= bestNet {
+		isUneven = true
+		// Even a layer at its lower bound would not be worth the price of one more step.
+		if (startTime-p.lowerBound)*p.gainPerTime-float64(cost+1)*p.pricePerMove <= bestNet {
 			break
 		}
-		c, ok := s.step()
+		c, ok := s.findChange()
 		if !ok {
 			break
 		}
-		s.budget--
+		s.stepsLeft--
 		s.apply(&c)
 		cost += c.cost()
-		now, _ = s.longest(-1)
-		if net := (start-now)*p.worth - float64(cost)*p.price; net > bestNet && start-now >= p.least*float64(cost) {
-			bestNet, kept = net, len(s.ops)
-			best.cost, best.saved = cost, start-now
+		currentTime, _ = s.slowestRank(-1)
+		if net := (startTime-currentTime)*p.gainPerTime - float64(cost)*p.pricePerMove; net > bestNet && startTime-currentTime >= p.minSaving*float64(cost) {
+			bestNet, bestLength = net, len(s.applied)
+			best.moves, best.savedTime = cost, startTime-currentTime
 		}
 	}
-	best.ops = s.ops[:kept]
-	return best, any
+	best.changes = s.applied[:bestLength]
+	return best, isUneven
 }
 
-func (s *layerSearch) load(slots []uint16, shape Shape, loads, speeds []float64) {
+// reset prepares the search for a layer.
+func (s *layerSearch) reset(slots []uint16, shape Shape, loads, speeds []float64) {
 	s.shape, s.loads = shape, loads
-	s.inverse = s.inverse[:0]
+	s.inverseSpeed = s.inverseSpeed[:0]
 	for _, v := range speeds {
-		s.inverse = append(s.inverse, 1/v)
+		s.inverseSpeed = append(s.inverseSpeed, 1/v)
 	}
 	s.slots = append(s.slots[:0], slots...)
 	s.copies = slices.Grow(s.copies[:0], shape.Experts)[:shape.Experts]
-	s.weight = slices.Grow(s.weight[:0], shape.Experts)[:shape.Experts]
-	s.times = slices.Grow(s.times[:0], shape.Ranks)[:shape.Ranks]
+	s.copyLoad = slices.Grow(s.copyLoad[:0], shape.Experts)[:shape.Experts]
+	s.rankTimes = slices.Grow(s.rankTimes[:0], shape.Ranks)[:shape.Ranks]
 	s.holders = slices.Grow(s.holders[:0], shape.Experts)[:shape.Experts]
-	s.ops = s.ops[:0]
+	s.applied = s.applied[:0]
 	clear(s.copies)
-	clear(s.times)
+	clear(s.rankTimes)
 	for e := range s.holders {
 		s.holders[e] = s.holders[e][:0]
 	}
@@ -120,90 +121,90 @@
 		s.copies[e]++
 		s.holders[e] = append(s.holders[e], i)
 	}
-	for e := range s.weight {
-		s.weight[e] = loads[e] / float64(s.copies[e])
+	for e := range s.copyLoad {
+		s.copyLoad[e] = loads[e] / float64(s.copies[e])
 	}
 	for i, e := range s.slots {
-		s.times[s.rank(i)] += s.weight[e] * s.inverse[s.rank(i)]
+		s.rankTimes[s.rankOfSlot(i)] += s.copyLoad[e] * s.inverseSpeed[s.rankOfSlot(i)]
 	}
 }
 
-func (s *layerSearch) rank(slot int) int { return slot / s.shape.SlotsOfRank }
+func (s *layerSearch) rankOfSlot(slot int) int { return slot / s.shape.SlotsOfRank }
 
-func (s *layerSearch) ofRank(r int) []uint16 {
+func (s *layerSearch) expertsOfRank(r int) []uint16 {
 	k := s.shape.SlotsOfRank
 	return s.slots[r*k : (r+1)*k]
 }
 
-// longest returns the longest rank time, leaving one rank out.
-func (s *layerSearch) longest(except int) (float64, int) {
-	t, rank := 0.0, -1
-	for r, v := range s.times {
-		if r != except && v > t {
-			t, rank = v, r
+// slowestRank returns the highest rank time and its rank, leaving one rank out.
+func (s *layerSearch) slowestRank(except int) (float64, int) {
+	slowest, rank := 0.0, -1
+	for r, v := range s.rankTimes {
+		if r != except && v > slowest {
+			slowest, rank = v, r
 		}
 	}
-	return t, rank
+	return slowest, rank
 }
 
-// step finds the change that saves most for each expert moved.
-func (s *layerSearch) step() (change, bool) {
-	var a int
-	s.top, a = s.longest(-1)
-	s.second, _ = s.longest(a)
-	s.found, s.below = false, [2]float64{s.top, s.top}
+// findChange returns the change that saves most time for each moved expert.
+func (s *layerSearch) findChange() (change, bool) {
+	var slowest int
+	s.slowestTime, slowest = s.slowestRank(-1)
+	s.secondTime, _ = s.slowestRank(slowest)
+	s.hasChange, s.maxTime = false, [2]float64{s.slowestTime, s.slowestTime}
 	k := s.shape.SlotsOfRank
-	for i := a * k; i < (a+1)*k; i++ {
-		s.swaps(i)
-		s.copiesElsewhere(i)
-		s.copiesGivenUp(i)
+	for i := slowest * k; i < (slowest+1)*k; i++ {
+		s.trySwaps(i)
+		s.tryExtraCopies(i)
+		s.tryReplacedCopies(i)
 	}
-	return s.best, s.found
+	return s.bestChange, s.hasChange
 }
 
-// nextRankShare is what a saving counts that the second-longest rank hides for
-// now: that rank comes next.
-const nextRankShare = 0.1
+// secondRankShare is the weight of savings that have no effect yet because the second slowest rank
+// takes longer: a later step takes load off that rank.
+const secondRankShare = 0.1
 
-// score values a change after which the ranks that it touches take at most
-// longest; it falls as longest grows.
+// score rates a change after which the ranks that it touches take at most longest. It falls as
+// longest grows.
 func (s *layerSearch) score(longest float64, cost int) float64 {
-	saved := s.top - max(longest, s.second)
-	return (saved + nextRankShare*(s.top-longest)) / float64(cost)
+	saved := s.slowestTime - max(longest, s.secondTime)
+	return (saved + secondRankShare*(s.slowestTime-longest)) / float64(cost)
 }
 
-// consider keeps the best change and the times that a better one must stay
-// below; comparing times is all that the inner loops do.
+// consider records a change that is better than the best one, and the times that a still better one
+// must be below. The inner loops then only compare times.
 func (s *layerSearch) consider(c change, longest float64) {
-	s.best, s.found = c, true
+	s.bestChange, s.hasChange = c, true
 	s.bestScore = s.score(longest, c.cost())
-	s.below[0] = s.timeOf(s.bestScore, 1)
-	s.below[1] = s.timeOf(s.bestScore, 2)
+	s.maxTime[0] = s.timeForScore(s.bestScore, 1)
+	s.maxTime[1] = s.timeForScore(s.bestScore, 2)
 }
 
-// timeOf is the inverse of score.
-func (s *layerSearch) timeOf(score float64, cost int) float64 {
+// timeForScore is the inverse of score: the value of longest that has the given score.
+func (s *layerSearch) timeForScore(score float64, cost int) float64 {
 	score *= float64(cost)
-	if t := s.top - score/(1+nextRankShare); t >= s.second {
+	if t := s.slowestTime - score/(1+secondRankShare); t >= s.secondTime {
 		return t
 	}
-	return s.top - (score-(s.top-s.second))/nextRankShare
+	return s.slowestTime - (score-(s.slowestTime-s.secondTime))/secondRankShare
 }
 
-// swaps exchanges the expert of a slot of the longest rank with a lighter one.
-func (s *layerSearch) swaps(i int) {
-	a, x := s.rank(i), s.slots[i]
-	mine := s.ofRank(a)
+// trySwaps considers swaps of the expert in slot i of the slowest rank with an expert of lower load.
+func (s *layerSearch) trySwaps(i int) {
+	slowest, x := s.rankOfSlot(i), s.slots[i]
+	ownExperts := s.expertsOfRank(slowest)
 	k := s.shape.SlotsOfRank
-	for b, t := range s.times {
-		if b == a {
+	for b, t := range s.rankTimes {
+		if b == slowest {
 			continue
 		}
-		theirs := s.slots[b*k : (b+1)*k]
-		for n, y := range theirs {
-			d := s.weight[x] - s.weight[y]
-			longest := max(t+d*s.inverse[b], s.top-d*s.inverse[a])
-			if d <= 0 || longest >= s.below[1] || contains(mine, y) || contains(theirs, x) {
+		otherExperts := s.slots[b*k : (b+1)*k]
+		for n, y := range otherExperts {
+			diff := s.copyLoad[x] - s.copyLoad[y]
+			longest := max(t+diff*s.inverseSpeed[b], s.slowestTime-diff*s.inverseSpeed[slowest])
+			if diff <= 0 || longest >= s.maxTime[1] || contains(ownExperts, y) || contains(otherExperts, x) {
 				continue
 			}
 			s.consider(change{first: slotChange{i, y}, second: slotChange{b*k + n, x}, isSwap: true}, longest)
@@ -211,114 +212,114 @@
 	}
 }
 
-// copiesElsewhere gives the expert of a slot of the longest rank one more copy,
-// in the place of an expert that has several.
-func (s *layerSearch) copiesElsewhere(i int) {
-	a, x := s.rank(i), s.slots[i]
+// tryExtraCopies considers another copy of the expert in slot i of the slowest rank, in place of an
+// expert that has several copies.
+func (s *layerSearch) tryExtraCopies(i int) {
+	slowest, x := s.rankOfSlot(i), s.slots[i]
 	if s.copies[x] >= s.shape.Ranks {
 		return
 	}
-	wx := s.loads[x] / float64(s.copies[x]+1)
-	relief := s.weight[x] - wx
-	ta := s.top - relief*s.inverse[a]
-	if ta >= s.below[0] {
+	newLoadX := s.loads[x] / float64(s.copies[x]+1)
+	relief := s.copyLoad[x] - newLoadX
+	slowestAfter := s.slowestTime - relief*s.inverseSpeed[slowest]
+	if slowestAfter >= s.maxTime[0] {
 		return
 	}
 	k := s.shape.SlotsOfRank
-	for b, t := range s.times {
-		if b == a {
+	for b, t := range s.rankTimes {
+		if b == slowest {
 			continue
 		}
-		theirs := s.slots[b*k : (b+1)*k]
-		for n, z := range theirs {
+		otherExperts := s.slots[b*k : (b+1)*k]
+		for n, z := range otherExperts {
 			if s.copies[z] < 2 || z == x {
 				continue
 			}
-			longest := max(ta, t+(wx-s.weight[z])*s.inverse[b])
-			if longest >= s.below[0] || contains(theirs, x) {
+			longest := max(slowestAfter, t+(newLoadX-s.copyLoad[z])*s.inverseSpeed[b])
+			if longest >= s.maxTime[0] || contains(otherExperts, x) {
 				continue
 			}
-			if longest = max(longest, s.without(z, b*k+n, x, relief)); longest < s.below[0] {
+			if longest = max(longest, s.longestWithoutCopy(z, b*k+n, x, relief)); longest < s.maxTime[0] {
 				s.consider(change{first: slotChange{b*k + n, x}}, longest)
 			}
 		}
 	}
 }
 
-// without returns the longest time of the ranks that keep expert z when its copy
-// in slot j goes; ranks that also hold x get lighter by relief.
-func (s *layerSearch) without(z uint16, j int, x uint16, relief float64) float64 {
-	extra := s.loads[z]/float64(s.copies[z]-1) - s.weight[z]
+// longestWithoutCopy returns the highest time of the other ranks that hold expert z when its copy in
+// slot j is removed. On ranks that also hold x, the load drops by relief.
+func (s *layerSearch) longestWithoutCopy(z uint16, j int, x uint16, relief float64) float64 {
+	extra := s.loads[z]/float64(s.copies[z]-1) - s.copyLoad[z]
 	longest := 0.0
 	for _, h := range s.holders[z] {
 		if h == j {
 			continue
 		}
-		r := s.rank(h)
-		t := s.times[r] + extra*s.inverse[r]
-		if t > longest && relief > 0 && contains(s.ofRank(r), x) {
-			t -= relief * s.inverse[r]
+		r := s.rankOfSlot(h)
+		t := s.rankTimes[r] + extra*s.inverseSpeed[r]
+		if t > longest && relief > 0 && contains(s.expertsOfRank(r), x) {
+			t -= relief * s.inverseSpeed[r]
 		}
 		longest = max(longest, t)
 	}
 	return longest
 }
 
-// copiesGivenUp drops a copy that the longest rank holds and puts another copy of
-// a lighter expert there.
-func (s *layerSearch) copiesGivenUp(i int) {
-	a, x := s.rank(i), s.slots[i]
+// tryReplacedCopies considers removing the copy in slot i of the slowest rank and putting another
+// copy of an expert with less load there.
+func (s *layerSearch) tryReplacedCopies(i int) {
+	slowest, x := s.rankOfSlot(i), s.slots[i]
 	if s.copies[x] < 2 {
 		return
 	}
-	others := s.without(x, i, x, 0)
-	if others >= s.below[0] {
+	otherRanks := s.longestWithoutCopy(x, i, x, 0)
+	if otherRanks >= s.maxTime[0] {
 		return
 	}
-	mine := s.ofRank(a)
+	ownExperts := s.expertsOfRank(slowest)
 	for y, load := range s.loads {
-		wy := load / float64(s.copies[y]+1)
-		longest := max(others, s.top+(wy-s.weight[x])*s.inverse[a])
-		if longest < s.below[0] && !contains(mine, uint16(y)) {
+		newLoadY := load / float64(s.copies[y]+1)
+		longest := max(otherRanks, s.slowestTime+(newLoadY-s.copyLoad[x])*s.inverseSpeed[slowest])
+		if longest < s.maxTime[0] && !contains(ownExperts, uint16(y)) {
 			s.consider(change{first: slotChange{i, uint16(y)}}, longest)
 		}
 	}
 }
 
 func (s *layerSearch) apply(c *change) {
-	s.put(c.first)
+	s.fillSlot(c.first)
 	if c.isSwap {
-		s.put(c.second)
+		s.fillSlot(c.second)
 	}
 }
 
-// put fills a slot anew and brings weights and times up to date.
-func (s *layerSearch) put(op slotChange) {
+// fillSlot puts an expert into a slot and updates the copy loads and rank times.
+func (s *layerSearch) fillSlot(op slotChange) {
 	old := s.slots[op.slot]
-	s.ops = append(s.ops, op)
-	r := s.rank(op.slot)
-	s.times[r] -= s.weight[old] * s.inverse[r]
+	s.applied = append(s.applied, op)
+	r := s.rankOfSlot(op.slot)
+	s.rankTimes[r] -= s.copyLoad[old] * s.inverseSpeed[r]
 	s.holders[old] = slices.DeleteFunc(s.holders[old], func(h int) bool { return h == op.slot })
 	s.copies[old]--
-	s.reweigh(old)
+	s.updateCopyLoad(old)
 	s.slots[op.slot] = op.expert
-	s.times[r] += s.weight[op.expert] * s.inverse[r]
+	s.rankTimes[r] += s.copyLoad[op.expert] * s.inverseSpeed[r]
 	s.holders[op.expert] = append(s.holders[op.expert], op.slot)
 	s.copies[op.expert]++
-	s.reweigh(op.expert)
+	s.updateCopyLoad(op.expert)
 }
 
-// reweigh spreads an expert's load over its copies. In the midst of a swap an
-// expert may have no copy for a moment; its weight then waits.
-func (s *layerSearch) reweigh(e uint16) {
+// updateCopyLoad divides the load of an expert by its number of copies. In the middle of a swap an
+// expert may have no copy; its copy load is then left as it is.
+func (s *layerSearch) updateCopyLoad(e uint16) {
 	if s.copies[e] == 0 {
 		return
 	}
-	w := s.loads[e] / float64(s.copies[e])
-	d := w - s.weight[e]
-	s.weight[e] = w
+	newLoad := s.loads[e] / float64(s.copies[e])
+	diff := newLoad - s.copyLoad[e]
+	s.copyLoad[e] = newLoad
 	for _, h := range s.holders[e] {
-		r := s.rank(h)
-		s.times[r] += d * s.inverse[r]
+		r := s.rankOfSlot(h)
+		s.rankTimes[r] += diff * s.inverseSpeed[r]
 	}
 }
--- a/expert/measure.go
+++ b/expert/measure.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// StepTimes are predicted step times of a map under loads, in tokens at speed 1,
-// summed over the layers.
+// StepTimes are the predicted step times of a map under given loads, summed over the layers. Their
+// unit is the time that a rank of speed 1 takes for one token.
 type StepTimes struct {
-	Longest    float64 // each layer's longest rank
-	Ideal      float64 // all ranks busy to the end
-	LowerBound float64 // no map of the shape can be below
+	Longest    float64 // of the slowest rank of each layer
+	Ideal      float64 // if all ranks of each layer took equally long
+	LowerBound float64 // for any map of the shape
 
-	excess []float64 // of each layer's longest rank over its bound
-	bounds []float64 // of each layer
+	layerExcess []float64 // of each layer: time of the slowest rank above the layer's bound
+	layerBounds []float64 // lower bound of each layer's time
 }
 
-// Skew returns the step time over that of a perfectly even map; 1 is perfect.
+// Skew returns the ratio of the step time to that of a perfectly balanced map.
 func (s StepTimes) Skew() float64 { return ratio(s.Longest, s.Ideal) }
 
-// SkewLowerBound returns the skew that no map can be below.
+// SkewLowerBound returns a lower bound of the skew for any map of the shape.
 func (s StepTimes) SkewLowerBound() float64 { return ratio(s.LowerBound, s.Ideal) }
 
-func (s StepTimes) worstFirst(order []int) []int {
+// layersByExcess returns the layers, those with the highest excess first, in the memory of order.
+func (s StepTimes) layersByExcess(order []int) []int {
 	order = order[:0]
-	for l := range s.excess {
+	for l := range s.layerExcess {
 		order = append(order, l)
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.excess[b], s.excess[a]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.layerExcess[b], s.layerExcess[a]) })
 	return order
 }
 
@@ -38,14 +39,15 @@
 	return a / b
 }
 
-// PredictStepTimes predicts step times. The copies of an expert share its load evenly.
+// PredictStepTimes predicts the step times of a map. The copies of an expert share its load evenly.
+// loads holds the tokens of each expert by layer, speeds the relative speed of each rank.
 func PredictStepTimes(m *Map, loads, speeds []float64) StepTimes {
 	s := m.Shape
-	st := StepTimes{excess: make([]float64, s.Layers), bounds: make([]float64, s.Layers)}
+	times := StepTimes{layerExcess: make([]float64, s.Layers), layerBounds: make([]float64, s.Layers)}
 	copies := make([]int, s.Experts)
 	total := sum(speeds)
 	fastest := slices.Max(speeds)
-	var b bounder
+	var bounder copyBounder
 	for l := range s.Layers {
 		layer := loads[l*s.Experts : (l+1)*s.Experts]
 		slots := m.Layer(l)
@@ -53,23 +55,23 @@
 		for _, e := range slots {
 			copies[e]++
 		}
-		longest := 0.0
+		slowest := 0.0
 		for r := range s.Ranks {
 			t := 0.0
 			for _, e := range slots[r*s.SlotsOfRank : (r+1)*s.SlotsOfRank] {
 				t += layer[e] / float64(copies[e])
 			}
-			longest = max(longest, t/speeds[r])
+			slowest = max(slowest, t/speeds[r])
 		}
 		ideal := sum(layer) / total
-		st.Longest += longest
-		st.Ideal += ideal
-		bound := max(ideal, b.heaviestCopy(layer, s.Slots(), s.Ranks)/fastest)
-		st.LowerBound += bound
-		st.excess[l] = longest - bound
-		st.bounds[l] = bound
+		times.Longest += slowest
+		times.Ideal += ideal
+		bound := max(ideal, bounder.heaviestCopy(layer, s.Slots(), s.Ranks)/fastest)
+		times.LowerBound += bound
+		times.layerExcess[l] = slowest - bound
+		times.layerBounds[l] = bound
 	}
-	return st
+	return times
 }
 
 func sum(v []float64) float64 {
@@ -80,13 +82,13 @@
 	return t
 }
 
-// bounder keeps the memory of heaviestCopy.
-type bounder struct{ copies []int }
+// copyBounder holds the buffer of heaviestCopy.
+type copyBounder struct{ copies []int }
 
-// heaviestCopy returns the least possible load of the heaviest copy: spare slots
-// go, one by one, to the expert whose copies are heaviest.
-func (b *bounder) heaviestCopy(loads []float64, slots, ranks int) float64 {
-	b.copies = spread(b.copies, loads, slots, ranks)
+// heaviestCopy returns the lowest possible load of the copy with the most load: each spare slot goes
+// to the expert whose copies have the most load.
+func (b *copyBounder) heaviestCopy(loads []float64, slots, ranks int) float64 {
+	b.copies = assignCopies(b.copies, loads, slots, ranks)
 	heaviest := 0.0
 	for e, load := range loads {
 		heaviest = max(heaviest, load/float64(b.copies[e]))
@@ -94,9 +96,10 @@
 	return heaviest
 }
 
-// spread returns the copies of each expert: one each, and spare slots to the
-// heaviest copies; no expert has two copies on a rank.
-func spread(copies []int, loads []float64, slots, ranks int) []int {
+// assignCopies returns the number of copies of each expert. Each expert gets one copy; each spare slot
+// goes to the expert whose copies have the most load. No expert gets more copies than there are
+// ranks.
+func assignCopies(copies []int, loads []float64, slots, ranks int) []int {
 	copies = slices.Grow(copies[:0], len(loads))[:len(loads)]
 	for e := range copies {
 		copies[e] = 1
@@ -116,18 +119,20 @@
 	return copies
 }
 
-// Recompute packs every layer anew without regard to the map in use: spare slots
-// to the heaviest copies, then the heaviest copy first onto the rank that is done
-// soonest. It is what plans are measured against, and the first map of a group.
+// Recompute returns a map that is computed without regard to the map in use. Spare slots go to the
+// experts whose copies have the most load. Copies are then placed in descending order of load, each
+// on the rank that would finish first. Plans are compared with this map, and a group can start
+// with it.
 func Recompute(s Shape, loads, speeds []float64) *Map {
 	m := InitialMap(s)
-	g := packer{shape: s, speeds: speeds}
+	p := packer{shape: s, speeds: speeds}
 	for l := range s.Layers {
-		g.pack(m.Layer(l), loads[l*s.Experts:(l+1)*s.Experts])
+		p.pack(m.Layer(l), loads[l*s.Experts:(l+1)*s.Experts])
 	}
 	return m
 }
 
+// packer places the copies of one layer. It reuses its buffers.
 type packer struct {
 	shape  Shape
 	speeds []float64
@@ -137,17 +142,18 @@
 	used   []int
 }
 
-func (g *packer) pack(slots []uint16, loads []float64) {
-	g.copies = spread(g.copies, loads, g.shape.Slots(), g.shape.Ranks)
-	g.items = g.items[:0]
-	for e, n := range g.copies {
+// pack fills the slots of one layer.
+func (p *packer) pack(slots []uint16, loads []float64) {
+	p.copies = assignCopies(p.copies, loads, p.shape.Slots(), p.shape.Ranks)
+	p.items = p.items[:0]
+	for e, n := range p.copies {
 		for range n {
-			g.items = append(g.items, uint16(e))
+			p.items = append(p.items, uint16(e))
 		}
 	}
-	weight := func(e uint16) float64 { return loads[e] / float64(g.copies[e]) }
-	slices.SortStableFunc(g.items, func(a, b uint16) int {
-		switch wa, wb := weight(a), weight(b); {
+	copyLoad := func(e uint16) float64 { return loads[e] / float64(p.copies[e]) }
+	slices.SortStableFunc(p.items, func(a, b uint16) int {
+		switch wa, wb := copyLoad(a), copyLoad(b); {
 		case wa > wb:
 			return -1
 		case wa < wb:
@@ -155,35 +161,36 @@
 		}
 		return 0
 	})
-	g.times = make([]float64, g.shape.Ranks)
-	g.used = make([]int, g.shape.Ranks)
-	k := g.shape.SlotsOfRank
-	for _, e := range g.items {
-		r := g.soonest(slots, e, weight(e))
-		slots[r*k+g.used[r]] = e
-		g.used[r]++
-		g.times[r] += weight(e) / g.speeds[r]
+	p.times = make([]float64, p.shape.Ranks)
+	p.used = make([]int, p.shape.Ranks)
+	k := p.shape.SlotsOfRank
+	for _, e := range p.items {
+		r := p.earliestRank(slots, e, copyLoad(e))
+		slots[r*k+p.used[r]] = e
+		p.used[r]++
+		p.times[r] += copyLoad(e) / p.speeds[r]
 	}
 }
 
-// soonest returns the rank with room that would be done first; one that has the
-// expert already is taken only if no other has room.
-func (g *packer) soonest(slots []uint16, e uint16, w float64) int {
-	k := g.shape.SlotsOfRank
-	best, bestTime, bestHas := -1, 0.0, false
-	for r, t := range g.times {
-		if g.used[r] == k {
+// earliestRank returns the rank with a free slot that would finish first with a copy of load w. A
+// rank that already has the expert is used only if no other rank has a free slot.
+func (p *packer) earliestRank(slots []uint16, e uint16, w float64) int {
+	k := p.shape.SlotsOfRank
+	best, bestTime, bestHasExpert := -1, 0.0, false
+	for r, t := range p.times {
+		if p.used[r] == k {
 			continue
 		}
-		t += w / g.speeds[r]
-		has := contains(slots[r*k:r*k+g.used[r]], e)
-		if best < 0 || (bestHas && !has) || (bestHas == has && t < bestTime) {
-			best, bestTime, bestHas = r, t, has
+		t += w / p.speeds[r]
+		hasExpert := contains(slots[r*k:r*k+p.used[r]], e)
+		if best < 0 || (bestHasExpert && !hasExpert) || (bestHasExpert == hasExpert && t < bestTime) {
+			best, bestTime, bestHasExpert = r, t, hasExpert
 		}
 	}
 	return best
 }
 
+// median sorts v and returns its middle value.
 func median(v []float64) float64 {
 	slices.Sort(v)
 	return v[len(v)/2]
--- a/expert/model_test.go
+++ b/expert/model_test.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The model: every order ever sent may be delivered at any time, any number of
-// times, in any order, or never. Each ballot is an orderer of its own that may
-// stop at any point, so dying and duelling orderers need no actions of their own.
+// In the model, each request that was ever sent can be delivered at any time, any number of times,
+// in any order, or never. Each ballot has its own coordinator, which may stop at any point. Crashed
+// and competing coordinators therefore need no actions of their own.
 
 const (
 	modelRanks   = 3
@@ -17,112 +17,116 @@
 	modelSteps   = 6
 )
 
-// variant names a safeguard that is taken out.
+// variant is a safeguard of the protocol that is switched off.
 type variant string
 
 const (
-	whole             variant = ""
-	ignorePromise     variant = "a decision of an overtaken ballot is obeyed"
-	ignoreIncarnation variant = "a decision meant for an earlier run of the agent is obeyed"
-	liftAnyHold       variant = "withdrawal lifts a hold that was there before"
-	skipConfirm       variant = "the orderer decides without confirmations"
-	ignoreMissing     variant = "the orderer decides though a rank is silent"
-	ignorePassed      variant = "the orderer forgets the steps before its own"
-	ignorePlanned     variant = "a hold may lie behind a planned change of map"
-	decideWithdrawn   variant = "the orderer decides after it withdrew"
-	joinAlone         variant = "a restarted engine goes on with the first map"
-	ignoreHold        variant = "a rank passes its hold"
+	noVariant           variant = ""
+	ignorePromise       variant = "a decision of a superseded ballot is applied"
+	ignoreIncarnation   variant = "a decision for an earlier incarnation of the agent is applied"
+	liftAnyHold         variant = "a withdrawal lifts a hold of an earlier ballot"
+	skipConfirm         variant = "the coordinator decides without confirmations"
+	ignoreMissing       variant = "the coordinator decides without the reply of a rank"
+	forgetEarlierSteps  variant = "the coordinator ignores the steps before its own"
+	ignorePlanned       variant = "a hold may come after a planned change of map"
+	decideWithdrawn     variant = "the coordinator decides after its withdrawal"
+	rejoinUncoordinated variant = "a restarted engine continues with the first map"
+	ignoreHold          variant = "a rank passes its hold"
 )
 
-// bounds limit one search.
+// bounds limits one search.
 type bounds struct {
 	variant        variant
 	steps          uint64
-	at             []uint64 // step that each ballot asks for
-	want           []MapID  // for each ballot
+	holdAt         []uint64 // by ballot
+	wantedMaps     []MapID  // by ballot
 	agentRestarts  int
 	engineRestarts int
 	noWithdrawals  bool
-	maxStates      int // the search fails when it sees more
+	maxStates      int // the search fails if it finds more
 }
 
+// modelAttempt is the state of one ballot at its coordinator.
 type modelAttempt struct {
-	withdrawn bool
-	dead      bool // it can't decide any more
-	decided   *Decision
-	replies   [modelRanks]*HoldReply
-	complete  bool
-	confirmed [modelRanks]bool
+	withdrawn       bool
+	cannotDecide    bool // the attempt can no longer decide
+	decision        *Decision
+	replies         [modelRanks]*HoldReply
+	repliesComplete bool
+	confirmed       [modelRanks]bool
 }
 
+// world is one state of the model.
 type world struct {
 	engine                        [modelRanks]Position
 	agent                         [modelRanks]RankState
 	attempt                       [modelBallots]modelAttempt
-	used                          [modelRanks][modelSteps]MapID // by this run of the engine
-	sent                          [modelRanks][modelSteps]bool  // what the others may count on in the barrier
-	finished                      [modelSteps]MapID
+	used                          [modelRanks][modelSteps]MapID // map in use, by rank and step, in the current run of the engine
+	sent                          [modelRanks][modelSteps]bool  // by rank and step: the data has reached the other ranks
+	finished                      [modelSteps]MapID             // map of each step that some rank has completed
 	agentRestarts, engineRestarts int
 }
 
-// simEngine runs orders on a position.
+// simEngine implements Engine on a position.
 type simEngine struct {
-	p *Position
-	v variant
+	pos     *Position
+	variant variant
 }
 
 func (e simEngine) Hold(t HoldToken, at uint64) (before, after Position, err error) {
-	before = *e.p
-	e.p.Hold(t, at)
-	if e.v == ignorePlanned && !before.Held {
-		e.p.HoldAt = max(at, e.p.Next)
+	before = *e.pos
+	e.pos.Hold(t, at)
+	if e.variant == ignorePlanned && !before.Held {
+		e.pos.HoldAt = max(at, e.pos.Next)
 	}
-	return before, *e.p, nil
+	return before, *e.pos, nil
 }
 
-func (e simEngine) Release(t HoldToken, start uint64, s Schedule, join uint64) error {
-	if e.v != whole {
-		t = e.p.Token // variants break the agents' rules, which the engines' would cover
+func (e simEngine) Release(t HoldToken, engineRun uint64, s Schedule, joinStep uint64) error {
+	if e.variant != noVariant {
+		t = e.pos.Token // the check of tokens by engines would hide the missing safeguards of agents
 	}
-	return e.p.Release(t, start, s, join)
+	return e.pos.Release(t, engineRun, s, joinStep)
 }
 
-func (e simEngine) Lift(t HoldToken) error { return e.p.Lift(t) }
+func (e simEngine) Lift(t HoldToken) error { return e.pos.Lift(t) }
 
+// search is a depth-first search over all states of the model.
 type search struct {
 	bounds
-	seen     map[uint64]struct{}
-	finishes map[uint64]bool // engine states from which the group can go on
-	trail    []action
-	free     []*world
-	found    error
-	key      []byte
-	parts    [modelRanks][]byte
+	seen          map[uint64]struct{}
+	checkedStates map[uint64]bool // engine states for which checkProgress has run
+	trail         []action
+	freeWorlds    []*world
+	violation     error
+	key           []byte
+	rankKeys      [modelRanks][]byte
 }
 
 var errMixedStep = errors.New("two maps in one step")
 
 // explore visits all states within the bounds and returns the first violation.
 func explore(b bounds) (states int, err error) {
-	s := &search{bounds: b, seen: make(map[uint64]struct{}), finishes: make(map[uint64]bool)}
+	s := &search{bounds: b, seen: make(map[uint64]struct{}), checkedStates: make(map[uint64]bool)}
 	var w world
 	for r := range w.engine {
 		w.engine[r] = Position{Start: 1, Joined: true, Map: 1}
 		w.agent[r] = NewRankState(1)
 	}
 	s.visit(&w)
-	return len(s.seen), s.found
+	return len(s.seen), s.violation
 }
 
+// visit checks a state and visits all states that one action leads to.
 func (s *search) visit(w *world) {
 	if len(s.seen) > s.maxStates {
-		s.found = fmt.Errorf("more than %d states", s.maxStates)
+		s.violation = fmt.Errorf("more than %d states", s.maxStates)
 		return
 	}
 	s.key = s.engineKey(w)
-	if k := xxhash.Sum64(s.key); !s.finishes[k] {
-		s.finishes[k] = true
-		if err := s.finish(*w); err != nil {
+	if k := xxhash.Sum64(s.key); !s.checkedStates[k] {
+		s.checkedStates[k] = true
+		if err := s.checkProgress(*w); err != nil {
 			s.fail(err)
 			return
 		}
@@ -130,35 +134,36 @@
 	for r := range modelRanks {
 		s.engineActions(w, r)
 	}
-	for b := range s.at {
-		s.ordererActions(w, b)
+	for b := range s.holdAt {
+		s.coordinatorActions(w, b)
 		for r := range modelRanks {
-			s.orderActions(w, b, r)
+			s.messageActions(w, b, r)
 		}
 	}
 }
 
+// fail records the first violation and the actions that led to it.
 func (s *search) fail(err error) {
-	if s.found == nil {
-		s.found = fmt.Errorf("%w after: %v", err, s.trail)
+	if s.violation == nil {
+		s.violation = fmt.Errorf("%w after: %v", err, s.trail)
 	}
 }
 
-// copy returns a state to change, and drop gives it back: without, the search
-// spends most of its time on allocation.
-func (s *search) copy(w *world) *world {
-	if len(s.free) == 0 {
-		s.free = append(s.free, new(world))
+// takeCopy returns a copy of a state, and returnCopy makes its memory free for reuse. Without reuse
+// the search spends most of its time on allocation.
+func (s *search) takeCopy(w *world) *world {
+	if len(s.freeWorlds) == 0 {
+		s.freeWorlds = append(s.freeWorlds, new(world))
 	}
-	n := s.free[len(s.free)-1]
-	s.free = s.free[:len(s.free)-1]
-	*n = *w
-	return n
+	copied := s.freeWorlds[len(s.freeWorlds)-1]
+	s.freeWorlds = s.freeWorlds[:len(s.freeWorlds)-1]
+	*copied = *w
+	return copied
 }
 
-func (s *search) drop(w *world) { s.free = append(s.free, w) }
+func (s *search) returnCopy(w *world) { s.freeWorlds = append(s.freeWorlds, w) }
 
-// action is one step of a run; it is only spelt out for a violation.
+// action is one action of a run. Its text is only formatted for a violation.
 type action struct {
 	format string
 	args   []any
@@ -166,9 +171,10 @@
 
 func (a action) String() string { return fmt.Sprintf(a.format, a.args...) }
 
-func (s *search) then(w *world, format string, args ...any) {
+// visitNext visits the state after an action, unless it was visited before.
+func (s *search) visitNext(w *world, format string, args ...any) {
 	k := s.hash(w)
-	if _, ok := s.seen[k]; ok || s.found != nil {
+	if _, ok := s.seen[k]; ok || s.violation != nil {
 		return
 	}
 	s.seen[k] = struct{}{}
@@ -177,65 +183,69 @@
 	s.trail = s.trail[:len(s.trail)-1]
 }
 
+// engineActions tries a step and the restarts of one rank.
 func (s *search) engineActions(w *world, r int) {
-	p := &w.engine[r]
-	if (p.CanEnterStep() || s.passes(p)) && p.Next < s.steps {
-		n := s.copy(w)
-		if err := n.enter(r); err != nil {
-			s.trail = append(s.trail, action{"rank %d enters %d", []any{r, p.Next}})
+	pos := &w.engine[r]
+	if (pos.CanEnterStep() || s.ignoresHold(pos)) && pos.Next < s.steps {
+		next := s.takeCopy(w)
+		if err := next.enter(r); err != nil {
+			s.trail = append(s.trail, action{"rank %d enters %d", []any{r, pos.Next}})
 			s.fail(err)
 			return
 		}
-		s.then(n, "rank %d enters %d", r, p.Next)
-		s.drop(n)
+		s.visitNext(next, "rank %d enters %d", r, pos.Next)
+		s.returnCopy(next)
 	}
-	if p.Inside && w.allSent(p.Next-1) {
-		n := s.copy(w)
-		n.complete(r)
-		s.then(n, "rank %d completes %d", r, p.Next-1)
-		s.drop(n)
+	if pos.Inside && w.allSent(pos.Next-1) {
+		next := s.takeCopy(w)
+		next.complete(r)
+		s.visitNext(next, "rank %d completes %d", r, pos.Next-1)
+		s.returnCopy(next)
 	}
 	if w.agentRestarts < s.agentRestarts {
-		n := s.copy(w)
-		n.agentRestarts++
-		n.agent[r] = NewRankState(w.agent[r].Incarnation + 1)
-		s.then(n, "agent %d restarts", r)
-		s.drop(n)
+		next := s.takeCopy(w)
+		next.agentRestarts++
+		next.agent[r] = NewRankState(w.agent[r].Incarnation + 1)
+		s.visitNext(next, "agent %d restarts", r)
+		s.returnCopy(next)
 	}
 	if w.engineRestarts < s.engineRestarts {
 		s.restartEngine(w, r)
 	}
 }
 
-func (s *search) passes(p *Position) bool {
-	return s.variant == ignoreHold && p.Joined && !p.Inside
+// ignoresHold reports whether an engine of the ignoreHold variant may enter a step.
+func (s *search) ignoresHold(pos *Position) bool {
+	return s.variant == ignoreHold && pos.Joined && !pos.Inside
 }
 
-// restartEngine: what the dead run sent into an unfinished step counts for ranks
-// that were in the step with it, or was lost; it never counts for later comers.
+// restartEngine tries a restart of one engine. The data that its previous run sent into an unfinished
+// step either counts for the ranks that were in the step with it, or is lost. It never counts for
+// ranks that enter the step later.
 func (s *search) restartEngine(w *world, r int) {
-	n := s.copy(w)
-	n.engineRestarts++
-	n.engine[r] = w.engine[r].AfterRestart()
-	n.used[r] = [modelSteps]MapID{}
-	if s.variant == joinAlone {
-		n.engine[r] = Position{Start: w.engine[r].Start + 1, Joined: true, Next: w.engine[r].Next, Inside: w.engine[r].Inside, Map: 1}
+	next := s.takeCopy(w)
+	next.engineRestarts++
+	next.engine[r] = w.engine[r].AfterRestart()
+	next.used[r] = [modelSteps]MapID{}
+	if s.variant == rejoinUncoordinated {
+		next.engine[r] = Position{Start: w.engine[r].Start + 1, Joined: true, Next: w.engine[r].Next, Inside: w.engine[r].Inside, Map: 1}
 	}
 	if w.engine[r].Inside {
 		step := w.engine[r].Next - 1
-		company := false
+		othersInStep := false
 		for q := range w.engine {
-			company = company || (q != r && w.used[q][step] != 0)
+			othersInStep = othersInStep || (q != r && w.used[q][step] != 0)
 		}
-		if company {
-			s.then(n, "engine %d restarts, its data arrived", r)
+		if othersInStep {
+			s.visitNext(next, "engine %d restarts, its data arrived", r)
 		}
-		n.sent[r][step] = false
+		next.sent[r][step] = false
 	}
-	s.then(n, "engine %d restarts", r)
-	s.drop(n)
+	s.visitNext(next, "engine %d restarts", r)
+	s.returnCopy(next)
 }
 
+// allSent reports whether the data of all ranks has been sent into a step.
 func (w *world) allSent(step uint64) bool {
 	for q := range w.engine {
 		if !w.sent[q][step] {
@@ -249,12 +259,12 @@
 	step := w.engine[r].Next
 	m := w.engine[r].EnterStep()
 	for q := range w.engine {
-		if u := w.used[q][step]; q != r && u != 0 && u != m {
-			return fmt.Errorf("%w: step %d, rank %d uses %d, rank %d %d", errMixedStep, step, r, m, q, u)
+		if other := w.used[q][step]; q != r && other != 0 && other != m {
+			return fmt.Errorf("%w: step %d, rank %d uses %d, rank %d %d", errMixedStep, step, r, m, q, other)
 		}
 	}
-	if f := w.finished[step]; f != 0 && f != m {
-		return fmt.Errorf("%w: step %d was finished with %d, rank %d uses %d", errMixedStep, step, f, r, m)
+	if finished := w.finished[step]; finished != 0 && finished != m {
+		return fmt.Errorf("%w: step %d was completed with %d, rank %d uses %d", errMixedStep, step, finished, r, m)
 	}
 	w.used[r][step] = m
 	w.sent[r][step] = true
@@ -267,29 +277,30 @@
 	w.finished[step] = w.used[r][step]
 }
 
-func (s *search) ordererActions(w *world, b int) {
+// coordinatorActions tries the withdrawal and the decision of one ballot.
+func (s *search) coordinatorActions(w *world, b int) {
 	a := &w.attempt[b]
-	if a.decided != nil {
+	if a.decision != nil {
 		return
 	}
 	if !a.withdrawn && !s.noWithdrawals {
-		n := s.copy(w)
-		n.attempt[b].withdrawn = true
-		n.attempt[b].dead = s.variant != decideWithdrawn
-		s.then(n, "ballot %d withdraws", b+1)
-		s.drop(n)
+		next := s.takeCopy(w)
+		next.attempt[b].withdrawn = true
+		next.attempt[b].cannotDecide = s.variant != decideWithdrawn
+		s.visitNext(next, "ballot %d withdraws", b+1)
+		s.returnCopy(next)
 	}
 	if !a.withdrawn || s.variant == decideWithdrawn {
 		if d := s.decide(a, b); d != nil {
-			n := s.copy(w)
-			n.attempt[b].decided = d
-			s.then(n, "ballot %d decides %v join %d", b+1, d.Schedule, d.JoinStep)
-			s.drop(n)
+			next := s.takeCopy(w)
+			next.attempt[b].decision = d
+			s.visitNext(next, "ballot %d decides %v, join step %d", b+1, d.Schedule, d.JoinStep)
+			s.returnCopy(next)
 		}
 	}
 }
 
-func (a *modelAttempt) answered() int {
+func (a *modelAttempt) replyCount() int {
 	n := 0
 	for _, r := range a.replies {
 		if r != nil {
@@ -299,91 +310,93 @@
 	return n
 }
 
+// decide returns the decision that a coordinator would make, or nil if it cannot decide yet.
 func (s *search) decide(a *modelAttempt, b int) *Decision {
-	at := NewSwitchAttempt(ballot(b), s.at[b], s.want[b], modelRanks)
+	attempt := NewSwitchAttempt(ballot(b), s.holdAt[b], s.wantedMaps[b], modelRanks)
 	if s.variant == ignoreMissing {
-		at = NewSwitchAttempt(ballot(b), s.at[b], s.want[b], max(a.answered(), modelRanks-1))
+		attempt = NewSwitchAttempt(ballot(b), s.holdAt[b], s.wantedMaps[b], max(a.replyCount(), modelRanks-1))
 	}
 	n := 0
 	for r, reply := range a.replies {
 		if reply == nil {
 			continue
 		}
-		at.RecordReply(n, *reply)
+		attempt.RecordReply(n, *reply)
 		if a.confirmed[r] || s.variant == ignoreMissing || s.variant == skipConfirm {
-			at.confirmed[n] = true
+			attempt.confirmed[n] = true
 		}
 		n++
 	}
-	d, err := at.Decide()
+	d, err := attempt.Decide()
 	if err != nil {
 		if errors.Is(err, ErrConflictingMaps) {
 			s.fail(err)
 		}
 		return nil
 	}
-	if s.variant == ignorePassed {
-		d.Schedule = Schedule{{From: s.at[b], Map: s.want[b]}}
+	if s.variant == forgetEarlierSteps {
+		d.Schedule = Schedule{{From: s.holdAt[b], Map: s.wantedMaps[b]}}
 	}
 	return d
 }
 
 func ballot(b int) Ballot { return Ballot{Round: uint64(b) + 1} }
 
-// orderActions delivers one ballot's orders to one rank.
-func (s *search) orderActions(w *world, b, r int) {
+// messageActions tries the delivery of the messages of one ballot to one rank.
+func (s *search) messageActions(w *world, b, r int) {
 	a := &w.attempt[b]
-	n := s.copy(w)
-	reply, err := n.agent[r].Hold(simEngine{&n.engine[r], s.variant}, HoldRequest{Ballot: ballot(b), HoldAt: s.at[b]})
+	next := s.takeCopy(w)
+	reply, err := next.agent[r].Hold(simEngine{&next.engine[r], s.variant}, HoldRequest{Ballot: ballot(b), HoldAt: s.holdAt[b]})
 	if err == nil {
-		old := a.replies[r]
-		if a.complete {
-			old = &reply // it changes nothing for the orderer any more
+		previous := a.replies[r]
+		if a.repliesComplete {
+			previous = &reply // the coordinator ignores further replies
 		}
-		if old != nil && !sameReply(old, &reply) {
-			s.then(n, "rank %d holds for ballot %d, reply lost", r, b+1)
+		if previous != nil && !sameReply(previous, &reply) {
+			s.visitNext(next, "rank %d holds for ballot %d, reply lost", r, b+1)
 		}
-		if old == nil || !sameReply(old, &reply) {
-			n.attempt[b].replies[r] = &reply
-			n.attempt[b].complete = n.attempt[b].answered() == modelRanks
+		if previous == nil || !sameReply(previous, &reply) {
+			next.attempt[b].replies[r] = &reply
+			next.attempt[b].repliesComplete = next.attempt[b].replyCount() == modelRanks
 		}
-		s.then(n, "rank %d holds for ballot %d", r, b+1)
-		s.drop(n)
+		s.visitNext(next, "rank %d holds for ballot %d", r, b+1)
+		s.returnCopy(next)
 	}
-	if a.complete && !a.confirmed[r] && w.agent[r].Confirm(ballot(b), a.replies[r].Incarnation) == nil {
-		n := s.copy(w)
-		n.attempt[b].confirmed[r] = true
-		s.then(n, "rank %d confirms ballot %d", r, b+1)
-		s.drop(n)
+	if a.repliesComplete && !a.confirmed[r] && w.agent[r].Confirm(ballot(b), a.replies[r].Incarnation) == nil {
+		next := s.takeCopy(w)
+		next.attempt[b].confirmed[r] = true
+		s.visitNext(next, "rank %d confirms ballot %d", r, b+1)
+		s.returnCopy(next)
 	}
-	if a.decided != nil && a.replies[r] != nil {
+	if a.decision != nil && a.replies[r] != nil {
 		s.deliverDecision(w, b, r)
 	}
 	if a.withdrawn {
-		n := s.copy(w)
+		next := s.takeCopy(w)
 		if s.variant == liftAnyHold {
-			n.agent[r].WasRunning = true
+			next.agent[r].WasRunning = true
 		}
-		if n.agent[r].Withdraw(simEngine{&n.engine[r], s.variant}, ballot(b)) == nil {
-			s.then(n, "rank %d hears that ballot %d withdrew", r, b+1)
-			s.drop(n)
+		if next.agent[r].Withdraw(simEngine{&next.engine[r], s.variant}, ballot(b)) == nil {
+			s.visitNext(next, "rank %d applies the withdrawal of ballot %d", r, b+1)
+			s.returnCopy(next)
 		}
 	}
 }
 
+// deliverDecision tries the delivery of a decision to one rank.
 func (s *search) deliverDecision(w *world, b, r int) {
-	n := s.copy(w)
+	next := s.takeCopy(w)
 	a := &w.attempt[b]
 	incarnation := a.replies[r].Incarnation
 	switch s.variant {
 	case ignorePromise:
-		n.agent[r].Promised, n.agent[r].HeldBy = ballot(b), ballot(b)
+		next.agent[r].Promised, next.agent[r].HeldBy = ballot(b), ballot(b)
 	case ignoreIncarnation:
-		incarnation = n.agent[r].Incarnation
+		incarnation = next.agent[r].Incarnation
 	}
-	if n.agent[r].Decide(simEngine{&n.engine[r], s.variant}, *a.decided, incarnation, a.replies[r].EngineRun) == nil {
-		s.then(n, "rank %d obeys ballot %d", r, b+1)
-		s.drop(n)
+	if next.agent[r].Decide(simEngine{&next.engine[r], s.variant}, *a.decision, incarnation, a.replies[r].EngineRun) == nil {
+		s.visitNext(next, "rank %d applies the decision of ballot %d", r, b+1)
+		s.returnCopy(next)
 	}
 }
 
--- a/expert/modelfinish_test.go
+++ b/expert/modelfinish_test.go
@@ -5,53 +5,53 @@
 	"fmt"
 )
 
-var errStuck = errors.New("the group can't go on")
+var errNoProgress = errors.New("group cannot advance")
 
-// finish tries to bring the group on from a state: one more ballot, no more
-// faults. It fails if the group mixes maps or can't reach two further steps.
-func (s *search) finish(w world) error {
-	last := Ballot{Round: modelBallots + 1}
-	a := NewSwitchAttempt(last, 0, 0, modelRanks)
-	a.WantedMap = 1
+// checkProgress runs one more ballot from a state, without faults. It returns an error if a step mixes
+// maps or if the group does not complete two further steps.
+func (s *search) checkProgress(w world) error {
+	lastBallot := Ballot{Round: modelBallots + 1}
+	attempt := NewSwitchAttempt(lastBallot, 0, 0, modelRanks)
+	attempt.WantedMap = 1
 	for r := range w.engine {
-		reply, err := w.agent[r].Hold(simEngine{&w.engine[r], whole}, HoldRequest{Ballot: last, HoldAt: 0})
+		reply, err := w.agent[r].Hold(simEngine{&w.engine[r], noVariant}, HoldRequest{Ballot: lastBallot, HoldAt: 0})
 		if err != nil {
-			return fmt.Errorf("%w: %w", errStuck, err)
+			return fmt.Errorf("%w: %w", errNoProgress, err)
 		}
-		a.RecordReply(r, reply)
+		attempt.RecordReply(r, reply)
 	}
 	for r := range w.engine {
-		a.RecordConfirmation(r)
+		attempt.RecordConfirmation(r)
 	}
-	d, err := a.Decide()
+	decision, err := attempt.Decide()
 	if err != nil {
-		return fmt.Errorf("%w: %w", errStuck, err)
+		return fmt.Errorf("%w: %w", errNoProgress, err)
 	}
 	for r := range w.engine {
-		if err := w.agent[r].Decide(simEngine{&w.engine[r], whole}, *d, a.Replies[r].Incarnation, a.Replies[r].EngineRun); err != nil {
-			return fmt.Errorf("%w: %w", errStuck, err)
+		if err := w.agent[r].Decide(simEngine{&w.engine[r], noVariant}, *decision, attempt.Replies[r].Incarnation, attempt.Replies[r].EngineRun); err != nil {
+			return fmt.Errorf("%w: %w", errNoProgress, err)
 		}
 	}
 	goal := s.steps + 2
-	for moved := true; moved; {
-		moved = false
+	for advanced := true; advanced; {
+		advanced = false
 		for r := range w.engine {
-			p := &w.engine[r]
-			if p.CanEnterStep() && p.Next < goal {
+			pos := &w.engine[r]
+			if pos.CanEnterStep() && pos.Next < goal {
 				if err := w.enter(r); err != nil {
 					return err
 				}
-				moved = true
+				advanced = true
 			}
-			if p.Inside && w.allSent(p.Next-1) {
+			if pos.Inside && w.allSent(pos.Next-1) {
 				w.complete(r)
-				moved = true
+				advanced = true
 			}
 		}
 	}
 	for r := range w.engine {
 		if w.engine[r].Next != goal || w.engine[r].Inside {
-			return fmt.Errorf("%w: rank %d is at %+v", errStuck, r, w.engine[r])
+			return fmt.Errorf("%w: rank %d is at %+v", errNoProgress, r, w.engine[r])
 		}
 	}
 	return nil
--- a/expert/modelkey_test.go
+++ b/expert/modelkey_test.go
@@ -7,47 +7,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hash digests a state; ranks are sorted first, since the protocol treats them
-// alike. 64 bits over some millions of states: a clash, which would hide a
-// state, has a chance below one in a million.
+// hash returns a 64-bit hash of a state. Ranks are sorted first, since the protocol treats them alike.
+// A collision would hide a state; with some millions of states its probability is below one in a
+// million.
 func (s *search) hash(w *world) uint64 {
 	for r := range w.engine {
-		s.parts[r] = w.rankKey(s.parts[r][:0], r, len(s.at))
+		s.rankKeys[r] = w.rankKey(s.rankKeys[r][:0], r, len(s.holdAt))
 	}
-	key := s.sortedParts(s.key[:0])
-	for _, f := range w.finished {
-		key = append(key, byte(f))
+	key := s.sortedRankKeys(s.key[:0])
+	for _, mapID := range w.finished {
+		key = append(key, byte(mapID))
 	}
 	key = append(key, byte(w.agentRestarts), byte(w.engineRestarts))
-	for b := range s.at {
+	for b := range s.holdAt {
 		a := &w.attempt[b]
-		key = append(key, bit(a.withdrawn), bit(a.complete), bit(a.decided != nil))
-		if a.decided != nil {
-			key = appendSchedule(append(key, byte(a.decided.JoinStep)), a.decided.Schedule)
+		key = append(key, bit(a.withdrawn), bit(a.repliesComplete), bit(a.decision != nil))
+		if a.decision != nil {
+			key = appendSchedule(append(key, byte(a.decision.JoinStep)), a.decision.Schedule)
 		}
 	}
 	s.key = key
 	return xxhash.Sum64(key)
 }
 
-func (s *search) sortedParts(key []byte) []byte {
-	slices.SortFunc(s.parts[:], slices.Compare)
-	for _, p := range s.parts {
-		key = append(key, p...)
+// sortedRankKeys appends the keys of all ranks in sorted order.
+func (s *search) sortedRankKeys(key []byte) []byte {
+	slices.SortFunc(s.rankKeys[:], slices.Compare)
+	for _, rankKey := range s.rankKeys {
+		key = append(key, rankKey...)
 	}
 	return key
 }
 
 func (w *world) rankKey(key []byte, r, ballots int) []byte {
-	p, g := &w.engine[r], &w.agent[r]
-	key = append(key, byte(p.Start), bit(p.Joined), byte(p.Next), bit(p.Inside), byte(p.Map), bit(p.Held))
-	if p.Held {
-		key = binary.AppendUvarint(key, p.HoldAt)
+	pos, agent := &w.engine[r], &w.agent[r]
+	key = append(key, byte(pos.Start), bit(pos.Joined), byte(pos.Next), bit(pos.Inside), byte(pos.Map), bit(pos.Held))
+	if pos.Held {
+		key = binary.AppendUvarint(key, pos.HoldAt)
 	}
-	key = appendSchedule(key, p.Plan)
-	key = append(key, byte(g.Incarnation), byte(g.Promised.Round), byte(g.HeldBy.Round), bit(g.WasRunning))
-	if n := int(g.HeldBy.Round); n > 0 && !w.attempt[n-1].complete {
-		key = appendReply(key, &g.reply) // it may be sent again
+	key = appendSchedule(key, pos.Plan)
+	key = append(key, byte(agent.Incarnation), byte(agent.Promised.Round), byte(agent.HeldBy.Round), bit(agent.WasRunning))
+	if n := int(agent.HeldBy.Round); n > 0 && !w.attempt[n-1].repliesComplete {
+		key = appendReply(key, &agent.lastReply) // the rank may send it again
 	}
 	for b := range ballots {
 		key = w.attempt[b].replyKey(key, r)
@@ -55,14 +56,14 @@
 	return w.stepsKey(key, r)
 }
 
-// replyKey leaves out what no later action reads.
+// replyKey appends the parts of a reply that later actions read.
 func (a *modelAttempt) replyKey(key []byte, r int) []byte {
 	reply := a.replies[r]
-	if a.dead {
+	if a.cannotDecide {
 		return append(key, 3)
 	}
-	key = append(key, bit(a.confirmed[r] && a.decided == nil))
-	if a.decided == nil || reply == nil {
+	key = append(key, bit(a.confirmed[r] && a.decision == nil))
+	if a.decision == nil || reply == nil {
 		return appendReply(key, reply)
 	}
 	return append(key, 2, byte(reply.Incarnation), byte(reply.EngineRun))
@@ -75,17 +76,17 @@
 	return key
 }
 
-// engineKey covers what finish depends on: its ballot beats all others, so the
-// agents' memory plays no part.
+// engineKey covers the state that checkProgress depends on. The state of the agents is not part of
+// it, as the ballot of checkProgress supersedes all others.
 func (s *search) engineKey(w *world) []byte {
 	for r := range w.engine {
-		p := &w.engine[r]
-		part := append(s.parts[r][:0], bit(p.Joined), byte(p.Next), bit(p.Inside), byte(p.Map), bit(p.Held), byte(p.HoldAt))
-		s.parts[r] = w.stepsKey(appendSchedule(part, p.Plan), r)
+		pos := &w.engine[r]
+		rankKey := append(s.rankKeys[r][:0], bit(pos.Joined), byte(pos.Next), bit(pos.Inside), byte(pos.Map), bit(pos.Held), byte(pos.HoldAt))
+		s.rankKeys[r] = w.stepsKey(appendSchedule(rankKey, pos.Plan), r)
 	}
-	key := s.sortedParts(s.key[:0])
-	for _, f := range w.finished {
-		key = append(key, byte(f))
+	key := s.sortedRankKeys(s.key[:0])
+	for _, mapID := range w.finished {
+		key = append(key, byte(mapID))
 	}
 	return key
 }
--- a/expert/plan.go
+++ b/expert/plan.go
@@ -6,37 +6,38 @@
 	"slices"
 )
 
-// CostWeights are the operator's prices: one rank kept waiting for one minute, and
-// one gigabyte of experts moved. A group of 64 ranks that runs at a skew of 1.1
-// for a minute keeps the equal of 6.4 ranks waiting.
+// CostWeights are the operator's prices: Skew for one rank that waits for one minute, Move for one
+// gigabyte of expert weights moved. A group of 64 ranks that runs at a skew of 1.1 for a minute
+// wastes the time of 6.4 ranks.
 type CostWeights struct {
 	Skew float64
 	Move float64
 }
 
-// PlanLimits bound one plan.
+// PlanLimits bounds one plan.
 type PlanLimits struct {
-	MaxBytes        float64 // the store's rate times the time that loading may take; 0: none
-	MaxMovesPerRank int     // spare slots for weights that wait for the switch; 0: no bound
+	MaxBytes        float64 // bytes to load: the weight store's rate times the time that loading may take; 0: no limit
+	MaxMovesPerRank int     // spare slots on a rank for weights loaded before the switch; 0: no limit
 }
 
-// PlanInput is what a plan is made from. Loads hold tokens for each layer and expert,
-// layer by layer; only their proportions matter.
+// PlanInput is the input of Planner.Plan. Loads holds the tokens of each expert, ordered by layer and
+// then by expert. Only the proportions of the loads matter.
 type PlanInput struct {
 	Map                 *Map
 	Loads               []float64
-	RankSpeeds          []float64 // of ranks; 1: as fast as the others; nil: all alike
-	ExpertBytes         float64   // weights of one expert of one layer
-	StoreBytesPerSecond float64   // bytes a second; 0: loading takes no time
-	GainLifeSeconds     float64   // seconds that a gain lasts before drift has eaten it
+	RankSpeeds          []float64 // relative speed of each rank; nil: 1 for all
+	ExpertBytes         float64   // size of the weights of one expert of one layer
+	StoreBytesPerSecond float64   // rate at which weights load; 0: loading takes no time
+	GainLifeSeconds     float64   // time until the drift of the loads has used up a gain
 	CostWeights         CostWeights
 	Limits              PlanLimits
 }
 
-// Reason says why a plan moves nothing, or not all that would pay.
+// Reason is the reason for the outcome of a plan: why it moves experts, or none, or not all that
+// would be worth it. It is shown to operators.
 type Reason string
 
-// Reasons of plans.
+// Reasons for the outcome of a plan.
 const (
 	ReasonPays      Reason = "pays"
 	ReasonBalanced  Reason = "nothing to gain"
@@ -44,118 +45,119 @@
 	ReasonLimited   Reason = "cut to the limits of store and memory"
 )
 
-// Plan is a proposed map with its price and gain.
+// Plan is a proposed map with its price and gain, both in units of CostWeights.
 type Plan struct {
-	Map            *Map // nil: stay
+	Map            *Map // nil: keep the map in use
 	Moves          int
 	Bytes          float64
 	SkewBefore     float64
 	SkewAfter      float64
-	SkewLowerBound float64 // lower bound of the skew for any map of this shape
-	Gain           float64 // in the unit of CostWeights
+	SkewLowerBound float64 // for any map of this shape
+	Gain           float64
 	Price          float64
 	Reason         Reason
 }
 
-// ErrInvalidInput: the parts of a PlanInput don't fit each other.
-var ErrInvalidInput = errors.New("planner input does not fit its map")
+// ErrInvalidInput is returned if the lengths of Loads or RankSpeeds do not match the shape of the map.
+var ErrInvalidInput = errors.New("planner input does not match the shape of its map")
 
-// improvement is a proposal for one layer.
+// improvement is a set of changes of one layer.
 type improvement struct {
-	layer int
-	ops   []slotChange
-	cost  int
-	saved float64 // of the layer's longest rank time
+	layer     int
+	changes   []slotChange
+	moves     int
+	savedTime float64 // of the layer's slowest rank
 }
 
-// Planner makes plans; it keeps its memory between them. It is not safe for
-// concurrent use.
+// Planner makes plans and reuses its buffers between them. It is not safe for concurrent use.
 type Planner struct {
-	search layerSearch
-	found  []improvement
-	moves  []int // for each rank
-	order  []int // layers, those with most to gain first
-	ones   []float64
+	search       layerSearch
+	improvements []improvement
+	movesByRank  []int
+	layerOrder   []int // layers with the highest excess time first
+	unitSpeeds   []float64
 }
 
-// Plan looks for moves that pay. It starts from the map in use and is
-// deterministic. The time of a step is the sum over layers of the longest rank,
-// since the exchange in each layer makes every rank wait for the slowest.
+// Plan searches for moves that are worth their price, starting from the map in use. The result is
+// deterministic. The time of a step is the sum over the layers of the time of the slowest rank, as
+// in each layer all ranks wait for the slowest one before they exchange data.
 func (p *Planner) Plan(in *PlanInput) (Plan, error) {
 	s := in.Map.Shape
 	if len(in.Loads) != s.Layers*s.Experts || (in.RankSpeeds != nil && len(in.RankSpeeds) != s.Ranks) {
 		return Plan{}, ErrInvalidInput
 	}
-	speeds := p.speeds(in)
+	speeds := p.rankSpeeds(in)
 	stats := PredictStepTimes(in.Map, in.Loads, speeds)
 	plan := Plan{SkewBefore: stats.Skew(), SkewAfter: stats.Skew(), SkewLowerBound: stats.SkewLowerBound(), Reason: ReasonBalanced}
 	if stats.Ideal == 0 {
 		return plan, nil
 	}
-	// One unit of layer time is worth this much over the life of the gain.
-	worth := in.CostWeights.Skew * float64(s.Ranks) * in.GainLifeSeconds / 60 / stats.Ideal
-	price := in.CostWeights.Move * in.ExpertBytes / 1e9
-	least := leastSaving * stats.Longest / float64(s.Layers)
-	candidates := false
-	p.found = p.found[:0]
-	p.search.budget = maxSteps
-	p.order = stats.worstFirst(p.order)
-	for _, l := range p.order {
+	// Gain of one unit of layer time over the lifetime of a gain.
+	gainPerTime := in.CostWeights.Skew * float64(s.Ranks) * in.GainLifeSeconds / 60 / stats.Ideal
+	pricePerMove := in.CostWeights.Move * in.ExpertBytes / 1e9
+	minSaving := minSavingShare * stats.Longest / float64(s.Layers)
+	hasUneven := false
+	p.improvements = p.improvements[:0]
+	p.search.stepsLeft = maxStepsPerPlan
+	p.layerOrder = stats.layersByExcess(p.layerOrder)
+	for _, l := range p.layerOrder {
 		loads := in.Loads[l*s.Experts : (l+1)*s.Experts]
-		best, any := p.search.run(in.Map.Layer(l), s, loads, speeds, layerPrices{bound: stats.bounds[l], worth: worth, price: price, least: least})
-		candidates = candidates || any
-		if len(best.ops) > 0 {
+		best, isUneven := p.search.improve(in.Map.Layer(l), s, loads, speeds, layerPrices{lowerBound: stats.layerBounds[l], gainPerTime: gainPerTime, pricePerMove: pricePerMove, minSaving: minSaving})
+		hasUneven = hasUneven || isUneven
+		if len(best.changes) > 0 {
 			best.layer = l
-			best.ops = slices.Clone(best.ops)
-			p.found = append(p.found, best)
+			best.changes = slices.Clone(best.changes)
+			p.improvements = append(p.improvements, best)
 		}
 	}
-	if candidates {
+	if hasUneven {
 		plan.Reason = ReasonTooCostly
 	}
-	p.choose(in, &plan, speeds, worth)
+	p.selectImprovements(in, &plan, speeds, gainPerTime)
 	return plan, nil
 }
 
-func (p *Planner) speeds(in *PlanInput) []float64 {
+// rankSpeeds returns the relative speeds of the ranks, 1 for all if the input has none.
+func (p *Planner) rankSpeeds(in *PlanInput) []float64 {
 	if in.RankSpeeds != nil {
 		return in.RankSpeeds
 	}
-	p.ones = slices.Grow(p.ones[:0], in.Map.Shape.Ranks)[:in.Map.Shape.Ranks]
-	for i := range p.ones {
-		p.ones[i] = 1
+	p.unitSpeeds = slices.Grow(p.unitSpeeds[:0], in.Map.Shape.Ranks)[:in.Map.Shape.Ranks]
+	for i := range p.unitSpeeds {
+		p.unitSpeeds[i] = 1
 	}
-	return p.ones
+	return p.unitSpeeds
 }
 
-// choose takes the layers that gain most for their moves until a limit is met.
-func (p *Planner) choose(in *PlanInput, plan *Plan, speeds []float64, worth float64) {
-	slices.SortStableFunc(p.found, func(a, b improvement) int {
-		return cmp.Compare(b.saved*float64(a.cost), a.saved*float64(b.cost))
+// selectImprovements applies the improvements with the most saved time for each move, as far as the
+// limits allow.
+func (p *Planner) selectImprovements(in *PlanInput, plan *Plan, speeds []float64, gainPerTime float64) {
+	slices.SortStableFunc(p.improvements, func(a, b improvement) int {
+		return cmp.Compare(b.savedTime*float64(a.moves), a.savedTime*float64(b.moves))
 	})
 	s := in.Map.Shape
-	p.moves = slices.Grow(p.moves[:0], s.Ranks)[:s.Ranks]
-	clear(p.moves)
+	p.movesByRank = slices.Grow(p.movesByRank[:0], s.Ranks)[:s.Ranks]
+	clear(p.movesByRank)
 	var next *Map
-	bounded := false
-	for i := range p.found {
-		f := &p.found[i]
-		if !p.fits(in, f, plan.Bytes) {
-			bounded = true
+	isLimited := false
+	for i := range p.improvements {
+		imp := &p.improvements[i]
+		if !p.fitsLimits(in, imp, plan.Bytes) {
+			isLimited = true
 			continue
 		}
 		if next == nil {
 			next = in.Map.Clone()
 		}
-		layer := next.Layer(f.layer)
-		for _, op := range f.ops {
+		layer := next.Layer(imp.layer)
+		for _, op := range imp.changes {
 			layer[op.slot] = op.expert
 		}
 		for r := range s.Ranks {
-			p.moves[r] += rankMoves(in.Map.RankLayer(f.layer, r), next.RankLayer(f.layer, r))
+			p.movesByRank[r] += rankMoves(in.Map.RankLayer(imp.layer, r), next.RankLayer(imp.layer, r))
 		}
-		plan.Bytes += float64(f.cost) * in.ExpertBytes
-		plan.Gain += f.saved * worth
+		plan.Bytes += float64(imp.moves) * in.ExpertBytes
+		plan.Gain += imp.savedTime * gainPerTime
 	}
 	if next == nil {
 		return
@@ -164,7 +166,7 @@
 	plan.Bytes = float64(plan.Moves) * in.ExpertBytes
 	plan.Price = in.CostWeights.Move * plan.Bytes / 1e9
 	if in.StoreBytesPerSecond > 0 && in.GainLifeSeconds > 0 {
-		// The gain begins when the weights are there.
+		// The gain starts once the weights are loaded.
 		plan.Gain *= max(0, 1-plan.Bytes/in.StoreBytesPerSecond/in.GainLifeSeconds)
 	}
 	if plan.Gain <= plan.Price {
@@ -174,28 +176,30 @@
 	plan.Map = next
 	plan.SkewAfter = PredictStepTimes(next, in.Loads, speeds).Skew()
 	plan.Reason = ReasonPays
-	if bounded {
+	if isLimited {
 		plan.Reason = ReasonLimited
 	}
 }
 
-func (p *Planner) fits(in *PlanInput, f *improvement, bytes float64) bool {
-	if in.Limits.MaxBytes > 0 && bytes+float64(f.cost)*in.ExpertBytes > in.Limits.MaxBytes {
+// fitsLimits reports whether an improvement keeps a plan of the given size within its limits.
+func (p *Planner) fitsLimits(in *PlanInput, imp *improvement, bytes float64) bool {
+	if in.Limits.MaxBytes > 0 && bytes+float64(imp.moves)*in.ExpertBytes > in.Limits.MaxBytes {
 		return false
 	}
 	if in.Limits.MaxMovesPerRank == 0 {
 		return true
 	}
 	k := in.Map.Shape.SlotsOfRank
-	for _, op := range f.ops {
-		if p.moves[op.slot/k]+countRank(f.ops, op.slot/k, k) > in.Limits.MaxMovesPerRank {
+	for _, op := range imp.changes {
+		if p.movesByRank[op.slot/k]+changesOnRank(imp.changes, op.slot/k, k) > in.Limits.MaxMovesPerRank {
 			return false
 		}
 	}
 	return true
 }
 
-func countRank(ops []slotChange, rank, k int) int {
+// changesOnRank returns the number of changes on a rank; k is the number of slots on each rank.
+func changesOnRank(ops []slotChange, rank, k int) int {
 	n := 0
 	for _, op := range ops {
 		if op.slot/k == rank {
--- a/expert/plan_bench_test.go
+++ b/expert/plan_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func unevenInput(s Shape, seed uint64) *PlanInput {
+func newUnevenInput(s Shape, seed uint64) *PlanInput {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	in := &PlanInput{Map: InitialMap(s), ExpertBytes: 24e6, GainLifeSeconds: 1800, StoreBytesPerSecond: 2e9, CostWeights: CostWeights{Skew: 1, Move: 1}}
 	for range s.Layers {
@@ -18,7 +18,7 @@
 }
 
 func BenchmarkPlan64x128(b *testing.B) {
-	in := unevenInput(Shape{Ranks: 64, Layers: 48, Experts: 128, SlotsOfRank: 3}, 1)
+	in := newUnevenInput(Shape{Ranks: 64, Layers: 48, Experts: 128, SlotsOfRank: 3}, 1)
 	in.StoreBytesPerSecond = 0
 	var p Planner
 	b.ReportAllocs()
--- a/expert/plan_test.go
+++ b/expert/plan_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// A plan must be deterministic, contain every expert, keep to its limits and gain more than it costs.
 func TestPlansAreWholeBoundedAndPay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -55,23 +56,25 @@
 	})
 }
 
-func TestDearMovesAreNotMade(t *testing.T) {
+// Guards against moves that cost more than they gain.
+func TestPlanKeepsTheMapIfMovesAreTooCostly(t *testing.T) {
 	g := NewWithT(t)
-	in := unevenInput(Shape{Ranks: 8, Layers: 4, Experts: 32, SlotsOfRank: 5}, 1)
+	in := newUnevenInput(Shape{Ranks: 8, Layers: 4, Experts: 32, SlotsOfRank: 5}, 1)
 	var p Planner
 	cheap, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cheap.Reason).To(Equal(ReasonPays))
 	in.CostWeights.Move = 1e6
-	dear, err := p.Plan(in)
+	costly, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(dear.Map).To(BeNil())
-	g.Expect(dear.Reason).To(Equal(ReasonTooCostly))
+	g.Expect(costly.Map).To(BeNil())
+	g.Expect(costly.Reason).To(Equal(ReasonTooCostly))
 }
 
-func TestSlowRankIsFoundAndGetsLess(t *testing.T) {
+// A rank at 0.7 of the usual speed must be reported as a straggler and get less load.
+func TestSlowRankIsAStragglerAndGetsLessLoad(t *testing.T) {
 	g := NewWithT(t)
-	in := unevenInput(Shape{Ranks: 8, Layers: 8, Experts: 32, SlotsOfRank: 5}, 2)
+	in := newUnevenInput(Shape{Ranks: 8, Layers: 8, Experts: 32, SlotsOfRank: 5}, 2)
 	tokens := make([]float64, 8)
 	seconds := make([]float64, 8)
 	var speeds SpeedEstimator
@@ -88,11 +91,12 @@
 	plan, err := p.Plan(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	split := plan.Map.SplitLoads(in.Loads)
-	of := func(r int) float64 { return sum(plan.Map.RankLoads(r, split)) }
-	g.Expect(of(3)).To(BeNumerically("<", 0.8*of(2)))
+	loadOfRank := func(r int) float64 { return sum(plan.Map.RankLoads(r, split)) }
+	g.Expect(loadOfRank(3)).To(BeNumerically("<", 0.8*loadOfRank(2)))
 }
 
-func TestReportsRoundByLittle(t *testing.T) {
+// The rounding error of encoded loads must stay within 2.2 %.
+func TestEncodedLoadsAreWithinTheRoundingError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		loads := rapid.SliceOfN(rapid.Float64Range(0.01, 500), 1, 200).Draw(t, "loads")
--- a/expert/grouplog.go
+++ b/expert/planhistory.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Outcomes of plans; a failed switch has its error instead.
+// Outcomes of plans. The outcome of a failed switch is the text of its error.
 const (
 	OutcomeMapKept  = "map kept"
 	OutcomeSwitched = "switched"
 )
 
-// keptPlans is how many plans a PlanHistory remembers.
-const keptPlans = 8
+// maxPlans is the number of plans in a PlanHistory.
+const maxPlans = 8
 
-// PlanRow is one plan as operators see it.
+// PlanRow is one plan as shown to operators.
 type PlanRow struct {
 	At             time.Time
 	SkewBefore     float64
@@ -26,27 +26,27 @@
 	SkewLowerBound float64
 	Moves          int
 	Gigabytes      float64
-	Gain           float64 // in the unit of CostWeights
+	Gain           float64 // in units of CostWeights, as Price
 	Price          float64
 	Reason         Reason
 	Outcome        string
 }
 
-// PlanHistory is what an owner remembers of a group for status.
+// PlanHistory is the state of a group that its owner shows in its status.
 type PlanHistory struct {
 	Group      string
 	Map        uint64
 	Stragglers []int
-	Plans      []PlanRow // newest last
+	Plans      []PlanRow // latest last
 }
 
-// AddPlan books a plan.
-func (l *PlanHistory) AddPlan(group string, mapID uint64, at time.Time, p *Plan, outcome string, stragglers []int) {
-	l.Group, l.Map, l.Stragglers = group, mapID, stragglers
-	if len(l.Plans) == keptPlans {
-		l.Plans = slices.Delete(l.Plans, 0, 1)
+// AddPlan adds a plan and updates the group's map and stragglers.
+func (h *PlanHistory) AddPlan(group string, mapID uint64, at time.Time, p *Plan, outcome string, stragglers []int) {
+	h.Group, h.Map, h.Stragglers = group, mapID, stragglers
+	if len(h.Plans) == maxPlans {
+		h.Plans = slices.Delete(h.Plans, 0, 1)
 	}
-	l.Plans = append(l.Plans, PlanRow{
+	h.Plans = append(h.Plans, PlanRow{
 		At:             at,
 		SkewBefore:     p.SkewBefore,
 		SkewAfter:      p.SkewAfter,
@@ -61,31 +61,31 @@
 }
 
 // Clone returns a copy that shares no memory.
-func (l *PlanHistory) Clone() PlanHistory {
-	c := *l
-	c.Plans = slices.Clone(l.Plans)
-	c.Stragglers = slices.Clone(l.Stragglers)
+func (h *PlanHistory) Clone() PlanHistory {
+	c := *h
+	c.Plans = slices.Clone(h.Plans)
+	c.Stragglers = slices.Clone(h.Stragglers)
 	return c
 }
 
-// WriteMapStatus writes what `status maps` shows.
-func WriteMapStatus(w io.Writer, logs []PlanHistory) error {
-	slices.SortFunc(logs, func(a, b PlanHistory) int { return cmp.Compare(a.Group, b.Group) })
+// WriteMapStatus writes the output of `status maps`.
+func WriteMapStatus(w io.Writer, histories []PlanHistory) error {
+	slices.SortFunc(histories, func(a, b PlanHistory) int { return cmp.Compare(a.Group, b.Group) })
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for i := range logs {
-		l := &logs[i]
-		fmt.Fprintf(tw, "group %s\tmap %016x\n", l.Group, l.Map)
-		for _, r := range l.Stragglers {
+	for i := range histories {
+		h := &histories[i]
+		fmt.Fprintf(tw, "group %s\tmap %016x\n", h.Group, h.Map)
+		for _, r := range h.Stragglers {
 			fmt.Fprintf(tw, "  rank %d is slow for long: replace its VM\n", r)
 		}
 		fmt.Fprintln(tw, "  at\tskew\tplanned\tbound\tmoves\tGB\tgain\tprice\treason\toutcome")
-		for _, p := range l.Plans {
+		for _, p := range h.Plans {
 			fmt.Fprintf(tw, "  %s\t%.3f\t%.3f\t%.3f\t%d\t%.2f\t%.2f\t%.2f\t%s\t%s\n", p.At.UTC().Format(time.TimeOnly),
 				p.SkewBefore, p.SkewAfter, p.SkewLowerBound, p.Moves, p.Gigabytes, p.Gain, p.Price, p.Reason, p.Outcome)
 		}
 	}
 	if err := tw.Flush(); err != nil {
-		return fmt.Errorf("write maps: %w", err)
+		return fmt.Errorf("write map status: %w", err)
 	}
 	return nil
 }
--- a/expert/position.go
+++ b/expert/position.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// Ballot numbers an attempt to switch a group. Owner keeps two orderers'
-// ballots apart.
+// Ballot identifies an attempt to switch a group. Owner differs between coordinators, so that no
+// two of them use the same ballot. The fields are encoded as JSON under their Go names.
 type Ballot struct {
 	Round uint64
 	Owner uint64
 }
 
-// Less orders ballots.
+// Less orders ballots by round, then by owner.
 func (b Ballot) Less(o Ballot) bool {
 	if b.Round != o.Round {
 		return b.Round < o.Round
@@ -20,18 +20,18 @@
 	return b.Owner < o.Owner
 }
 
-// Segment says which map is in use from a step on.
+// Segment is the map in use from a step on.
 type Segment struct {
 	From uint64
 	Map  MapID
 }
 
-// Schedule is a list of segments in the order of their steps.
+// Schedule is a list of segments sorted by step.
 type Schedule []Segment
 
-// at returns the map in use at a step, or otherwise if no segment covers it.
-func (s Schedule) at(step uint64, otherwise MapID) MapID {
-	m := otherwise
+// mapAt returns the map in use at a step, or fallback if no segment covers the step.
+func (s Schedule) mapAt(step uint64, fallback MapID) MapID {
+	m := fallback
 	for _, seg := range s {
 		if seg.From > step {
 			break
@@ -41,50 +41,52 @@
 	return m
 }
 
-// HoldToken names the hold that an order belongs to: an agent's run and a ballot.
+// HoldToken is the fencing token of a hold: the incarnation of the agent and the ballot.
 type HoldToken struct {
 	Incarnation uint64
 	Ballot      Ballot
 }
 
-// Position is where an engine stands in the lock-step of its group. It survives
-// a restart of the agent, not one of the engine. Its methods are the contract
-// that an engine must meet; each is one atomic step.
+// Position is the state of one engine in the lock-step of its group. It survives a restart of the
+// agent, but not of the engine. Its methods are the contract that an engine must meet; each of them
+// is atomic. The fields are encoded as JSON under their Go names.
 type Position struct {
-	Start  uint64 // names this run of the engine; differs after a restart
-	Joined bool   // false after a restart: no order to enter a step has come yet
-	Next   uint64 // next step to enter
-	Inside bool   // step Next-1 was entered and is not complete here
-	Map    MapID  // in use in step Next-1; 0: no step was entered since the start
-	Plan   Schedule
+	Start  uint64   // id of this run of the engine; changes when the engine restarts
+	Joined bool     // false after a restart, until a release lets the engine enter steps
+	Next   uint64   // next step to enter
+	Inside bool     // step Next-1 was entered and is not complete on this rank
+	Map    MapID    // map of step Next-1; 0: no step was entered since the start
+	Plan   Schedule // planned changes of map
 	Held   bool
-	HoldAt uint64    // this step is not entered while Held
-	Token  HoldToken // of the newest hold
+	HoldAt uint64    // while Held, this step is not entered
+	Token  HoldToken // of the latest hold
 }
 
-// Reasons why an engine refuses an order.
+// Reasons for which an engine refuses a request. Their texts are sent over the wire
+// (outside.RankReply) and must not change.
 var (
 	ErrEngineRestarted = errors.New("engine has restarted since the order was made")
 	ErrHoldSuperseded  = errors.New("another hold was placed since the order was made")
 )
 
-// Hold stops the engine before a step: at, or the next one if at has passed. An
-// earlier hold stays where it is. A hold never lies behind a planned change of
-// map that has not happened: whoever holds may cancel it, so it must not happen
-// between the answer to the hold and the decision.
+// Hold stops the engine before step at, or before its next step if at has passed. It never moves an
+// earlier hold to a later step. The hold takes effect no later than the first planned change of map
+// that has not happened: the coordinator of the hold may cancel that change, so it must not happen
+// between the reply to the hold and the decision.
 func (p *Position) Hold(t HoldToken, at uint64) {
 	p.Token = t
 	at = max(at, p.Next)
 	if p.Held {
 		at = min(at, p.HoldAt)
 	}
-	p.HoldAt = min(at, p.change())
+	p.HoldAt = min(at, p.nextMapChange())
 	p.Held = true
 }
 
-// change returns the first step whose planned map differs from the current one.
-func (p *Position) change() uint64 {
-	if p.Plan.at(p.Next, p.Map) != p.Map {
+// nextMapChange returns the first step whose planned map differs from the current one, or
+// math.MaxUint64.
+func (p *Position) nextMapChange() uint64 {
+	if p.Plan.mapAt(p.Next, p.Map) != p.Map {
 		return p.Next
 	}
 	for _, seg := range p.Plan {
@@ -95,22 +97,22 @@
 	return math.MaxUint64
 }
 
-// Release ends the hold: the engine follows the schedule. An engine that has
-// entered no step since its start begins with step join, also if an earlier
-// release named another: the group may have gone on without it.
+// Release ends the hold and makes the engine follow the schedule. An engine that has entered no step
+// since its start begins with joinStep, even if an earlier release set another step, since the
+// group may have gone on without this engine.
 //
-// An order can lie in the buffer of a stalled engine while its agent dies and
-// the next one holds for a new ballot; taken up afterwards it would end the new
-// hold with the old ballot's map. The token excludes that.
-func (p *Position) Release(t HoldToken, start uint64, s Schedule, join uint64) error {
-	if start != p.Start {
+// A release can wait in the buffer of a stalled engine while its agent dies and the next agent
+// holds the engine for a new ballot. It would then end the new hold with the map of the old ballot.
+// The token prevents this.
+func (p *Position) Release(t HoldToken, engineRun uint64, s Schedule, joinStep uint64) error {
+	if engineRun != p.Start {
 		return ErrEngineRestarted
 	}
 	if t != p.Token {
 		return ErrHoldSuperseded
 	}
 	if p.Map == 0 {
-		p.Next = join
+		p.Next = joinStep
 	}
 	p.Joined = true
 	p.Plan = s
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// Lift ends a hold as if it had never been.
+// Lift ends the hold and changes nothing else.
 func (p *Position) Lift(t HoldToken) error {
 	if t != p.Token {
 		return ErrHoldSuperseded
@@ -127,14 +129,14 @@
 	return nil
 }
 
-// CanEnterStep tells whether the engine itself would enter its next step.
+// CanEnterStep reports whether the engine may enter its next step, as far as its own state goes.
 func (p *Position) CanEnterStep() bool {
 	return p.Joined && !p.Inside && (!p.Held || p.Next < p.HoldAt)
 }
 
-// EnterStep begins the next step and returns the map in use.
+// EnterStep enters the next step and returns the map in use.
 func (p *Position) EnterStep() MapID {
-	p.Map = p.Plan.at(p.Next, p.Map)
+	p.Map = p.Plan.mapAt(p.Next, p.Map)
 	if n := len(p.Plan); n > 0 && p.Plan[n-1].From <= p.Next {
 		p.Plan = nil
 	}
@@ -143,10 +145,10 @@
 	return p.Map
 }
 
-// CompleteStep ends the step that the engine is inside.
+// CompleteStep completes the current step.
 func (p *Position) CompleteStep() { p.Inside = false }
 
-// AfterRestart returns the state of an engine that lost its memory.
+// AfterRestart returns the position of the engine after a restart, in which it loses its state.
 func (p *Position) AfterRestart() Position {
 	return Position{Start: p.Start + 1}
 }
--- a/expert/rank.go
+++ b/expert/rank.go
@@ -5,86 +5,86 @@
 	"fmt"
 )
 
-// Engine takes the orders that an agent gives on behalf of an orderer.
+// Engine is the engine of one rank. Its agent calls it on behalf of a coordinator.
 type Engine interface {
 	// Hold implements Position.Hold and returns the position before and after.
 	Hold(t HoldToken, at uint64) (before, after Position, err error)
 	// Release implements Position.Release.
-	Release(t HoldToken, start uint64, s Schedule, join uint64) error
+	Release(t HoldToken, engineRun uint64, s Schedule, joinStep uint64) error
 	// Lift implements Position.Lift.
 	Lift(t HoldToken) error
 }
 
-// HoldRequest asks a rank to promise a ballot and to hold.
+// HoldRequest asks a rank to promise a ballot and to stop before step HoldAt.
 type HoldRequest struct {
 	Ballot Ballot
 	HoldAt uint64
 }
 
-// HoldReply is a rank's promise. While it holds, the rank uses Map in every step
-// from the one it is in to the one before HoldAt, and goes no further.
+// HoldReply is the promise of a rank. While held, the rank uses Map in every step from its current
+// one to the one before HoldAt, and does not enter HoldAt.
 type HoldReply struct {
 	Incarnation uint64 // of the agent
-	EngineRun   uint64 // of the engine
-	Joined      bool   // the engine has entered a step since its start; else NextStep and Map say nothing
-	NextStep    uint64
-	InStep      bool
+	EngineRun   uint64 // id of the engine's run; changes when the engine restarts
+	Joined      bool   // the engine has entered a step since its start; if false, NextStep and Map are unset
+	NextStep    uint64 // next step to enter
+	InStep      bool   // step NextStep-1 was entered and is not complete
 	Map         MapID
 	HoldAt      uint64
-	Loaded      []MapID // maps whose weights the rank holds
+	Loaded      []MapID // maps whose weights the rank has loaded; nil: not known
 }
 
-// Decision ends a ballot.
+// Decision is the outcome of a ballot.
 type Decision struct {
 	Ballot   Ballot
 	Schedule Schedule
-	JoinStep uint64 // first step of a rank that has restarted
+	JoinStep uint64 // first step of a rank whose engine has restarted
 }
 
-// Reasons why a rank refuses an order.
+// Reasons for which a rank refuses a request.
 var (
-	ErrBallotSuperseded = errors.New("a higher ballot was promised")
-	ErrNotHeld          = errors.New("not held by this ballot")
-	ErrAgentRestarted   = errors.New("the agent has restarted since it promised")
+	ErrBallotSuperseded = errors.New("a higher ballot has been promised")
+	ErrNotHeld          = errors.New("rank is not held by this ballot")
+	ErrAgentRestarted   = errors.New("agent has restarted since its promise")
 )
 
-// RankState is the memory of one rank's agent. It is lost when the agent restarts.
+// RankState is the protocol state of one rank's agent. It is kept in memory and lost when the
+// agent restarts.
 type RankState struct {
 	Incarnation uint64
 	Promised    Ballot
-	HeldBy      Ballot // zero: no hold of a ballot that this agent remembers
-	WasRunning  bool   // the engine ran freely until HeldBy came
-	reply       HoldReply
+	HeldBy      Ballot // zero: this agent knows of no hold
+	WasRunning  bool   // the engine had joined and was not held when HeldBy began its hold
+	lastReply   HoldReply
 }
 
-// NewRankState returns the memory of an agent that has just started.
+// NewRankState returns the state of an agent that has just started.
 func NewRankState(incarnation uint64) RankState { return RankState{Incarnation: incarnation} }
 
-func (r *RankState) token(b Ballot) HoldToken {
+func (r *RankState) holdToken(b Ballot) HoldToken {
 	return HoldToken{Incarnation: r.Incarnation, Ballot: b}
 }
 
-// Hold promises a ballot and holds the engine. A repeated order gets the same
-// reply, so that a lost one can be asked for again, unless the engine has
-// restarted in between.
-func (r *RankState) Hold(e Engine, o HoldRequest) (HoldReply, error) {
-	repeated := o.Ballot == r.Promised && o.Ballot != Ballot{}
+// Hold promises a ballot and holds the engine. A repeated request gets the same reply, so that a
+// lost reply can be requested again, unless the engine has restarted in between.
+func (r *RankState) Hold(e Engine, req HoldRequest) (HoldReply, error) {
+	repeated := req.Ballot == r.Promised && req.Ballot != Ballot{}
 	switch {
-	case o.Ballot.Less(r.Promised):
+	case req.Ballot.Less(r.Promised):
 		return HoldReply{}, fmt.Errorf("%w: %+v", ErrBallotSuperseded, r.Promised)
-	case repeated && r.HeldBy != o.Ballot:
-		return HoldReply{}, ErrNotHeld // decided or withdrawn here: a late copy must not hold again
+	case repeated && r.HeldBy != req.Ballot:
+		return HoldReply{}, ErrNotHeld // the ballot has ended on this rank: a late copy of the request must not hold again
 	}
-	before, after, err := e.Hold(r.token(o.Ballot), o.HoldAt)
+	before, after, err := e.Hold(r.holdToken(req.Ballot), req.HoldAt)
 	if err != nil {
 		return HoldReply{}, err
 	}
-	if repeated && after.Start == r.reply.EngineRun {
-		return r.reply, nil
+	if repeated && after.Start == r.lastReply.EngineRun {
+		return r.lastReply, nil
 	}
-	r.Promised, r.HeldBy = o.Ballot, o.Ballot
+	r.Promised, r.HeldBy = req.Ballot, req.Ballot
 	r.WasRunning = !repeated && !before.Held && before.Joined
-	r.reply = HoldReply{
+	r.lastReply = HoldReply{
 		Incarnation: r.Incarnation,
 		EngineRun:   after.Start,
 		Joined:      after.Map != 0,
@@ -93,17 +93,18 @@
 		Map:         after.Map,
 		HoldAt:      after.HoldAt,
 	}
-	return r.reply, nil
+	return r.lastReply, nil
 }
 
-// Confirm tells an orderer that already has every rank's reply that this rank is
-// still the one that gave its own, and still held by the ballot.
+// Confirm succeeds if this agent has not restarted since it replied with the given incarnation and
+// the ballot still holds the rank. A coordinator asks for confirmations once it has the replies of
+// all ranks.
 //
-// Agents keep promises in memory. One that promises a high ballot, restarts, and
-// then answers a lower one would let both be decided: the high one has the old
-// reply, the low one the new. Confirmed, a ballot has an instant at which all
-// ranks were held by it and no other, and two ballots can't share one; whatever
-// the earlier one decided shows in the replies to the later.
+// Agents keep promises in memory. Without confirmations, an agent could promise a high ballot,
+// restart and then reply to a lower ballot, and both ballots would be decided: one with the old
+// reply, one with the new. With them, there is an instant at which one ballot holds all ranks. Two
+// ballots cannot share such an instant, so the replies to the later ballot include the effects of
+// the earlier decision.
 func (r *RankState) Confirm(b Ballot, incarnation uint64) error {
 	switch {
 	case incarnation != r.Incarnation:
@@ -114,11 +115,11 @@
 	return nil
 }
 
-// Decide obeys a decision if it is of the ballot that holds the engine, and was
-// made from a reply of this very agent and engine: the reply's Incarnation and
-// EngineRun come back with it. An agent that restarted may be held by the same ballot
-// once more, with its engine somewhere else than the decision assumes.
-func (r *RankState) Decide(e Engine, d Decision, incarnation, start uint64) error {
+// Decide applies a decision if its ballot holds the engine and if this agent and this run of the
+// engine gave the reply that the decision is based on: incarnation and engineRun are taken from
+// that reply. After a restart of the agent the same ballot may hold the rank once more, at a step
+// that the decision does not assume.
+func (r *RankState) Decide(e Engine, d Decision, incarnation, engineRun uint64) error {
 	switch {
 	case incarnation != r.Incarnation:
 		return ErrAgentRestarted
@@ -127,19 +128,18 @@
 	case r.HeldBy != d.Ballot:
 		return ErrNotHeld
 	}
-	if err := e.Release(r.token(d.Ballot), start, d.Schedule, d.JoinStep); err != nil {
+	if err := e.Release(r.holdToken(d.Ballot), engineRun, d.Schedule, d.JoinStep); err != nil {
 		return err
 	}
 	r.HeldBy = Ballot{}
 	return nil
 }
 
-// Withdraw lifts the hold of a ballot that will never decide. A hold that was
-// there before stays: it may belong to a decision that others already follow.
+// Withdraw lifts the hold of a ballot that will not be decided. A hold that existed before this
+// ballot stays, as it may belong to a decision that other ranks already follow.
 //
-// The withdrawal can overtake the order to hold. The order would then hold the
-// rank for nobody, until a rescue; so a free rank takes the ballot as promised
-// and over.
+// The withdrawal can arrive before the hold request, which would then hold the rank until a
+// recovery. A rank that is not held therefore records the ballot as promised and ended.
 func (r *RankState) Withdraw(e Engine, b Ballot) error {
 	if r.HeldBy == (Ballot{}) && r.Promised.Less(b) {
 		r.Promised = b
@@ -151,7 +151,7 @@
 	if !r.WasRunning {
 		return ErrNotHeld
 	}
-	if err := e.Lift(r.token(b)); err != nil {
+	if err := e.Lift(r.holdToken(b)); err != nil {
 		return err
 	}
 	r.HeldBy = Ballot{}
--- a/expert/report.go
+++ b/expert/report.go
@@ -2,80 +2,80 @@
 
 import "math"
 
-// A rank reports the tokens of its slots in one byte each: the share of its
-// busiest slot, in sixteenths of an octave. Rounding errs by 2.2 % at most.
+// A rank reports the load of each slot in one byte: its share of the load of the busiest slot, on a
+// logarithmic scale of sixteen bands per octave. The rounding error is 2.2 % at most.
 const (
-	bandsOfOctave = 16
-	silentBand    = 255 // no tokens, or fewer than 1/60000 of the busiest slot's
+	bandsPerOctave = 16
+	zeroBand       = 255 // no load, or less than 1/60000 of the busiest slot's
 )
 
-// EncodeLoads packs slot loads; unit is the busiest slot's.
+// EncodeLoads encodes slot loads as bands; unit is the load of the busiest slot.
 func EncodeLoads(loads []float64) (unit float64, bands []byte) {
 	for _, v := range loads {
 		unit = max(unit, v)
 	}
 	bands = make([]byte, len(loads))
 	for i, v := range loads {
-		bands[i] = silentBand
+		bands[i] = zeroBand
 		if v > 0 {
-			bands[i] = byte(min(silentBand, math.Round(-math.Log2(v/unit)*bandsOfOctave)))
+			bands[i] = byte(min(zeroBand, math.Round(-math.Log2(v/unit)*bandsPerOctave)))
 		}
 	}
 	return unit, bands
 }
 
-// DecodeLoads undoes EncodeLoads.
+// DecodeLoads decodes the result of EncodeLoads.
 func DecodeLoads(unit float64, bands []byte) []float64 {
 	loads := make([]float64, len(bands))
 	AddLoads(loads, unit, bands)
 	return loads
 }
 
-// AddLoads adds loads that EncodeLoads packed to a sum over the same slots.
+// AddLoads decodes the result of EncodeLoads and adds the loads to sum, slot by slot.
 func AddLoads(sum []float64, unit float64, bands []byte) {
 	for i, b := range bands {
 		sum[i] += unit * bandShares[b]
 	}
 }
 
-// Coarse bands are half octaves, two of them in a byte. Rounding errs by 19 % at most, which
-// cancels out where many ranks' loads are added up, and halves the bytes of those that are
-// most of the ranks.
+// Coarse bands are half octaves, two of them in a byte. The rounding error is 19 % at most, which
+// cancels out where the loads of many ranks are added. It halves the size of the reports of most
+// ranks.
 const (
-	coarseStep   = bandsOfOctave / 2
-	coarseSilent = 15 // no tokens, or fewer than 1/128 of the busiest slot's
+	bandsPerCoarseBand = bandsPerOctave / 2
+	coarseZero         = 15 // no load, or less than 1/128 of the busiest slot's
 )
 
-// PackCoarse returns bands at half the bytes.
+// PackCoarse converts bands to coarse bands, two in a byte.
 func PackCoarse(bands []byte) []byte {
 	packed := make([]byte, (len(bands)+1)/2)
 	for i, b := range bands {
-		c := min((b/coarseStep)+(b%coarseStep)/(coarseStep/2), coarseSilent)
+		c := min((b/bandsPerCoarseBand)+(b%bandsPerCoarseBand)/(bandsPerCoarseBand/2), coarseZero)
 		packed[i/2] |= c << (4 * (i % 2))
 	}
 	return packed
 }
 
-// AddCoarse is AddLoads for bands that PackCoarse packed.
+// AddCoarse is AddLoads for the result of PackCoarse.
 func AddCoarse(sum []float64, unit float64, packed []byte) {
 	for i := range sum {
-		if c := packed[i/2] >> (4 * (i % 2)) & 0xf; c < coarseSilent {
-			sum[i] += unit * bandShares[c*coarseStep]
+		if c := packed[i/2] >> (4 * (i % 2)) & 0xf; c < coarseZero {
+			sum[i] += unit * bandShares[c*bandsPerCoarseBand]
 		}
 	}
 }
 
-// bandShares are the loads of the bands, in units. A leader of 64 ranks decodes
-// thousands of bands several times a second; the exponential takes ten times as
-// long as the table.
-var bandShares = func() (shares [silentBand + 1]float64) {
-	for b := range silentBand {
-		shares[b] = math.Exp2(-float64(b) / bandsOfOctave)
+// bandShares holds the load of each band as a share of the unit. A leader of 64 ranks decodes
+// thousands of bands several times a second, and computing the exponential takes ten times as long
+// as the table.
+var bandShares = func() (shares [zeroBand + 1]float64) {
+	for b := range zeroBand {
+		shares[b] = math.Exp2(-float64(b) / bandsPerOctave)
 	}
 	return shares
 }()
 
-// RankLoads gives one rank's slot loads, layer by layer, from those of all slots.
+// RankLoads extracts the slot loads of one rank, ordered by layer, from the loads of all slots.
 func (m *Map) RankLoads(rank int, slots []float64) []float64 {
 	k, n := m.Shape.SlotsOfRank, m.Shape.Slots()
 	out := make([]float64, 0, m.Shape.Layers*k)
@@ -85,7 +85,7 @@
 	return out
 }
 
-// AddRankLoads adds one rank's slot loads to the loads of the experts.
+// AddRankLoads adds the slot loads of one rank to the loads of the experts.
 func (m *Map) AddRankLoads(rank int, slots, experts []float64) {
 	s := m.Shape
 	for l := range s.Layers {
@@ -95,8 +95,7 @@
 	}
 }
 
-// SplitLoads returns the load of each slot of the map: an expert's copies share
-// its load evenly.
+// SplitLoads returns the load of each slot of the map. The copies of an expert share its load evenly.
 func (m *Map) SplitLoads(experts []float64) []float64 {
 	s := m.Shape
 	copies := make([]int, s.Experts)
--- a/expert/report_test.go
+++ b/expert/report_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The loads of many ranks are added up from coarse bands. Each is off by up to a fifth, and
-// the sum must not be, or maps are made for a demand that nobody has.
-func TestCoarseBandsAddUpToTheLoads(t *testing.T) {
+// A coarse band is off by up to 19 %. The errors must cancel out in the sum over many ranks, or maps
+// are planned for wrong loads.
+func TestSumOfCoarseBandsIsCloseToTheLoads(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 3))
 	const experts, ranks = 257, 64
--- a/expert/switch_test.go
+++ b/expert/switch_test.go
@@ -12,27 +12,27 @@
 	deepStates  = 5_000_000
 )
 
-// Two orderers want different maps; maps 1 and 2, ranks 3. The numbers of the
-// cases are what an ordinary run can wait for; -deep searches further.
+// Two coordinators want different maps (1 and 2) on 3 ranks. The cases are small enough for an
+// ordinary test run; -deep searches further.
 var (
-	duel       = bounds{steps: 2, at: []uint64{1, 2}, want: []MapID{2, 1}}
-	agentDies  = bounds{steps: 1, at: []uint64{0, 0}, want: []MapID{2, 1}, agentRestarts: 1}
-	engineDies = bounds{steps: 1, at: []uint64{0, 0}, want: []MapID{2, 1}, engineRestarts: 1}
+	duel       = bounds{steps: 2, holdAt: []uint64{1, 2}, wantedMaps: []MapID{2, 1}}
+	agentDies  = bounds{steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}, agentRestarts: 1}
+	engineDies = bounds{steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}, engineRestarts: 1}
 )
 
-var deep = flag.Bool("deep", false, "search further than an ordinary run can wait for")
+var deepSearch = flag.Bool("deep", false, "run searches that take too long for an ordinary test run")
 
-// In every step, all ranks of a group use one map, and the group can always go on.
-// Orders are lost, doubled, late and reordered; orderers die or duel; agents lose
-// their promises and engines their maps. The search tries all interleavings.
+// All ranks of a group must use one map in every step, and the group must always be able to advance.
+// The search tries all interleavings of lost, repeated, late and reordered messages, competing
+// coordinators and restarts of agents and engines.
 func TestSwitchModel(t *testing.T) {
 	cases := map[string]bounds{"duel": duel, "agent dies": agentDies, "engine dies": engineDies}
-	if *deep {
+	if *deepSearch {
 		cases = map[string]bounds{
-			"agent dies, two steps":  {steps: 2, at: []uint64{1, 1}, want: []MapID{2, 1}, agentRestarts: 1},
-			"engine dies, two steps": {steps: 2, at: []uint64{1, 1}, want: []MapID{2, 1}, engineRestarts: 1},
-			"agent and engine die":   {steps: 1, at: []uint64{0, 0}, want: []MapID{2, 1}, agentRestarts: 1, engineRestarts: 1},
-			"duel over three steps":  {steps: 3, at: []uint64{1, 2}, want: []MapID{2, 1}},
+			"agent dies, two steps":  {steps: 2, holdAt: []uint64{1, 1}, wantedMaps: []MapID{2, 1}, agentRestarts: 1},
+			"engine dies, two steps": {steps: 2, holdAt: []uint64{1, 1}, wantedMaps: []MapID{2, 1}, engineRestarts: 1},
+			"agent and engine die":   {steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}, agentRestarts: 1, engineRestarts: 1},
+			"duel over three steps":  {steps: 3, holdAt: []uint64{1, 2}, wantedMaps: []MapID{2, 1}},
 		}
 	}
 	for name, b := range cases {
@@ -40,7 +40,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			b.maxStates = modelStates
-			if *deep {
+			if *deepSearch {
 				b.maxStates = deepStates
 			}
 			states, err := explore(b)
@@ -50,23 +50,23 @@
 	}
 }
 
-// A search that can't convict proves nothing: each case takes one safeguard out
-// and must end with two maps in a step, or with a group that can't go on.
+// The search must detect a missing safeguard. Each case switches one off and must end with two maps in
+// a step or with a group that cannot advance.
 func TestSwitchModelConvicts(t *testing.T) {
-	forgetful := agentDies
-	forgetful.noWithdrawals = true
-	small := bounds{steps: 1, at: []uint64{0, 0}, want: []MapID{2, 1}}
+	agentDiesOnly := agentDies
+	agentDiesOnly.noWithdrawals = true
+	small := bounds{steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}}
 	cases := map[variant]bounds{
-		ignorePromise:     small,
-		ignoreIncarnation: forgetful,
-		skipConfirm:       forgetful,
-		ignoreMissing:     small,
-		ignorePassed:      small,
-		ignorePlanned:     duel,
-		decideWithdrawn:   engineDies,
-		liftAnyHold:       small,
-		joinAlone:         engineDies,
-		ignoreHold:        small,
+		ignorePromise:       small,
+		ignoreIncarnation:   agentDiesOnly,
+		skipConfirm:         agentDiesOnly,
+		ignoreMissing:       small,
+		forgetEarlierSteps:  small,
+		ignorePlanned:       duel,
+		decideWithdrawn:     engineDies,
+		liftAnyHold:         small,
+		rejoinUncoordinated: engineDies,
+		ignoreHold:          small,
 	}
 	for v, b := range cases {
 		t.Run(string(v), func(t *testing.T) {
@@ -74,7 +74,7 @@
 			g := NewWithT(t)
 			b.variant, b.maxStates = v, modelStates
 			states, err := explore(b)
-			g.Expect(err).To(Or(MatchError(errMixedStep), MatchError(ErrConflictingMaps), MatchError(errStuck)))
+			g.Expect(err).To(Or(MatchError(errMixedStep), MatchError(ErrConflictingMaps), MatchError(errNoProgress)))
 			t.Logf("%d states", states)
 		})
 	}
