--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,32 +15,32 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders belong to one connection and are not forwarded to the caller.
+var hopByHopHeaders = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "transfer-encoding": true,
 	"content-length": true, "te": true, "trailer": true, "upgrade": true, "date": true, "server": true,
 }
 
-// streamsEvents tells whether an answer is a stream of server-sent events.
-func streamsEvents(a *wire.Answer) bool {
+// isEventStream reports whether an answer is a stream of server-sent events.
+func isEventStream(a *wire.Answer) bool {
 	return slices.ContainsFunc(a.Headers, func(h wire.Header) bool {
-		return strings.EqualFold(h.Name, fiber.HeaderContentType) && strings.HasPrefix(h.Value, eventStream)
+		return strings.EqualFold(h.Name, fiber.HeaderContentType) && strings.HasPrefix(h.Value, eventStreamType)
 	})
 }
 
-// answer hands the exchange to the library as a body that it reads while it
-// writes to the caller: a slow caller holds back the target, and a body that
-// ends with an error closes the connection instead of looking complete.
-func (e *Entry) answer(c fiber.Ctx, b *answerBody) {
+// streamAnswer hands the answer to the HTTP library as a body that the library reads while it
+// writes to the caller. A slow caller thus slows down its target, and a body that ends with
+// an error closes the connection instead of looking complete.
+func (e *Entry) streamAnswer(c fiber.Ctx, b *answerBody) {
 	resp := c.Response()
-	resp.SetStatusCode(b.x.Answer.Status)
-	for _, h := range b.x.Answer.Headers {
-		if !hopHeaders[strings.ToLower(h.Name)] {
+	resp.SetStatusCode(b.exchange.Answer.Status)
+	for _, h := range b.exchange.Answer.Headers {
+		if !hopByHopHeaders[strings.ToLower(h.Name)] {
 			resp.Header.Add(h.Name, h.Value)
 		}
 	}
-	b.sse = streamsEvents(&b.x.Answer)
-	resp.Header.Set(HeaderTarget, b.x.Target)
+	b.sse = isEventStream(&b.exchange.Answer)
+	resp.Header.Set(HeaderTarget, b.exchange.Target)
 	resp.Header.Set(HeaderRun, result.RunDone.String())
 	if conn, ok := c.RequestCtx().Conn().(*callers.Conn); ok {
 		b.conn = conn
@@ -49,116 +49,116 @@
 	resp.SetBodyStream(b, -1)
 }
 
-const eventStream = "text/event-stream"
+const eventStreamType = "text/event-stream"
 
-// answerBody is an answer on its way to the caller.
+// answerBody is the body of an answer that is being streamed to the caller.
 type answerBody struct {
-	entry  *Entry
-	call   *Call
-	x      *Exchange
-	conn   *callers.Conn // gathers what is written; nil if it can't
-	done   func()
-	begun  time.Time
-	last   time.Time // arrival of the latest chunk; zero before the first
-	chunk  []byte    // the latest bytes of the answer
-	rest   []byte    // what of them the caller does not have yet
-	sse    bool
-	failed error
+	entry       *Entry
+	call        *Call
+	exchange    *Exchange
+	conn        *callers.Conn // buffers writes; nil if the connection cannot
+	onClose     func()
+	startedAt   time.Time
+	lastChunkAt time.Time // zero before the first chunk
+	chunk       []byte    // the latest bytes of the answer
+	unsent      []byte    // the part of chunk that has not been read by the library
+	sse         bool
+	endErr      error
 
-	chunkSeen bool // bytes of the answer have come
-	begunBody bool // the caller has the first of them
+	hasData        bool // bytes of the answer have arrived
+	hasFlushedData bool // the first bytes have been flushed to the caller
 }
 
 // Read implements io.Reader.
 func (b *answerBody) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.unsent) == 0 {
 		wire.Free(b.chunk)
 		b.chunk = nil
-		if b.failed != nil {
-			return 0, b.failed
+		if b.endErr != nil {
+			return 0, b.endErr
 		}
 		if err := b.flushBeforeWait(); err != nil {
-			b.end(result.New(result.CallerGone, "write: %w", err))
-			return 0, b.failed
+			b.endBody(result.New(result.CallerGone, "write to caller: %w", err))
+			return 0, b.endErr
 		}
-		data, err := b.x.Recv()
+		data, err := b.exchange.Recv()
 		if err != nil {
-			b.end(err)
+			b.endBody(err)
 			continue
 		}
-		b.observe()
-		b.chunk, b.rest = data, data
-		b.chunkSeen = true
+		b.recordEventTime()
+		b.chunk, b.unsent = data, data
+		b.hasData = true
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unsent)
+	b.unsent = b.unsent[n:]
 	return n, nil
 }
 
-// flushBeforeWait hands the caller all that it can have before more is awaited.
-// The first bytes never wait for others.
+// flushBeforeWait flushes buffered bytes to the caller before Read waits for more. The first
+// bytes of the answer are flushed at once.
 func (b *answerBody) flushBeforeWait() error {
-	if b.conn == nil || (b.begunBody && b.x.stream.Ready()) {
+	if b.conn == nil || (b.hasFlushedData && b.exchange.stream.Ready()) {
 		return nil
 	}
-	b.begunBody = b.chunkSeen
+	b.hasFlushedData = b.hasData
 	return b.conn.Flush()
 }
 
-// observe measures event streams: engines send about one event a token.
-func (b *answerBody) observe() {
+// recordEventTime measures the time to the first event and between events of an event
+// stream. Engines send about one event a token.
+func (b *answerBody) recordEventTime() {
 	if !b.sse {
 		return
 	}
 	now := time.Now()
-	if b.last.IsZero() {
-		b.entry.opts.Metrics.FirstToken(now.Sub(b.begun))
+	if b.lastChunkAt.IsZero() {
+		b.entry.opts.Metrics.FirstToken(now.Sub(b.startedAt))
 	} else {
-		b.entry.opts.Metrics.BetweenTokens(now.Sub(b.last))
+		b.entry.opts.Metrics.BetweenTokens(now.Sub(b.lastChunkAt))
 	}
-	b.last = now
+	b.lastChunkAt = now
 }
 
-// end decides how the body stops: cleanly, or with an error event (where the
-// caller reads events) and a cut connection.
-func (b *answerBody) end(err error) {
+// endBody sets how the body ends: cleanly, or with an error that closes the connection. An
+// event stream gets an error event first.
+func (b *answerBody) endBody(err error) {
 	if errors.Is(err, io.EOF) {
-		b.failed = io.EOF
-		b.finished(result.OK, "")
+		b.endErr = io.EOF
+		b.recordOutcome(result.OK, "")
 		return
 	}
-	b.failed = err
+	b.endErr = err
 	r := result.From(err)
-	b.finished(r.Code, r.Detail)
+	b.recordOutcome(r.Code, r.Detail)
 	if b.sse {
-		b.rest = fmt.Appendf(nil, "event: error\ndata: %s\n\n", errorJSON(r))
+		b.unsent = fmt.Appendf(nil, "event: error\ndata: %s\n\n", errorJSON(r))
 	}
 }
 
-// finished counts and logs the outcome.
-func (b *answerBody) finished(code result.Code, detail string) {
+// recordOutcome counts and logs the outcome of the request.
+func (b *answerBody) recordOutcome(code result.Code, detail string) {
 	b.entry.opts.Metrics.Result(code)
 	level := 1
 	if code != result.OK {
 		level = 0
 	}
 	b.entry.log.V(level).Info("answered", "request", b.call.ID, "team", b.call.Team, "service", b.call.Service,
-		"target", b.x.Target, "code", int(code), "reason", code.Info().Name, "detail", detail,
-		"ms", time.Since(b.begun).Milliseconds())
+		"target", b.exchange.Target, "code", int(code), "reason", code.Info().Name, "detail", detail,
+		"ms", time.Since(b.startedAt).Milliseconds())
 }
 
-// Close implements io.Closer; the library calls it when the answer is over. An
-// answer that has not ended by then is one that the caller did not want, or did
-// not read for too long.
+// Close implements io.Closer. The library calls it when the response is over. If the answer
+// has not ended by then, the caller closed the connection or did not read for too long.
 func (b *answerBody) Close() error {
-	if b.failed == nil {
-		b.finished(result.CallerGone, "caller stopped reading")
+	if b.endErr == nil {
+		b.recordOutcome(result.CallerGone, "caller stopped reading")
 	}
-	b.x.Close()
+	b.exchange.Close()
 	var err error
 	if b.conn != nil {
 		err = b.conn.Uncork()
 	}
-	b.done()
+	b.onClose()
 	return err
 }
--- a/entry/continue.go
+++ b/entry/continue.go
@@ -13,61 +13,62 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// textStream follows a streamed generation, so that it can go on elsewhere when
-// its target is lost: from the prompt and the text delivered so far, with what is
-// left of the token budget. Only whole events go to the caller.
+// textStream follows a streamed generation, so that it can continue on another target when its
+// target is lost. The continuation starts from the prompt and the text delivered so far, with
+// the rest of the token budget. Only complete events reach the caller.
 //
-// Continuing an aborted generation from prompt and partial tokens with a reduced
-// budget is described in "Separate-Async RL Training for Omni AR Models" (abort
-// semantics); docs/design/0003-retries.md has our figures for it.
+// Continuing an aborted generation from prompt and partial tokens with a reduced budget is
+// described in "Separate-Async RL Training for Omni AR Models" (abort semantics).
+// docs/design/0003-retries.md has measurements.
 type textStream struct {
-	partial  []byte // bytes of an event that is not whole yet
-	text     strings.Builder
-	tokens   int
-	complete bool // the end mark was seen
+	partialEvent []byte // bytes of an incomplete event
+	text         strings.Builder
+	tokenCount   int
+	hasEndMark   bool // the end mark has arrived
 }
 
 const (
-	eventEnd = "\n\n"
-	dataMark = "data:"
-	doneMark = "[DONE]"
+	eventSeparator = "\n\n"
+	dataPrefix     = "data:"
+	doneMark       = "[DONE]"
 )
 
-// newTextStream returns nil if the call's answer can't be continued.
+// newTextStream returns nil if the call's answer cannot be continued.
 func newTextStream(c *Call, a *wire.Answer) *textStream {
-	if !c.Repeatable || !strings.HasSuffix(c.Path, "/completions") || !streamsEvents(a) {
+	if !c.Repeatable || !strings.HasSuffix(c.Path, "/completions") || !isEventStream(a) {
 		return nil
 	}
 	return new(textStream)
 }
 
-// feed takes bytes of the answer and returns the whole events among them.
+// feed takes bytes of the answer and returns the complete events among them.
 func (s *textStream) feed(p []byte) []byte {
-	if len(s.partial) == 0 && bytes.HasSuffix(p, []byte(eventEnd)) {
-		s.events(p)
-		return p // owned by this side already
+	if len(s.partialEvent) == 0 && bytes.HasSuffix(p, []byte(eventSeparator)) {
+		s.readEvents(p)
+		return p // the receiver owns p, so no copy is needed
 	}
-	s.partial = append(s.partial, p...)
-	end := bytes.LastIndex(s.partial, []byte(eventEnd))
+	s.partialEvent = append(s.partialEvent, p...)
+	end := bytes.LastIndex(s.partialEvent, []byte(eventSeparator))
 	if end < 0 {
 		return nil
 	}
-	end += len(eventEnd)
-	events := append([]byte(nil), s.partial[:end]...)
-	s.partial = append(s.partial[:0], s.partial[end:]...)
-	s.events(events)
+	end += len(eventSeparator)
+	events := append([]byte(nil), s.partialEvent[:end]...)
+	s.partialEvent = append(s.partialEvent[:0], s.partialEvent[end:]...)
+	s.readEvents(events)
 	return events
 }
 
-func (s *textStream) events(p []byte) {
+// readEvents records the text of complete events.
+func (s *textStream) readEvents(p []byte) {
 	for len(p) > 0 {
-		event, rest, _ := bytes.Cut(p, []byte(eventEnd))
-		s.event(event)
+		event, rest, _ := bytes.Cut(p, []byte(eventSeparator))
+		s.readEvent(event)
 		p = rest
 	}
 }
 
-// textEvent is what continuation needs of an event of either interface.
+// textEvent is the part of an event, of either interface, that holds the text.
 type textEvent struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -77,8 +78,9 @@
 	} `json:"choices"`
 }
 
-func (s *textStream) event(event []byte) {
-	data, ok := bytes.CutPrefix(bytes.TrimSpace(event), []byte(dataMark))
+// readEvent records the text or the end mark of one event.
+func (s *textStream) readEvent(event []byte) {
+	data, ok := bytes.CutPrefix(bytes.TrimSpace(event), []byte(dataPrefix))
 	if !ok {
 		return
 	}
@@ -87,13 +89,13 @@
 		return
 	}
 	if string(data) == doneMark {
-		s.complete = true
+		s.hasEndMark = true
 		return
 	}
 	if token, ok := eventText(data); ok {
 		if len(token) > 0 {
 			s.text.Write(token)
-			s.tokens++
+			s.tokenCount++
 		}
 		return
 	}
@@ -103,44 +105,43 @@
 	}
 	if token := e.Choices[0].Text + e.Choices[0].Delta.Content; token != "" {
 		s.text.WriteString(token)
-		s.tokens++
+		s.tokenCount++
 	}
 }
 
-// end takes the end of the stream. Bytes that form no event are handed over; the
-// loss of a target that has sent its end mark is no loss.
-func (s *textStream) end(err error) ([]byte, error) {
-	if errors.Is(err, io.EOF) && len(s.partial) > 0 {
-		rest := s.partial
-		s.partial = nil
+// handleEnd handles the end of the stream. Bytes that form no complete event are returned at a
+// clean end. The loss of a target that has sent its end mark counts as a clean end.
+func (s *textStream) handleEnd(err error) ([]byte, error) {
+	if errors.Is(err, io.EOF) && len(s.partialEvent) > 0 {
+		rest := s.partialEvent
+		s.partialEvent = nil
 		return rest, nil
 	}
 	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
-	if s.complete && route.RetryRuleFor(result.From(err).Code, true) == route.RetryBudgeted {
+	if s.hasEndMark && route.RetryRuleFor(result.From(err).Code, true) == route.RetryBudgeted {
 		return nil, io.EOF
 	}
 	return nil, err
 }
 
-// reset drops an event that was cut.
-func (s *textStream) reset() { s.partial = s.partial[:0] }
+// dropPartialEvent discards an incomplete event.
+func (s *textStream) dropPartialEvent() { s.partialEvent = s.partialEvent[:0] }
 
-// finish returns the end mark for an answer that lacks nothing else.
-func (s *textStream) finish() []byte {
-	s.complete = true
-	return []byte(dataMark + " " + doneMark + eventEnd)
+// endMark returns the end mark, for an answer that lacks nothing else.
+func (s *textStream) endMark() []byte {
+	s.hasEndMark = true
+	return []byte(dataPrefix + " " + doneMark + eventSeparator)
 }
 
-// continued returns a comment, which readers of events skip, that says where and
-// under which model version the text goes on.
-func (s *textStream) continued(a *attempt) []byte {
-	return fmt.Appendf(nil, ": continued after %d tokens, target=%s model=%s%s", s.tokens, a.target, a.answer.Model, eventEnd)
+// continuationComment returns an event-stream comment, which clients skip, with the target and
+// model version that continue the text.
+func (s *textStream) continuationComment(a *attempt) []byte {
+	return fmt.Appendf(nil, ": continued after %d tokens, target=%s model=%s%s", s.tokenCount, a.target, a.answer.Model, eventSeparator)
 }
 
-// generationFields are the fields of a request that continuation changes or
-// depends on.
+// generationFields are the request fields that a continuation changes or depends on.
 type generationFields struct {
 	Prompt    *string           `json:"prompt"`
 	Messages  []json.RawMessage `json:"messages"`
@@ -154,28 +155,28 @@
 	Content string `json:"content"`
 }
 
-// remainder returns the request for the rest of the text; nil if the text is
-// whole. It fails for requests whose rest can't be asked for.
-func (s *textStream) remainder(c *Call) (body []byte, ok bool) {
+// continuationBody returns the request body for the rest of the text. body is nil if the token
+// budget is used up. ok is false if the request cannot be continued.
+func (s *textStream) continuationBody(c *Call) (body []byte, ok bool) {
 	var f generationFields
 	if json.Unmarshal(c.Body, &f) != nil || f.N > 1 || f.Echo {
 		return nil, false
 	}
-	fields := make(map[string]any) // keeps what this build does not know
+	fields := make(map[string]any) // preserves fields that this build does not know
 	if json.Unmarshal(c.Body, &fields) != nil {
 		return nil, false
 	}
 	if f.MaxTokens != nil {
-		if *f.MaxTokens <= s.tokens {
+		if *f.MaxTokens <= s.tokenCount {
 			return nil, true
 		}
-		fields["max_tokens"] = *f.MaxTokens - s.tokens
+		fields["max_tokens"] = *f.MaxTokens - s.tokenCount
 	}
 	switch {
 	case f.Prompt != nil:
 		fields["prompt"] = *f.Prompt + s.text.String()
 	case len(f.Messages) > 0:
-		s.continueChat(fields, f.Messages)
+		s.appendAssistantMessage(fields, f.Messages)
 	default:
 		return nil, false
 	}
@@ -183,13 +184,13 @@
 	return body, err == nil
 }
 
-// continueChat adds the delivered text as the assistant's unfinished message.
-func (s *textStream) continueChat(fields map[string]any, messages []json.RawMessage) {
-	rest := make([]any, 0, len(messages)+1)
+// appendAssistantMessage adds the delivered text as the unfinished message of the assistant.
+func (s *textStream) appendAssistantMessage(fields map[string]any, messages []json.RawMessage) {
+	extended := make([]any, 0, len(messages)+1)
 	for _, m := range messages {
-		rest = append(rest, m)
+		extended = append(extended, m)
 	}
-	fields["messages"] = append(rest, assistantMessage{Role: "assistant", Content: s.text.String()})
+	fields["messages"] = append(extended, assistantMessage{Role: "assistant", Content: s.text.String()})
 	fields["add_generation_prompt"] = false
 	fields["continue_final_message"] = true
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -13,15 +13,15 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// startControl begins to follow the configuration and to listen for peers.
+// startControl starts to follow the configuration and to accept peers.
 func (e *Entry) startControl() error {
-	e.peerLn = e.opts.PeerListener
-	if e.peerLn == nil && e.opts.Settings.Listen != "" {
+	e.peerListener = e.opts.PeerListener
+	if e.peerListener == nil && e.opts.Settings.Listen != "" {
 		ln, err := new(wire.Network).Listen(e.opts.Settings.Listen)
 		if err != nil {
 			return fmt.Errorf("entry %s: listen for peers: %w", e.opts.Settings.Name, err)
 		}
-		e.peerLn = ln
+		e.peerListener = ln
 	}
 	timing := e.opts.Control
 	if timing == (control.Timing{}) {
@@ -39,36 +39,37 @@
 		Logger:      e.log,
 		Metrics:     e.opts.Metrics,
 		Timing:      timing,
-		Install:     e.install,
-		Folded:      e.out.foldedTo.Store,
-		Leases:      e.notifyAgents,
-		Status:      e.status,
-		Drain:       e.setDrain,
-		Note:        e.heardNote,
+		Install:     e.installConfig,
+		Folded:      e.outcomes.appliedOffset.Store,
+		Leases:      e.requestNotify,
+		Status:      e.fillStatus,
+		Drain:       e.setDraining,
+		Note:        e.handleNote,
 	})
-	e.duties.Go(e.tellDemand)
-	e.duties.Go(e.notifyLoop)
+	e.tasks.Go(e.sendDemandLoop)
+	e.tasks.Go(e.notifyAgentsLoop)
 	e.node.Start()
-	if e.peerLn != nil {
-		e.duties.Go(e.acceptPeers)
+	if e.peerListener != nil {
+		e.tasks.Go(e.acceptPeers)
 	}
 	return nil
 }
 
 // PeerAddr returns the address that other heatherrail processes connect to.
 func (e *Entry) PeerAddr() string {
-	if e.peerLn == nil {
+	if e.peerListener == nil {
 		return ""
 	}
-	return e.peerLn.Addr().String()
+	return e.peerListener.Addr().String()
 }
 
-// Leaser returns the leases of this process.
+// Leaser returns the lease interface of this entry.
 func (e *Entry) Leaser() control.Leaser { return e.node }
 
+// acceptPeers accepts peer connections until the listener is closed.
 func (e *Entry) acceptPeers() {
 	acceptor := wire.Acceptor{
-		Listener: e.peerLn,
+		Listener: e.peerListener,
 		Hello:    e.hello(),
 		Handler:  e.node,
 		Serve:    e.node.Accept,
@@ -80,8 +81,8 @@
 	acceptor.Run()
 }
 
-// peers returns the entries of the VM list.
-func peers(vms []outside.VM) []control.Peer {
+// entryPeers returns the entries of the VM list as peers.
+func entryPeers(vms []outside.VM) []control.Peer {
 	var list []control.Peer
 	for _, vm := range vms {
 		if vm.Role == outside.RoleEntry {
@@ -97,28 +98,28 @@
 	return list
 }
 
-// notifyAgents asks for every linked agent to be told the version and the fencing
-// floors. It does not wait: an agent that does not read must not hold up the
-// versions of this entry.
-func (e *Entry) notifyAgents() {
+// requestNotify makes notifyAgentsLoop send the configuration and fencing floors to all agents. It
+// does not wait, so an agent that does not read cannot delay the entry's configuration versions.
+func (e *Entry) requestNotify() {
 	select {
-	case e.notices <- struct{}{}:
-	default: // what is asked for already covers it
+	case e.notifyRequests <- struct{}{}:
+	default: // the pending request covers this one
 	}
 }
 
-// notifyParallel bounds how many agents are told at once.
-const notifyParallel = 32
+// maxParallelNotifies is how many agents are notified at the same time.
+const maxParallelNotifies = 32
 
-func (e *Entry) notifyLoop() {
+// notifyAgentsLoop notifies all agents on request until the entry stops.
+func (e *Entry) notifyAgentsLoop() {
 	for {
 		select {
-		case <-e.notices:
+		case <-e.notifyRequests:
 		case <-e.ctx.Done():
 			return
 		}
 		configs := e.agentConfigs()
-		p := pool.New().WithMaxGoroutines(notifyParallel)
+		p := pool.New().WithMaxGoroutines(maxParallelNotifies)
 		for _, l := range e.allLinks() {
 			p.Go(func() { l.notify(configs) })
 		}
@@ -126,17 +127,17 @@
 	}
 }
 
-// agentConfigs is the configuration in force as agents need it, with what many of
-// them share built once.
+// agentConfigs is the configuration in force, prepared for the agents. Data that many agents share
+// is built once.
 type agentConfigs struct {
 	snap      *config.Snapshot
-	base      wire.AgentConfig
+	common    wire.AgentConfig
 	policies  map[string][]wire.ServicePolicy // by fleet
 	resources map[string][]string             // by target
 	floors    map[string]uint64               // by resource
 }
 
-// agentConfigs returns nil before the first version.
+// agentConfigs returns the configuration for agents, or nil before the first version.
 func (e *Entry) agentConfigs() *agentConfigs {
 	s := e.current.Load()
 	if s == nil {
@@ -144,7 +145,7 @@
 	}
 	a := &agentConfigs{
 		snap:      s,
-		base:      wire.AgentConfig{Version: s.Version, Digest: s.Digest, Entries: e.node.Entries()},
+		common:    wire.AgentConfig{Version: s.Version, Digest: s.Digest, Entries: e.node.Entries()},
 		policies:  make(map[string][]wire.ServicePolicy),
 		resources: make(map[string][]string),
 		floors:    make(map[string]uint64),
@@ -166,6 +167,7 @@
 	return a
 }
 
+// addPolicy adds the policy of a service to its fleet.
 func (a *agentConfigs) addPolicy(s *config.Snapshot, svc *config.Service) {
 	p := s.Policy(svc)
 	if p == nil {
@@ -173,14 +175,15 @@
 	}
 	raw, err := p.MarshalMsg(nil)
 	if err != nil {
-		return // plain structs always encode
+		return // a policy always encodes
 	}
 	a.policies[svc.Fleet] = append(a.policies[svc.Fleet], wire.ServicePolicy{Service: svc.Name, Policy: raw})
 }
 
-// of returns one agent's part. Resources that nobody ever owned have no floor.
-func (a *agentConfigs) of(target string) *wire.AgentConfig {
-	c := a.base
+// forTarget returns the configuration for a target's agent. A resource that never had a lease has
+// no fencing floor.
+func (a *agentConfigs) forTarget(target string) *wire.AgentConfig {
+	c := a.common
 	c.Policies = a.policies[a.snap.FleetOfTarget(target)]
 	for _, r := range a.resources[target] {
 		if fence := a.floors[r]; fence > 0 {
@@ -190,22 +193,23 @@
 	return &c
 }
 
-// status fills in what the operators' tool asks of this entry.
-func (e *Entry) status(full bool, r *wire.StatusReply) {
+// fillStatus fills in the status reply for the operator tool. Only a full reply lists expert maps
+// and targets.
+func (e *Entry) fillStatus(full bool, r *wire.StatusReply) {
 	r.InFlight = int(e.inFlight.Load())
 	if !full {
 		return
 	}
-	r.Maps = e.mapsText()
+	r.Maps = e.mapStatusText()
 	for _, l := range e.allLinks() {
-		if load, ok := l.reported(); ok {
+		if load, ok := l.latestLoad(); ok {
 			r.Targets = append(r.Targets, load)
 		}
 	}
 }
 
-// setDrain takes this entry out of the answers that callers get, or back in.
-func (e *Entry) setDrain(undo bool) {
+// setDraining starts to drain this entry, or ends that if undo is set.
+func (e *Entry) setDraining(undo bool) {
 	if !undo {
 		e.Drain()
 		return
@@ -215,13 +219,12 @@
 	e.log.Info("back in service")
 }
 
-// reported returns the agent's latest report.
-func (l *link) reported() (wire.Load, bool) {
+// latestLoad returns the agent's latest load report, and false if there is none.
+func (l *link) latestLoad() (wire.Load, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.load, l.conn != nil && l.hasLoad
 }
 
-// Ready reports whether this entry has a configuration and may dispatch all kinds
-// of requests.
+// Ready reports whether this entry has a configuration and may dispatch all kinds of requests.
 func (e *Entry) Ready() bool { return e.current.Load() != nil && e.Registered() }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -11,8 +11,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Call is one caller's request. Its strings and bytes are owned by it: the HTTP
-// library reuses its own buffers.
+// Call is one request of a caller. It owns its strings and bytes, because the HTTP library
+// reuses its buffers.
 type Call struct {
 	ID         string
 	Team       string
@@ -25,72 +25,72 @@
 	Repeatable bool
 	Priority   int8
 	Deadline   time.Time
-	sched      sched
+	sched      schedState
 }
 
-// Exchange is a running answer.
+// Exchange is an answer in progress.
 type Exchange struct {
 	Answer wire.Answer
 	Target string
 	Models []string // model versions that produced the answer, in order
 
-	tries     *tries
-	stream    *wire.Stream
-	ctx       context.Context
-	cancel    context.CancelFunc
-	text      *textStream // nil: the answer is no stream of text
-	delivered int         // bytes handed to the caller
-	skip      int         // bytes of a replayed answer that the caller has already
+	retrier        *retrier
+	stream         *wire.Stream
+	ctx            context.Context
+	cancel         context.CancelFunc
+	textStream     *textStream // nil if the answer is not a text stream
+	deliveredBytes int         // bytes returned by Recv
+	skipBytes      int         // leading bytes of a replayed answer that Recv has returned before
 }
 
-// Do runs a call under one configuration version and returns when its answer
-// begins. The error is a *result.Error. Cancelling ctx frees the target.
+// Do runs a call under one configuration version and returns when its answer begins. The
+// error is a *result.Error. Cancelling ctx releases the target.
 func (e *Entry) Do(ctx context.Context, snap *config.Snapshot, c *Call) (*Exchange, error) {
 	cancel := func() {}
 	if !e.opts.Off.Deadline {
 		ctx, cancel = context.WithDeadlineCause(ctx, c.Deadline, result.New(result.DeadlinePast, "deadline passed"))
 	}
 	policy := snap.Policy(snap.Service(c.Service))
-	e.out.request(c.Service, policy.RetryShare)
-	t := newTries(e, snap, c, policy)
-	e.begin()
-	a, err := t.next(ctx, c.Body)
+	e.outcomes.recordRequest(c.Service, policy.RetryShare)
+	t := newRetrier(e, snap, c, policy)
+	e.requestStarted()
+	a, err := t.nextAttempt(ctx, c.Body)
 	if err != nil {
 		cancel()
-		e.end()
+		e.requestEnded()
 		return nil, err
 	}
-	x := &Exchange{tries: t, ctx: ctx, cancel: cancel}
-	x.adopt(a)
+	x := &Exchange{retrier: t, ctx: ctx, cancel: cancel}
+	x.useAttempt(a)
 	x.Answer = a.answer
-	x.text = newTextStream(c, &a.answer)
+	x.textStream = newTextStream(c, &a.answer)
 	return x, nil
 }
 
-// adopt goes on with the stream of a try.
-func (x *Exchange) adopt(a *attempt) {
+// useAttempt continues the exchange with the stream of an attempt.
+func (x *Exchange) useAttempt(a *attempt) {
 	x.stream, x.Target = a.stream, a.target
 	if n := len(x.Models); n == 0 || x.Models[n-1] != a.answer.Model {
 		x.Models = append(x.Models, a.answer.Model)
 	}
 }
 
-// Recv returns the next bytes; io.EOF only after a whole answer.
+// Recv returns the next bytes of the answer. It returns io.EOF only after a complete answer.
 func (x *Exchange) Recv() ([]byte, error) {
 	for {
-		data, err := x.receive()
+		data, err := x.receiveNew()
 		if err == nil && len(data) > 0 {
-			x.delivered += len(data)
+			x.deliveredBytes += len(data)
 			return data, nil
 		}
 		if errors.Is(err, io.EOF) {
-			x.tries.succeeded(x.Target)
+			x.retrier.recordSuccess(x.Target)
 			return nil, io.EOF
 		}
 		if err == nil {
 			continue
 		}
-		if rest, recovered := x.recover(err); !recovered {
+		if rest, resumed := x.resume(err); !resumed {
 			return nil, err
 		} else if len(rest) > 0 {
 			return rest, nil
@@ -98,91 +98,92 @@
 	}
 }
 
-// receive returns bytes that the caller does not have yet, none if an event held
-// only others.
-func (x *Exchange) receive() ([]byte, error) {
+// receiveNew returns bytes that Recv has not returned before. It returns none if an event
+// held only earlier bytes.
+func (x *Exchange) receiveNew() ([]byte, error) {
 	ev, err := x.stream.Recv(x.ctx)
-	if err != nil && x.text != nil {
-		return x.text.end(err)
+	if err != nil && x.textStream != nil {
+		return x.textStream.handleEnd(err)
 	}
 	if err != nil || ev.Message != 0 {
 		return nil, err
 	}
 	data := ev.Data
-	n := min(x.skip, len(data))
-	x.skip -= n
+	n := min(x.skipBytes, len(data))
+	x.skipBytes -= n
 	data = data[n:]
-	if x.text != nil {
-		data = x.text.feed(data)
+	if x.textStream != nil {
+		data = x.textStream.feed(data)
 	}
 	return data, nil
 }
 
-// Close frees the target if the answer has not ended. It is called once.
+// Close releases the target if the answer has not ended. It must be called once.
 func (x *Exchange) Close() {
 	x.stream.Close()
 	x.cancel()
-	x.tries.entry.end()
+	x.retrier.entry.requestEnded()
 }
 
-// recover goes on with an answer whose target was lost. Where it can't, the
-// first error stands: part of the request has run.
-func (x *Exchange) recover(cause error) (rest []byte, ok bool) {
+// resume continues, with a further attempt, an answer whose target was lost. If ok is false,
+// the caller must get the original error, because part of the request has run.
+func (x *Exchange) resume(cause error) (rest []byte, ok bool) {
 	x.stream.Close()
-	t := x.tries
-	t.failed(x.Target, cause)
-	body, ok := x.remainder()
+	t := x.retrier
+	t.recordFailure(x.Target, cause)
+	body, ok := x.remainingRequest()
 	if !ok {
 		return nil, false
 	}
 	if body == nil {
-		return x.text.finish(), true
+		return x.textStream.endMark(), true
 	}
-	if !t.again(x.ctx, x.Target, cause) {
+	if !t.waitForRetry(x.ctx, x.Target, cause) {
 		return nil, false
 	}
-	a, err := t.next(x.ctx, body)
+	a, err := t.nextAttempt(x.ctx, body)
 	if err != nil {
 		return nil, false
 	}
-	// The caller has the first status already.
-	if a.answer.Status != x.Answer.Status || (x.skip > 0 && !a.answer.Replay) {
+	// The caller has already received the status of the first attempt.
+	if a.answer.Status != x.Answer.Status || (x.skipBytes > 0 && !a.answer.Replay) {
 		a.stream.Close()
 		return nil, false
 	}
-	x.adopt(a)
-	if x.text != nil && x.delivered > 0 {
-		rest = x.text.continued(a)
+	x.useAttempt(a)
+	if x.textStream != nil && x.deliveredBytes > 0 {
+		rest = x.textStream.continuationComment(a)
 	}
 	return rest, true
 }
 
-// remainder returns the body of the request for what the caller does not have
-// yet; nil if nothing but the end is missing.
-func (x *Exchange) remainder() (body []byte, ok bool) {
-	c := x.tries.call
+// remainingRequest returns the request body for the part of the answer that has not been
+// delivered. body is nil if only the end mark is missing; ok is false if the answer cannot be
+// resumed.
+func (x *Exchange) remainingRequest() (body []byte, ok bool) {
+	c := x.retrier.call
 	switch {
 	case !c.Repeatable:
-		x.skip = x.delivered // the home replays its one run
+		x.skipBytes = x.deliveredBytes // the home target replays its only run
 		return c.Body, true
-	case x.delivered == 0:
-		if x.text != nil {
-			x.text.reset()
+	case x.deliveredBytes == 0:
+		if x.textStream != nil {
+			x.textStream.dropPartialEvent()
 		}
 		return c.Body, true
-	case x.text != nil:
-		x.text.reset()
-		if x.tries.entry.opts.Off.Continue {
+	case x.textStream != nil:
+		x.textStream.dropPartialEvent()
+		if x.retrier.entry.opts.Off.Continue {
 			return c.Body, true
 		}
-		return x.text.remainder(c)
+		return x.textStream.continuationBody(c)
 	}
 	return nil, false
 }
 
-// choose returns the target of the next try of a repeatable request.
-func (e *Entry) choose(snap *config.Snapshot, c *Call, avoid map[string]bool) (string, error) {
+// chooseTarget returns the target of the next attempt of a repeatable request.
+func (e *Entry) chooseTarget(snap *config.Snapshot, c *Call, avoid map[string]bool) (string, error) {
 	svc := snap.Service(c.Service)
 	view := e.fleetView(snap, svc.Fleet)
-	return e.place(snap, c, view, e.out.keepOut(view.declared, avoid))
+	return e.placeRequest(snap, c, view, e.outcomes.excludedTargets(view.declaredTargets, avoid))
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that callers talk to: it authenticates, admits,
-// places, retries and streams answers back.
+// Package entry is the process that callers connect to. It authenticates, admits, places and
+// retries requests and streams the answers back.
 package entry
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Options are what an entry needs besides its settings.
+// Options configures an entry.
 type Options struct {
 	Settings    settings.Entry
 	Log         outside.Log
@@ -33,70 +33,69 @@
 	Logger      logr.Logger
 	Metrics     *metrics.Set
 	Incarnation uint64
-	// Dial connects to other processes; nil: plain TCP, on loopback only. Tests put
-	// a network of their own.
+	// Dial connects to other processes; nil is plain TCP, on loopback only. Tests supply their own
+	// network.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// PeerListener takes the place of a plain TCP listener on Settings.Listen, which
-	// is for loopback only.
+	// PeerListener replaces the plain TCP listener on Settings.Listen, which is for loopback only.
 	PeerListener net.Listener
-	// Snapshots is how often the configuration is published again; zero: the default.
+	// Snapshots is the interval at which the configuration is published again; zero is the default.
 	Snapshots time.Duration
-	// Control replaces the periods of control; zero: control.DefaultTiming.
+	// Control sets the periods of the control plane; zero is control.DefaultTiming.
 	Control control.Timing
-	// NoCallers leaves the HTTP side out; calls come through Do alone.
+	// NoCallers disables the HTTP server; calls then come through Do only.
 	NoCallers bool
-	// Off is for tests of the checkers.
+	// Off disables safeguards, for tests of the checkers.
 	Off safeguard.Off
 }
 
 // Entry is one running entry.
 type Entry struct {
-	opts     Options
-	log      logr.Logger
-	ln       net.Listener
-	app      *fiber.App
-	current  atomic.Pointer[config.Snapshot]
-	vms      atomic.Pointer[[]outside.VM]
-	leaving  atomic.Bool
-	inFlight atomic.Int64
-	idle     chan struct{}
-	ctx      context.Context
-	cancel   context.CancelFunc
-	duties   conc.WaitGroup
-	placers  sync.Map // placerKey to *route.Placer
-	fleets   fleetViews
-	explain  explainRing
-	limits   *limits
-
-	entriesDigest atomic.Uint64 // of the names of live entries
-
-	node    *control.Node
-	peerLn  net.Listener
-	notices chan struct{} // agents are to be told of a version or floor
-	out     *outcomes
-	stuck   stuckRanks
-	mapLogs sync.Map // expert.PlanHistory by group
+	opts           Options
+	log            logr.Logger
+	callerListener net.Listener
+	app            *fiber.App
+	current        atomic.Pointer[config.Snapshot]
+	vms            atomic.Pointer[[]outside.VM]
+	leaving        atomic.Bool
+	inFlight       atomic.Int64
+	idleSignal     chan struct{}
+	ctx            context.Context
+	cancel         context.CancelFunc
+	tasks          conc.WaitGroup
+	placers        sync.Map // placerKey to *route.Placer
+	fleetViews     fleetViews
+	explanations   explainRing
+	limits         *teamLimits
+
+	entriesDigest atomic.Uint64 // hash of the live entries
+
+	node           *control.Node
+	peerListener   net.Listener
+	notifyRequests chan struct{} // signalled when agents must learn of a version or fencing floor
+	outcomes       *requestOutcomes
+	stalled        stalledRanks
+	planHistories  sync.Map // expert.PlanHistory by group
 
 	mu    sync.Mutex
 	links map[string]*link // by target
 }
 
-// Start begins to serve and returns at once.
+// Start starts an entry and returns at once.
 func Start(o Options) (*Entry, error) {
 	if o.Dial == nil {
 		o.Dial = new(wire.Network).Dial
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{
-		opts:    o,
-		log:     o.Logger.WithName("entry").WithValues("entry", o.Settings.Name),
-		idle:    make(chan struct{}, 1),
-		notices: make(chan struct{}, 1),
-		ctx:     ctx,
-		cancel:  cancel,
-		out:     newOutcomes(&o),
-		limits:  newLimits(),
-		links:   make(map[string]*link),
+		opts:           o,
+		log:            o.Logger.WithName("entry").WithValues("entry", o.Settings.Name),
+		idleSignal:     make(chan struct{}, 1),
+		notifyRequests: make(chan struct{}, 1),
+		ctx:            ctx,
+		cancel:         cancel,
+		outcomes:       newRequestOutcomes(&o),
+		limits:         newTeamLimits(),
+		links:          make(map[string]*link),
 	}
 	if !o.NoCallers {
 		if err := e.listenCallers(); err != nil {
@@ -108,9 +107,9 @@
 		e.Close()
 		return nil, err
 	}
-	e.duties.Go(e.watchVMs)
-	e.duties.Go(e.ownGroups)
-	e.duties.Go(e.announce)
+	e.tasks.Go(e.watchVMs)
+	e.tasks.Go(e.runGroupOwners)
+	e.tasks.Go(e.announcePresence)
 	e.log.Info("started", "callers", e.Addr(), "listen", e.PeerAddr(), "incarnation", o.Incarnation)
 	return e, nil
 }
@@ -120,38 +119,39 @@
 	if err != nil {
 		return fmt.Errorf("entry %s: %w", e.opts.Settings.Name, err)
 	}
-	e.ln = ln
+	e.callerListener = ln
 	e.app = e.newApp()
-	e.duties.Go(e.serveCallers)
+	e.tasks.Go(e.serveCallers)
 	return nil
 }
 
 // Addr returns the address that callers connect to.
 func (e *Entry) Addr() string {
-	if e.ln == nil {
+	if e.callerListener == nil {
 		return ""
 	}
-	return e.ln.Addr().String()
+	return e.callerListener.Addr().String()
 }
 
-// Current returns the configuration in force here, nil if none is known.
+// Current returns the configuration in force, or nil if none is known yet.
 func (e *Entry) Current() *config.Snapshot { return e.current.Load() }
 
 func (e *Entry) serveCallers() {
-	ln := callers.NewListener(e.ln, e.opts.Settings.MaxCallers, e.refuseConn)
+	ln := callers.NewListener(e.callerListener, e.opts.Settings.MaxCallers, e.refuseConn)
 	err := e.app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true})
 	if err != nil && e.ctx.Err() == nil {
-		e.log.Error(err, "caller side stopped")
+		e.log.Error(err, "caller listener stopped")
 	}
 }
 
+// refuseConn counts and logs a connection beyond the limit.
 func (e *Entry) refuseConn(remote net.Addr) {
 	e.opts.Metrics.Result(result.ConnsFull)
 	e.log.V(1).Info("connection refused", "remote", remote.String(), "code", int(result.ConnsFull))
 }
 
-// Drain takes the entry out of the answers that callers get. It goes on to
-// serve: callers keep earlier answers for a while.
+// Drain removes this entry from the answers of GET /v1/entries. The entry keeps serving, because
+// callers cache earlier answers.
 func (e *Entry) Drain() {
 	e.node.SetLeaving(true)
 	if !e.leaving.Swap(true) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// Shutdown drains, listens until every answer that named this entry has run
-// out, waits for requests in flight until ctx ends, and stops.
+// Shutdown drains, keeps listening until cached answers that name this entry have expired, waits
+// for requests in flight until ctx ends, and stops.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.Drain()
 	select {
@@ -168,56 +168,53 @@
 	case <-ctx.Done():
 	}
 	err := e.awaitIdle(ctx)
-	e.endCallers(ctx)
+	e.shutdownCallerServer(ctx)
 	if err == nil {
 		err = e.awaitIdle(ctx)
 	}
-	e.farewell()
+	e.writeShutdownRecords()
 	e.Close()
 	return err
 }
 
-// awaitIdle waits until nothing is in flight; the error says how many requests
-// still were when ctx ended.
+// awaitIdle waits until no request is in flight. The error says how many requests were in flight
+// when ctx ended.
 func (e *Entry) awaitIdle(ctx context.Context) error {
 	for n := e.inFlight.Load(); n > 0; n = e.inFlight.Load() {
 		select {
-		case <-e.idle:
+		case <-e.idleSignal:
 		case <-ctx.Done():
-			return fmt.Errorf("shutdown deadline: %d requests cut off", n)
+			return fmt.Errorf("shutdown deadline passed: %d requests cut off", n)
 		}
 	}
 	return nil
 }
 
-// callersLimit bounds the wait for connections that stay open without a request.
-const callersLimit = 2 * time.Second
+// callerShutdownTimeout bounds the wait for connections that stay open without a request.
+const callerShutdownTimeout = 2 * time.Second
 
-// endCallers lets the HTTP side end its connections.
-//
-// Failure: a request has arrived, but was not read yet when nothing seemed to be
-// in flight. Symptom: its caller sees the connection end without an answer.
-// Enough, because the library takes no new connections, closes idle ones and
-// waits for those that hold a request.
-func (e *Entry) endCallers(ctx context.Context) {
+// shutdownCallerServer stops the HTTP server. A request may have arrived without being read when
+// no request was in flight; closing at once would end its connection without an answer. The
+// library accepts no new connections, closes idle ones and waits for those with a request.
+func (e *Entry) shutdownCallerServer(ctx context.Context) {
 	if e.app == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callersLimit)
+	ctx, cancel := context.WithTimeout(ctx, callerShutdownTimeout)
 	defer cancel()
 	if err := e.app.ShutdownWithContext(ctx); err != nil {
-		e.log.Info("connections of callers cut", "detail", err.Error())
+		e.log.Info("caller connections not closed in time", "detail", err.Error())
 	}
 }
 
-// Close stops at once, like a crash.
+// Close stops at once, as in a crash.
 func (e *Entry) Close() {
 	e.cancel()
-	if e.ln != nil {
-		_ = e.ln.Close()
+	if e.callerListener != nil {
+		_ = e.callerListener.Close()
 	}
-	if e.peerLn != nil {
-		_ = e.peerLn.Close()
+	if e.peerListener != nil {
+		_ = e.peerListener.Close()
 	}
 	if e.node != nil {
 		e.node.Close()
@@ -229,21 +226,21 @@
 	for _, l := range links {
 		l.close()
 	}
-	e.duties.Wait()
+	e.tasks.Wait()
 }
 
-func (e *Entry) begin() { e.inFlight.Add(1) }
+func (e *Entry) requestStarted() { e.inFlight.Add(1) }
 
-func (e *Entry) end() {
+func (e *Entry) requestEnded() {
 	if e.inFlight.Add(-1) == 0 {
 		select {
-		case e.idle <- struct{}{}:
+		case e.idleSignal <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// sleep waits for d; false means that the entry stops.
+// sleep waits for d. It returns false if the entry stops first.
 func (e *Entry) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/entry/eventtext.go
+++ b/entry/eventtext.go
@@ -5,26 +5,25 @@
 	"encoding/json"
 )
 
-// The keys that carry the text of an event, in either interface.
+// JSON keys that hold the text of an event, in the completion and chat interfaces.
 var (
 	keyText    = []byte(`"text"`)
 	keyContent = []byte(`"content"`)
 )
 
-// eventText finds the text of an event without decoding the event: at a million
-// events a second that was most of the entry's work. It answers only for events
-// with exactly one such key and a string behind it, and leaves all others to the
-// decoder. A quote inside a JSON string is escaped, so text that looks like a key
-// is no match.
+// eventText extracts the text of an event without decoding the JSON: at a million events a
+// second, decoding was most of the entry's work. It returns false, and leaves the event to
+// the decoder, unless the event has exactly one text key with a string value. Quotes
+// inside a JSON string are escaped, so text that looks like a key does not match.
 func eventText(data []byte) (token []byte, ok bool) {
 	if data[len(data)-1] != '}' || bytes.Contains(data, []byte(`\u`)) {
 		return nil, false
 	}
-	at, ok := onlyKey(data)
+	valueAt, ok := findSingleTextKey(data)
 	if !ok {
 		return nil, false
 	}
-	rest := skipSpace(data[at:])
+	rest := skipSpace(data[valueAt:])
 	if len(rest) == 0 || rest[0] != ':' {
 		return nil, false
 	}
@@ -32,45 +31,47 @@
 	if len(rest) == 0 || rest[0] != '"' {
 		return nil, false
 	}
-	return quoted(rest)
+	return leadingString(rest)
 }
 
-// onlyKey returns the place behind the one key that carries text.
-func onlyKey(data []byte) (int, bool) {
+// findSingleTextKey returns the offset after the text key. It returns false unless the
+// event has exactly one such key.
+func findSingleTextKey(data []byte) (int, bool) {
 	found := -1
 	for _, key := range [][]byte{keyText, keyContent} {
-		at := bytes.Index(data, key)
-		if at < 0 {
+		end := bytes.Index(data, key)
+		if end < 0 {
 			continue
 		}
-		at += len(key)
-		if found >= 0 || bytes.Contains(data[at:], key) {
+		end += len(key)
+		if found >= 0 || bytes.Contains(data[end:], key) {
 			return 0, false
 		}
-		found = at
+		found = end
 	}
 	return found, found >= 0
 }
 
 func skipSpace(b []byte) []byte { return bytes.TrimLeft(b, " \t\r\n") }
 
-// quoted returns the string that b begins with. Only one with escapes costs a
-// decoding.
-func quoted(b []byte) ([]byte, bool) {
+// leadingString returns the content of the JSON string at the start of b. It runs the
+// decoder only if the string contains escapes.
+func leadingString(b []byte) ([]byte, bool) {
 	for i := 1; i < len(b); i++ {
 		switch {
 		case b[i] == '"':
 			return b[1:i], true
 		case b[i] < ' ' || b[i] >= 0x80:
-			return nil, false // not plain: the decoder knows what to do
+			return nil, false // not printable ASCII: left to the decoder
 		case b[i] == '\\':
-			return unescaped(b)
+			return unescapeString(b)
 		}
 	}
 	return nil, false
 }
 
-func unescaped(b []byte) ([]byte, bool) {
+// unescapeString decodes the JSON string at the start of b.
+func unescapeString(b []byte) ([]byte, bool) {
 	end := 1
 	for end < len(b) && b[end] != '"' {
 		if b[end] == '\\' {
--- a/entry/eventtext_test.go
+++ b/entry/eventtext_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzEventText compares the quick look at an event with the decoder: where both
-// find a text, it is the same, also in events made to mislead.
+// FuzzEventText compares eventText with the JSON decoder, with events crafted to confuse
+// the key search among the seeds. Where both find a text, the texts must be equal.
 func FuzzEventText(f *testing.F) {
 	for _, event := range []string{
 		`{"choices":[{"index":0,"text":" oven"}]}`,
@@ -25,7 +25,7 @@
 		f.Add([]byte(event))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if len(data) == 0 || otherCase(data) {
+		if len(data) == 0 || hasKeyInOtherCase(data) {
 			return
 		}
 		token, ok := eventText(data)
@@ -35,19 +35,19 @@
 		}
 		want := e.Choices[0].Text + e.Choices[0].Delta.Content
 		if want != "" && string(token) != want {
-			t.Fatalf("quick look at %q: %q, decoder: %q", data, token, want)
+			t.Fatalf("eventText(%q) = %q, JSON decoder = %q", data, token, want)
 		}
 	})
 }
 
-// otherCase reports keys in another case: the decoder takes them, engines don't
-// send them, and the two interfaces name them in lower case.
-func otherCase(data []byte) bool {
+// hasKeyInOtherCase reports keys in another case. The decoder accepts them, but engines do
+// not send them: both interfaces define the keys in lower case.
+func hasKeyInOtherCase(data []byte) bool {
 	lower := bytes.ToLower(data)
 	for _, key := range [][]byte{keyText, keyContent, []byte(`"delta"`), []byte(`"choices"`)} {
 		if bytes.Count(lower, key) != bytes.Count(data, key) {
 			return true
 		}
 	}
-	return bytes.Contains(data, []byte(`\u`)) // a key may be written with escapes
+	return bytes.Contains(data, []byte(`\u`)) // escapes could spell a key
 }
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -10,57 +10,58 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// explanations is how many decisions an entry remembers.
-const explanations = 256
+// maxExplanations is the number of placement decisions that an entry keeps.
+const maxExplanations = 256
 
-// explainRing holds the latest decisions with their reasons.
+// explainRing is a ring buffer of the latest placement decisions.
 type explainRing struct {
 	mu   sync.Mutex
-	ring [explanations]explanation
+	ring [maxExplanations]explanation
 	next int
 }
 
+// explanation is one placement decision and the request that it was made for.
 type explanation struct {
-	request  string
-	team     string
-	service  string
-	at       time.Time
-	decision route.Decision
+	requestID string
+	team      string
+	service   string
+	at        time.Time
+	decision  route.Decision
 }
 
 func (r *explainRing) add(c *Call, d *route.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := &r.ring[r.next]
-	r.next = (r.next + 1) % explanations
-	x.request, x.team, x.service, x.at = c.ID, c.Team, c.Service, time.Now()
+	r.next = (r.next + 1) % maxExplanations
+	x.requestID, x.team, x.service, x.at = c.ID, c.Team, c.Service, time.Now()
 	x.decision = *d
 }
 
-// find returns the decisions about a request of a team, oldest first.
+// find returns the decisions for a team's request, oldest first.
 func (r *explainRing) find(team, request string) []DecisionView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []DecisionView
-	for i := range explanations {
-		x := &r.ring[(r.next+i)%explanations]
-		if x.request == request && x.team == team {
+	for i := range maxExplanations {
+		x := &r.ring[(r.next+i)%maxExplanations]
+		if x.requestID == request && x.team == team {
 			found = append(found, x.view())
 		}
 	}
 	return found
 }
 
-// DecisionView is one placement decision as GET /v1/explain/ID shows it.
+// DecisionView is one placement decision in the body of GET /v1/explain/ID.
 type DecisionView struct {
 	At         time.Time       `json:"at"`
 	Service    string          `json:"service"`
 	Chosen     string          `json:"chosen"`  // empty: no target could take work
-	Dropped    int             `json:"dropped"` // looked at and not usable
+	Dropped    int             `json:"dropped"` // sampled targets that could not take work
 	Candidates []CandidateView `json:"candidates"`
 }
 
-// CandidateView is one target that the decision rated. Seconds and tokens are
+// CandidateView is one target that the placement scored. Seconds and tokens are
 // estimates.
 type CandidateView struct {
 	Target     string  `json:"target"`
@@ -92,14 +93,15 @@
 	return v
 }
 
-// serveExplain answers GET /v1/explain/ID to the team that owns the request.
+// serveExplain answers GET /v1/explain/ID. Only the team that sent the request sees its
+// decisions.
 func (e *Entry) serveExplain(c fiber.Ctx) error {
 	_, team, err := e.authenticate(c)
 	if err != nil {
 		return e.refuse(c, err)
 	}
 	id := strings.Clone(c.Params("id"))
-	found := e.explain.find(team.Name, id)
+	found := e.explanations.find(team.Name, id)
 	if found == nil {
 		return c.Status(fiber.StatusNotFound).JSON(fiber.Map{"request": id, "decisions": []DecisionView{}})
 	}
--- a/entry/fleetview.go
+++ b/entry/fleetview.go
@@ -13,81 +13,83 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// fleetState is what the entry has learnt of one fleet. It outlives
-// configuration versions.
+// fleetState holds load statistics and the cache index of one fleet. It outlives configuration
+// versions.
 type fleetState struct {
-	mu     sync.Mutex
-	means  route.LoadMeans
-	index  *route.CacheIndex
-	slots  map[string]int // of the index, by target
-	answer float64        // mean length of answers, tokens
+	mu         sync.Mutex
+	loadMeans  route.LoadMeans
+	cacheIndex *route.CacheIndex
+	indexSlots map[string]int // slots in cacheIndex, by target
+	meanAnswer float64        // tokens
 }
 
-// indexBlocks bounds the cache index of a fleet: 32,768 blocks of 64 tokens take
-// half a megabyte and cover some ten engines' caches.
-const indexBlocks = 1 << 15
+// maxIndexBlocks bounds the cache index of a fleet: 32,768 blocks of 64 tokens take half a
+// megabyte and cover the caches of about ten engines.
+const maxIndexBlocks = 1 << 15
 
 func newFleetState() *fleetState {
-	return &fleetState{index: route.NewCacheIndex(indexBlocks), slots: make(map[string]int)}
+	return &fleetState{cacheIndex: route.NewCacheIndex(maxIndexBlocks), indexSlots: make(map[string]int)}
 }
 
-// slot returns a target's place in the index, -1 if all are taken. Called with mu.
-func (s *fleetState) slot(target string) int {
-	if at, ok := s.slots[target]; ok {
-		return at
+// indexSlot returns a target's slot in the cache index, or -1 if all slots are taken. The
+// caller holds mu.
+func (s *fleetState) indexSlot(target string) int {
+	if slot, ok := s.indexSlots[target]; ok {
+		return slot
 	}
-	var used [route.IndexTargets]bool
-	for _, at := range s.slots {
-		used[at] = true
+	var isUsed [route.IndexTargets]bool
+	for _, slot := range s.indexSlots {
+		isUsed[slot] = true
 	}
-	for at, taken := range used {
-		if !taken {
-			s.slots[target] = at
-			return at
+	for slot, occupied := range isUsed {
+		if !occupied {
+			s.indexSlots[target] = slot
+			return slot
 		}
 	}
 	return -1
 }
 
-// keep frees the places of targets that are no longer used.
-func (s *fleetState) keep(targets []viewTarget) {
+// releaseUnusedSlots frees the slots of targets that are not in the list.
+func (s *fleetState) releaseUnusedSlots(targets []viewTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	used := make(map[string]bool, len(targets))
+	isUsed := make(map[string]bool, len(targets))
 	for i := range targets {
-		used[targets[i].name] = true
+		isUsed[targets[i].name] = true
 	}
-	for name, at := range s.slots {
-		if !used[name] {
-			s.index.RemoveTarget(at)
-			delete(s.slots, name)
+	for name, slot := range s.indexSlots {
+		if !isUsed[name] {
+			s.cacheIndex.RemoveTarget(slot)
+			delete(s.indexSlots, name)
 		}
 	}
 }
 
-func (s *fleetState) answerTokens() float64 {
+// meanAnswerTokens returns the mean answer length, zero if none is known.
+func (s *fleetState) meanAnswerTokens() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answer
+	return s.meanAnswer
 }
 
-// fleetView is the targets of one fleet that this entry uses, under one
-// configuration version and VM list. It implements route.TargetPool.
+// fleetView is the set of targets of one fleet that this entry uses, under one configuration
+// version and VM list. It implements route.TargetPool.
 type fleetView struct {
-	entry    *Entry
-	state    *fleetState
-	version  uint64
-	nodes    uint64          // digest of the entries that the subset was made for
-	declared []config.Target // the part of the fleet that the entry uses
-	targets  []viewTarget
-	near     int
-	bySlot   [route.IndexTargets]int // position by place in the index, -1: none
+	entry           *Entry
+	state           *fleetState
+	version         uint64
+	entriesDigest   uint64          // digest of the entry list that the subset was computed for
+	declaredTargets []config.Target // the targets of the fleet that this entry uses
+	targets         []viewTarget
+	nearCount       int
+	bySlot          [route.IndexTargets]int // position in targets by index slot, -1 if none
 }
 
 type viewTarget struct {
 	name       string
 	dataCentre string
-	slot       int // in the index, -1: none
+	indexSlot  int // slot in the cache index, -1 if none
 	link       atomic.Pointer[link]
 }
 
@@ -95,7 +97,7 @@
 func (v *fleetView) Len() int { return len(v.targets) }
 
 // NearCount implements route.TargetPool.
-func (v *fleetView) NearCount() int { return v.near }
+func (v *fleetView) NearCount() int { return v.nearCount }
 
 // Read implements route.TargetPool.
 func (v *fleetView) Read(i int, r *route.Request, t *route.Target) {
@@ -106,97 +108,99 @@
 		if l = v.entry.link(at.name); l == nil {
 			return
 		}
-		l.fleet.Store(v.state)
+		l.fleetState.Store(v.state)
 		at.link.Store(l)
 	}
-	reported, age := l.read(t)
+	reported, age := l.readTarget(t)
 	v.state.mu.Lock()
 	defer v.state.mu.Unlock()
-	t.Others = v.state.means.DiscountStale(reported, age.Seconds())
-	v.state.means.FillSpeeds(t)
-	if at.slot >= 0 && len(r.Blocks) > 0 {
-		t.CachedTokens = v.state.index.CachedTokens(at.slot, r.Blocks)
+	t.Others = v.state.loadMeans.DiscountStale(reported, age.Seconds())
+	v.state.loadMeans.FillSpeeds(t)
+	if at.indexSlot >= 0 && len(r.Blocks) > 0 {
+		t.CachedTokens = v.state.cacheIndex.CachedTokens(at.indexSlot, r.Blocks)
 	}
 }
 
 // LongestCached implements route.TargetPool.
 func (v *fleetView) LongestCached(r *route.Request, into []int) int {
 	v.state.mu.Lock()
-	found := v.state.index.LongestMatch(r.Blocks, r.Seed, into)
+	found := v.state.cacheIndex.LongestMatch(r.Blocks, r.Seed, into)
 	v.state.mu.Unlock()
 	n := 0
 	for _, slot := range into[:found] {
-		if at := v.bySlot[slot]; at >= 0 {
-			into[n] = at
+		if position := v.bySlot[slot]; position >= 0 {
+			into[n] = position
 			n++
 		}
 	}
 	return n
 }
 
-// learn notes that a target gets a prompt.
-func (v *fleetView) learn(i int, blocks []uint64) {
-	slot := v.targets[i].slot
+// recordPrompt adds the blocks of a prompt sent to target i to the cache index.
+func (v *fleetView) recordPrompt(i int, blocks []uint64) {
+	slot := v.targets[i].indexSlot
 	if slot < 0 {
 		return
 	}
 	v.state.mu.Lock()
 	defer v.state.mu.Unlock()
 	for _, b := range blocks {
-		v.state.index.Add(slot, b)
+		v.state.cacheIndex.Add(slot, b)
 	}
 }
 
-// fleetViews holds the views in use.
+// fleetViews holds the current view and the state of each fleet.
 type fleetViews struct {
 	mu     sync.Mutex
 	states map[string]*fleetState
 	views  atomic.Pointer[map[string]*fleetView]
 }
 
-// fleetView returns the view of a fleet under a version; a new one is made when
-// the version or the list of entries has changed.
+// fleetView returns the view of a fleet under a configuration version. It builds a new one when
+// the version or the entry list has changed.
 func (e *Entry) fleetView(snap *config.Snapshot, fleet string) *fleetView {
-	nodes := e.entriesDigest.Load()
-	if held := e.fleets.views.Load(); held != nil {
-		if v := (*held)[fleet]; v != nil && v.version == snap.Version && v.nodes == nodes {
+	entriesDigest := e.entriesDigest.Load()
+	if current := e.fleetViews.views.Load(); current != nil {
+		if v := (*current)[fleet]; v != nil && v.version == snap.Version && v.entriesDigest == entriesDigest {
 			return v
 		}
 	}
-	e.fleets.mu.Lock()
-	defer e.fleets.mu.Unlock()
-	return e.makeView(snap, fleet, nodes)
+	e.fleetViews.mu.Lock()
+	defer e.fleetViews.mu.Unlock()
+	return e.newFleetView(snap, fleet, entriesDigest)
 }
 
-func (e *Entry) makeView(snap *config.Snapshot, fleet string, nodes uint64) *fleetView {
-	if e.fleets.states == nil {
-		e.fleets.states = make(map[string]*fleetState)
+// newFleetView builds and stores the view of a fleet. The caller holds fleetViews.mu.
+func (e *Entry) newFleetView(snap *config.Snapshot, fleet string, entriesDigest uint64) *fleetView {
+	if e.fleetViews.states == nil {
+		e.fleetViews.states = make(map[string]*fleetState)
 	}
-	state := e.fleets.states[fleet]
+	state := e.fleetViews.states[fleet]
 	if state == nil {
 		state = newFleetState()
-		e.fleets.states[fleet] = state
+		e.fleetViews.states[fleet] = state
 	}
-	v := &fleetView{entry: e, state: state, version: snap.Version, nodes: nodes}
-	names, near := e.subset(snap.Targets(fleet))
-	v.declared, v.near = names, near
-	v.targets = make([]viewTarget, len(names))
-	for i := range names {
-		v.targets[i].name, v.targets[i].dataCentre = names[i].Name, names[i].DataCentre
+	v := &fleetView{entry: e, state: state, version: snap.Version, entriesDigest: entriesDigest}
+	used, near := e.targetSubset(snap.Targets(fleet))
+	v.declaredTargets, v.nearCount = used, near
+	v.targets = make([]viewTarget, len(used))
+	for i := range used {
+		v.targets[i].name, v.targets[i].dataCentre = used[i].Name, used[i].DataCentre
 	}
-	state.keep(v.targets)
+	state.releaseUnusedSlots(v.targets)
 	v.assignSlots()
 	views := map[string]*fleetView{}
-	if held := e.fleets.views.Load(); held != nil {
-		for name, old := range *held {
+	if current := e.fleetViews.views.Load(); current != nil {
+		for name, old := range *current {
 			views[name] = old
 		}
 	}
 	views[fleet] = v
-	e.fleets.views.Store(&views)
+	e.fleetViews.views.Store(&views)
 	return v
 }
 
+// assignSlots gives each target a slot in the cache index while slots are left.
 func (v *fleetView) assignSlots() {
 	v.state.mu.Lock()
 	defer v.state.mu.Unlock()
@@ -204,17 +208,17 @@
 		v.bySlot[i] = -1
 	}
 	for i := range v.targets {
-		slot := v.state.slot(v.targets[i].name)
-		v.targets[i].slot = slot
+		slot := v.state.indexSlot(v.targets[i].name)
+		v.targets[i].indexSlot = slot
 		if slot >= 0 {
 			v.bySlot[slot] = i
 		}
 	}
 }
 
-// subset returns the targets that this entry uses, those of its own data centre
-// first, and how many those are.
-func (e *Entry) subset(declared []config.Target) ([]config.Target, int) {
+// targetSubset returns the targets that this entry uses, with those of its own data centre
+// first, and the number of those.
+func (e *Entry) targetSubset(declared []config.Target) ([]config.Target, int) {
 	self := e.opts.Settings
 	entries := e.liveEntries()
 	var near, far []config.Target
@@ -231,36 +235,35 @@
 	return append(near, far...), len(near)
 }
 
-// liveEntries returns the entries of the VM list, this one among them.
+// liveEntries returns the live entries of the VM list, including this one.
 func (e *Entry) liveEntries() []route.Node {
 	self := route.Node{Name: e.opts.Settings.Name, DataCentre: e.opts.Settings.DataCentre}
-	nodes := []route.Node{self}
+	entries := []route.Node{self}
 	vms := e.vms.Load()
 	if vms == nil {
-		return nodes
+		return entries
 	}
 	for _, vm := range *vms {
 		if vm.Role == outside.RoleEntry && vm.State == outside.StateLive && vm.Name != self.Name {
-			nodes = append(nodes, route.Node{Name: vm.Name, DataCentre: vm.DataCentre})
+			entries = append(entries, route.Node{Name: vm.Name, DataCentre: vm.DataCentre})
 		}
 	}
-	return nodes
+	return entries
 }
 
-// digestNodes tells lists of entries apart.
-func digestNodes(nodes []route.Node) uint64 {
+// entriesHash returns a hash of an entry list that does not depend on its order.
+func entriesHash(entries []route.Node) uint64 {
 	sum := uint64(0)
-	for _, n := range nodes {
+	for _, n := range entries {
 		sum += xxhash.Sum64String(n.Name + "\x00" + n.DataCentre)
 	}
 	return sum
 }
 
-// ownWork is this entry's work at one target, and what its agent reported of
-// the others'.
-type ownWork struct {
-	own      route.Work
-	others   route.Work
-	reported time.Time
-	from     *wire.Conn // that the report came by
+// targetWork is the work of this entry and of the other entries at one target.
+type targetWork struct {
+	own        route.Work
+	others     route.Work // by the latest load report
+	reportedAt time.Time  // arrival of that report
+	source     *wire.Conn // connection that carried that report
 }
--- a/entry/home.go
+++ b/entry/home.go
@@ -6,29 +6,29 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// home returns the one target that may run a request that must not run twice.
-func home(homeKey string, declared []config.Target) (string, error) {
+// homeTarget returns the only target that may run a non-repeatable request with this key.
+func homeTarget(dedupKey string, declared []config.Target) (string, error) {
 	names := targetNames(declared)
-	i := route.HomeIndex(homeKey, names)
+	i := route.HomeIndex(dedupKey, names)
 	if i < 0 {
 		return "", result.New(result.NoTarget, "the service has no targets")
 	}
 	return names[i], nil
 }
 
-// isolation returns the target where the suspects of a service run alone. All
-// entries choose the same one as long as they see the same targets, so a request
-// that crashes targets takes down this one and no third.
-func (e *Entry) isolation(snap *config.Snapshot, c *Call, avoid map[string]bool) (string, error) {
+// isolationTarget returns the target where suspected requests of a service run alone. Entries
+// that see the same targets choose the same one, so a request that crashes targets takes down
+// at most this one more.
+func (e *Entry) isolationTarget(snap *config.Snapshot, c *Call, avoid map[string]bool) (string, error) {
 	declared := snap.Targets(snap.Service(c.Service).Fleet)
-	skip := e.out.keepOut(declared, avoid)
+	excluded := e.outcomes.excludedTargets(declared, avoid)
 	var names []string
 	for _, t := range declared {
-		var view route.Target
+		var availability route.Target
 		if l := e.link(t.Name); l != nil {
-			l.view(&view)
+			l.readAvailability(&availability)
 		}
-		if view.Reachable && !view.Leaving && view.EngineUp && !skip[t.Name] {
+		if availability.Reachable && !availability.Leaving && availability.EngineUp && !excluded[t.Name] {
 			names = append(names, t.Name)
 		}
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -16,7 +16,7 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Headers of the callers' interface.
+// Headers of the HTTP interface for callers.
 const (
 	HeaderRequestID  = "Heatherrail-Request-Id"
 	HeaderResult     = "Heatherrail-Result"
@@ -29,18 +29,18 @@
 )
 
 const (
-	callerArrival    = 30 * time.Second // of a request, where the settings name none
-	callerIdle       = 2 * time.Minute
-	callerReadBuffer = 8 << 10 // also the limit on a request's headers
+	defaultArrivalTimeout = 30 * time.Second // for a whole request, where the settings set no limit
+	callerIdleTimeout     = 2 * time.Minute
+	callerReadBufferBytes = 8 << 10 // also the limit on the headers of a request
 )
 
 func (e *Entry) newApp() *fiber.App {
 	app := fiber.New(fiber.Config{
 		BodyLimit:      int(e.opts.Settings.MaxBody),
 		Concurrency:    e.opts.Settings.MaxCallers,
-		ReadTimeout:    cmp.Or(e.opts.Settings.Arrival, callerArrival),
-		IdleTimeout:    callerIdle,
-		ReadBufferSize: callerReadBuffer,
+		ReadTimeout:    cmp.Or(e.opts.Settings.Arrival, defaultArrivalTimeout),
+		IdleTimeout:    callerIdleTimeout,
+		ReadBufferSize: callerReadBufferBytes,
 		ErrorHandler:   e.httpError,
 	})
 	app.Use(func(c fiber.Ctx) error {
@@ -55,21 +55,21 @@
 	app.Get("/v1/explain/:id", e.serveExplain)
 	app.Post("/v1/completions", e.serveCompletion)
 	app.Post("/v1/chat/completions", e.serveCompletion)
-	app.All("/v1/services/:service/*", e.servePlain)
+	app.All("/v1/services/:service/*", e.servePlainService)
 	return app
 }
 
-// httpError answers what the library itself refuses.
+// httpError answers a request that the HTTP library rejects.
 func (e *Entry) httpError(c fiber.Ctx, err error) error {
 	var fe *fiber.Error
 	if errors.As(err, &fe) {
-		return e.refuse(c, &result.Error{Code: codeOfStatus(fe.Code), Detail: fe.Message})
+		return e.refuse(c, &result.Error{Code: codeForStatus(fe.Code), Detail: fe.Message})
 	}
 	return e.refuse(c, err)
 }
 
-// codeOfStatus names what the library refuses by itself.
-func codeOfStatus(status int) result.Code {
+// codeForStatus returns the result code for a status that the HTTP library chose.
+func codeForStatus(status int) result.Code {
 	switch status {
 	case fiber.StatusNotFound:
 		return result.UnknownPath
@@ -86,7 +86,7 @@
 	}
 }
 
-// requestID returns the id of the request being answered.
+// requestID returns the id of the request, and assigns one on the first call.
 func requestID(c fiber.Ctx) string {
 	if id := c.Response().Header.Peek(HeaderRequestID); len(id) > 0 {
 		return string(id)
@@ -105,7 +105,7 @@
 
 func (e *Entry) serveMetrics(c fiber.Ctx) error {
 	e.opts.Metrics.Gauge("targets_linked", float64(e.Linked()))
-	e.opts.Metrics.Gauge("registered", indicator(e.Registered()))
+	e.opts.Metrics.Gauge("registered", boolGauge(e.Registered()))
 	e.opts.Metrics.Gauge("requests_in_flight", float64(e.inFlight.Load()))
 	var b strings.Builder
 	if err := e.opts.Metrics.Write(&b); err != nil {
@@ -114,8 +114,8 @@
 	return c.SendString(b.String())
 }
 
-// indicator is a gauge's value for yes or no.
-func indicator(b bool) float64 {
+// boolGauge returns the gauge value of a condition.
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -125,9 +125,11 @@
 // EntriesAnswer is the body of GET /v1/entries.
 type EntriesAnswer struct {
 	Entries  []string `json:"entries"`  // addresses in order of preference
-	Lifetime int      `json:"lifetime"` // seconds for which a caller may keep the answer
+	Lifetime int      `json:"lifetime"` // seconds for which a caller may cache the answer
 }
 
+// serveEntries lists this entry first, then the other usable entries. Members of the caller's
+// team limits move to the front.
 func (e *Entry) serveEntries(c fiber.Ctx) error {
 	answer := EntriesAnswer{Lifetime: int(e.opts.Settings.AnswerLife.Seconds())}
 	vms := e.vms.Load()
@@ -147,7 +149,7 @@
 		}
 	}
 	answer.Entries = append(answer.Entries, others...)
-	e.teamFirst(c, answer.Entries)
+	e.preferTeamEntries(c, answer.Entries)
 	return c.JSON(answer)
 }
 
@@ -170,8 +172,8 @@
 	return c.JSON(fiber.Map{"object": "list", "data": rows})
 }
 
-// authenticate returns the configuration that the request is handled under, from
-// start to end, and its team.
+// authenticate returns the team of the caller, and the configuration that the whole request is
+// handled under.
 func (e *Entry) authenticate(c fiber.Ctx) (*config.Snapshot, *config.Team, error) {
 	snap := e.current.Load()
 	if snap == nil {
@@ -179,7 +181,7 @@
 	}
 	scheme, key, ok := strings.Cut(c.Get(fiber.HeaderAuthorization), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
-		return nil, nil, result.New(result.Unauthorized, "want Authorization: Bearer KEY")
+		return nil, nil, result.New(result.Unauthorized, "expected header Authorization: Bearer KEY")
 	}
 	team := snap.TeamByKey(key)
 	if team == nil {
@@ -193,21 +195,21 @@
 		Model string `json:"model"`
 	}
 	if err := c.App().Config().JSONDecoder(c.Body(), &body); err != nil {
-		return e.refuse(c, result.New(result.BadRequest, "body: %w", err))
+		return e.refuse(c, result.New(result.BadRequest, "decode body: %w", err))
 	}
-	return e.serve(c, strings.Clone(body.Model), strings.Clone(c.Path()))
+	return e.serveRequest(c, strings.Clone(body.Model), strings.Clone(c.Path()))
 }
 
-func (e *Entry) servePlain(c fiber.Ctx) error {
+func (e *Entry) servePlainService(c fiber.Ctx) error {
 	path := "/" + c.Params("*")
 	if q := c.RequestCtx().URI().QueryString(); len(q) > 0 {
 		path += "?" + string(q)
 	}
-	return e.serve(c, strings.Clone(c.Params("service")), strings.Clone(path))
+	return e.serveRequest(c, strings.Clone(c.Params("service")), strings.Clone(path))
 }
 
-// serve runs a request and streams its answer back.
-func (e *Entry) serve(c fiber.Ctx, service, path string) error {
+// serveRequest runs a request and streams its answer to the caller.
+func (e *Entry) serveRequest(c fiber.Ctx, service, path string) error {
 	snap, team, err := e.authenticate(c)
 	if err != nil {
 		return e.refuse(c, err)
@@ -220,33 +222,35 @@
 	if err != nil {
 		return e.refuse(c, err)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithCancelCause(context.Background())
-	stop := watchCaller(c, cancel)
-	e.begin()
-	x, err := e.Do(ctx, snap, call)
+	stopWatch := watchCaller(c, cancel)
+	e.requestStarted()
+	exchange, err := e.Do(ctx, snap, call)
 	if err != nil {
-		stop()
+		stopWatch()
 		cancel(nil)
 		release()
-		e.end()
+		e.requestEnded()
 		return e.refuse(c, err)
 	}
-	e.answer(c, &answerBody{
-		entry: e,
-		call:  call,
-		x:     x,
-		begun: begun,
-		done: func() {
-			stop()
+	e.streamAnswer(c, &answerBody{
+		entry:     e,
+		call:      call,
+		exchange:  exchange,
+		startedAt: startedAt,
+		onClose: func() {
+			stopWatch()
 			cancel(nil)
 			release()
-			e.end()
+			e.requestEnded()
 		},
 	})
 	return nil
 }
 
+// watchCaller cancels the request when the caller closes its connection. The returned function
+// ends the watch.
 func watchCaller(c fiber.Ctx, cancel context.CancelCauseFunc) func() {
 	conn, ok := c.RequestCtx().Conn().(*callers.Conn)
 	if !ok {
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -69,13 +69,14 @@
 	return l.b.String()
 }
 
-// startSmall returns a ready fleet, the address of its entry and its log.
+// startSmall starts a fleet with smallConfig. It returns the fleet, the address of its entry and its
+// log.
 func startSmall(t *testing.T) (*demo.Fleet, string, *logBuffer) {
 	t.Helper()
 	return startArrival(t, 0)
 }
 
-// startArrival is startSmall with a time within which requests must arrive.
+// startArrival is startSmall with an arrival timeout for requests.
 func startArrival(t *testing.T, arrival time.Duration) (*demo.Fleet, string, *logBuffer) {
 	t.Helper()
 	cfg, err := config.Load(smallConfig)
@@ -113,7 +114,9 @@
 	return req
 }
 
-func TestRefusals(t *testing.T) {
+// Every invalid request must be rejected with its result code, "not run" and a logged request id,
+// and no key or key hash may reach the log.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	_, addr, logged := startSmall(t)
 	long := strings.Repeat("x", 256)
 	cases := []struct {
@@ -126,14 +129,14 @@
 		{"no key", "POST", "/v1/completions", draft("x", 1), []string{"Authorization", ""}, result.Unauthorized},
 		{"wrong key", "POST", "/v1/completions", draft("x", 1), []string{"Authorization", "Bearer wrong-secret"}, result.Unauthorized},
 		{"hash in place of the key", "POST", "/v1/completions", draft("x", 1), []string{"Authorization", "Bearer " + config.HashKey(testKey)}, result.Unauthorized},
-		{"other scheme", "GET", "/v1/models", "", []string{"Authorization", "Basic " + testKey}, result.Unauthorized},
-		{"no JSON", "POST", "/v1/completions", "{", nil, result.BadRequest},
+		{"other authorization scheme", "GET", "/v1/models", "", []string{"Authorization", "Basic " + testKey}, result.Unauthorized},
+		{"body is not JSON", "POST", "/v1/completions", "{", nil, result.BadRequest},
 		{"unknown model", "POST", "/v1/completions", `{"model":"none"}`, nil, result.UnknownService},
-		{"service of others", "GET", "/v1/services/secret/x", "", nil, result.ServiceDenied},
-		{"once without a key", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderRepeatable, "no"}, result.KeyMissing},
-		{"bad switch", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderRepeatable, "never"}, result.MalformedHeader},
+		{"service of another team", "GET", "/v1/services/secret/x", "", nil, result.ServiceDenied},
+		{"not repeatable without a key", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderRepeatable, "no"}, result.KeyMissing},
+		{"bad repeatable header", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderRepeatable, "never"}, result.MalformedHeader},
 		{"bad deadline", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderDeadline, "-5"}, result.MalformedHeader},
-		{"endless deadline", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderDeadline, "2000000000"}, result.MalformedHeader},
+		{"deadline above the limit", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderDeadline, "2000000000"}, result.MalformedHeader},
 		{"bad priority", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderPriority, "1000"}, result.MalformedHeader},
 		{"long key", "POST", "/v1/services/logbook/x", "", []string{entry.HeaderKey, long}, result.MalformedHeader},
 		{"large body", "POST", "/v1/services/logbook/x", strings.Repeat("x", 5<<20), nil, result.BodyTooLarge},
@@ -167,9 +170,9 @@
 	}
 }
 
-// The only engine's agent leaves. The caller is told that its request did not run
-// and when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// The only engine's agent is draining. The caller must learn that its request did not run and when
+// to retry.
+func TestDrainingTargetRejectsWithRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
 	f.Agent("drafter-01").Drain()
@@ -184,10 +187,9 @@
 	g.Expect(f.Engines["drafter-01"].Runs()).To(BeEmpty())
 }
 
-// Everybody gets the whole answer to its own request. The HTTP library reuses
-// its buffers for the next caller as soon as a handler has returned; a request
+// The HTTP library reuses its buffers for the next caller once a handler has returned. A request
 // that still pointed into them would carry another caller's bytes.
-func TestCallersNeverSeeEachOthersBytes(t *testing.T) {
+func TestCallersNeverGetOtherCallersBytes(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
 	const callers, rounds = 32, 6
@@ -218,7 +220,7 @@
 	g.Expect(seen).To(HaveLen(callers * rounds))
 }
 
-// oneRound writes a log entry and asks for a draft over one connection.
+// oneRound writes a log entry and requests a draft over one connection.
 func oneRound(t *testing.T, client *http.Client, addr, mark string) error {
 	for _, req := range []*http.Request{
 		newRequest(t, "POST", addr, "/v1/services/logbook/entries?mark="+mark, mark, entry.HeaderRepeatable, "no", entry.HeaderKey, mark),
@@ -244,10 +246,9 @@
 	return nil
 }
 
-// A caller that goes away frees its engine slot. It leaves in mid-answer, or
-// while the engine has not begun; nothing is written to it then, so that only
-// the watch on its connection can notice.
-func TestCallerThatLeavesFreesItsSlot(t *testing.T) {
+// A caller disconnects in the middle of its answer or before it begins. Nothing is written to it in
+// the second case, so only the watch on its connection can free the engine slot.
+func TestCallerDisconnectFreesEngineSlot(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
 	engine := f.Engines["drafter-01"]
@@ -282,8 +283,8 @@
 	return b.String()
 }
 
-// A stream that can't be completed never ends like a complete one. The engine
-// dies in mid-answer; the caller gets an error event and then a cut connection.
+// The engine dies in the middle of an answer. The caller must get an error event and then a closed
+// connection, so the stream never looks complete.
 func TestBrokenStreamEndsWithAnErrorEvent(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
@@ -300,8 +301,8 @@
 	g.Expect(string(text)).NotTo(ContainSubstring("[DONE]"))
 }
 
-// Two requests arrive in one write. The first byte of the second is read while
-// the watch on the connection runs, and must not be lost.
+// Two requests arrive in one write. The watch on the connection reads the first byte of the second
+// request, and that byte must not be lost.
 func TestPipelinedRequests(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -14,65 +14,67 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// limits keeps the teams' limits at this entry. A team has state here only while
-// it has limits and is seen.
-type limits struct {
-	start time.Time
-
-	mu    sync.Mutex
-	teams map[string]*route.TeamLimiter
-	parts map[string]teamPart
-	nodes uint64 // digest of the entries that parts was made for
+// teamLimits enforces this entry's part of the team limits. A team has a limiter only while it
+// has limits and sends requests.
+type teamLimits struct {
+	startedAt time.Time
+
+	mu            sync.Mutex
+	limiters      map[string]*route.TeamLimiter
+	memberships   map[string]teamMembership
+	entriesDigest uint64 // digest of the entry list that memberships was computed for
 }
 
-// teamPart is a part that was worked out before: ranking all entries for each
-// request would cost more than placing it.
-type teamPart struct {
-	part   route.LimitMembership
-	member bool
+// teamMembership is a cached membership: ranking all entries for each request would cost more
+// than placing the request.
+type teamMembership struct {
+	limitMembership route.LimitMembership
+	isMember        bool
 }
 
 const (
-	limitTeams = 8192        // that have state at once; about 500 bytes each
-	limitIdle  = time.Minute // after which a team's state is dropped
+	maxLimitedTeams = 8192 // teams with a limiter at the same time; about 500 bytes each
+	limiterIdleTTL  = time.Minute
 )
 
-func newLimits() *limits {
-	return &limits{start: time.Now(), teams: make(map[string]*route.TeamLimiter), parts: make(map[string]teamPart)}
+func newTeamLimits() *teamLimits {
+	return &teamLimits{startedAt: time.Now(), limiters: make(map[string]*route.TeamLimiter), memberships: make(map[string]teamMembership)}
 }
 
-func (l *limits) now() time.Duration { return time.Since(l.start) }
+// elapsed is the clock of the limiters.
+func (l *teamLimits) elapsed() time.Duration { return time.Since(l.startedAt) }
 
-// team returns a team's state, nil if there are too many. Called with mu.
-func (l *limits) team(name string) *route.TeamLimiter {
-	t := l.teams[name]
-	if t == nil && len(l.teams) < limitTeams {
+// limiter returns the limiter of a team, or nil if too many teams have one. The caller holds
+// mu.
+func (l *teamLimits) limiter(team string) *route.TeamLimiter {
+	t := l.limiters[team]
+	if t == nil && len(l.limiters) < maxLimitedTeams {
 		t = route.NewTeamLimiter()
-		l.teams[name] = t
+		l.limiters[team] = t
 	}
 	return t
 }
 
-// admit books a call in its team's limits. The refusal is final and at once; done
-// must be called when an admitted call is over.
+// admit counts a call against its team's limits or rejects it at once. done must be called when
+// an admitted call has ended.
 func (e *Entry) admit(snap *config.Snapshot, team *config.Team, c *Call) (done func(), err error) {
 	limit := route.Limits{Requests: float64(team.Requests), Tokens: float64(team.Tokens), InFlight: team.InFlight}
 	if !limit.HasLimit() {
 		return func() {}, nil
 	}
 	svc := snap.Service(c.Service)
-	c.prepare(snap, svc, e.fleetView(snap, svc.Fleet).state.answerTokens())
-	part, member := e.part(team.Name)
+	c.prepareSched(snap, svc, e.fleetView(snap, svc.Fleet).state.meanAnswerTokens())
+	membership, isMember := e.limitMembership(team.Name)
 	l := e.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.team(team.Name)
+	t := l.limiter(team.Name)
 	if t == nil {
-		return nil, result.New(result.LimitTracked, "%d teams with limits are seen here", limitTeams)
+		return nil, result.New(result.LimitTracked, "limits of %d teams are tracked, no more fit", maxLimitedTeams)
 	}
-	ok, wait := t.Admit(l.now(), limit, part, c.sched.cost.DecodeEquivalent())
+	ok, wait := t.Admit(l.elapsed(), limit, membership, c.sched.cost.DecodeEquivalent())
 	if !ok {
-		return nil, limitRefusal(team.Name, member, wait)
+		return nil, limitError(team.Name, isMember, wait)
 	}
 	return func() {
 		l.mu.Lock()
@@ -81,9 +83,10 @@
 	}, nil
 }
 
-func limitRefusal(team string, member bool, wait time.Duration) error {
+// limitError returns the error of a call that its team limit rejects.
+func limitError(team string, isMember bool, wait time.Duration) error {
 	code := result.LimitTeam
-	if !member {
+	if !isMember {
 		code = result.LimitShare
 	}
 	err := result.New(code, "team %s", team)
@@ -91,42 +94,43 @@
 	return err
 }
 
-// part returns which part of a team's limits is kept here, and whether this entry
-// is one of the team's.
-func (e *Entry) part(team string) (route.LimitMembership, bool) {
-	nodes := e.entriesDigest.Load()
+// limitMembership returns this entry's membership in a team's limits, and whether the entry is
+// one of the team's members.
+func (e *Entry) limitMembership(team string) (route.LimitMembership, bool) {
+	entriesDigest := e.entriesDigest.Load()
 	l := e.limits
 	l.mu.Lock()
-	if l.nodes != nodes || len(l.parts) >= limitTeams {
-		l.nodes = nodes
-		clear(l.parts)
+	if l.entriesDigest != entriesDigest || len(l.memberships) >= maxLimitedTeams {
+		l.entriesDigest = entriesDigest
+		clear(l.memberships)
 	}
-	held, ok := l.parts[team]
+	cached, ok := l.memberships[team]
 	l.mu.Unlock()
 	if ok {
-		return held.part, held.member
+		return cached.limitMembership, cached.isMember
 	}
-	made := e.makePart(team)
+	computed := e.newMembership(team)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.nodes == nodes {
-		l.parts[team] = made
+	if l.entriesDigest == entriesDigest {
+		l.memberships[team] = computed
 	}
-	return made.part, made.member
+	return computed.limitMembership, computed.isMember
 }
 
-func (e *Entry) makePart(team string) teamPart {
+// newMembership computes the membership that limitMembership caches.
+func (e *Entry) newMembership(team string) teamMembership {
 	entries := e.liveEntries()
-	p := teamPart{part: route.LimitMembership{Self: e.opts.Settings.Name, Entries: len(entries)}}
+	p := teamMembership{limitMembership: route.LimitMembership{Self: e.opts.Settings.Name, Entries: len(entries)}}
 	for _, m := range route.TeamMembers(team, entries, route.EntriesPerTeam) {
-		p.part.Members = append(p.part.Members, m.Name)
-		p.member = p.member || m.Name == p.part.Self
+		p.limitMembership.Members = append(p.limitMembership.Members, m.Name)
+		p.isMember = p.isMember || m.Name == p.limitMembership.Self
 	}
 	return p
 }
 
-// tellDemand tells the other entries of each team what it asked for here.
-func (e *Entry) tellDemand() {
+// sendDemandLoop sends the demand of each team at this entry to the other members of the team.
+func (e *Entry) sendDemandLoop() {
 	for period := uint64(1); e.sleep(route.DemandPeriod); period++ {
 		for peer, rows := range e.demandByPeer() {
 			e.node.Send(peer, wire.NoteDemand, &wire.Demand{Period: period, Teams: rows})
@@ -134,25 +138,27 @@
 	}
 }
 
+// demandByPeer ends the demand period of all limiters and returns what each peer must learn. It
+// removes idle limiters.
 func (e *Entry) demandByPeer() map[string][]wire.TeamDemand {
 	l := e.limits
-	told := make(map[string]float64)
+	changed := make(map[string]float64)
 	l.mu.Lock()
-	now := l.now()
-	for name, t := range l.teams {
-		if demand, tell := t.EndPeriod(); tell {
-			told[name] = demand
+	now := l.elapsed()
+	for name, t := range l.limiters {
+		if demand, propagate := t.EndPeriod(); propagate {
+			changed[name] = demand
 		}
-		if t.IsIdle(now, limitIdle) {
-			delete(l.teams, name)
+		if t.IsIdle(now, limiterIdleTTL) {
+			delete(l.limiters, name)
 		}
 	}
 	l.mu.Unlock()
 	peers := make(map[string][]wire.TeamDemand)
-	for team, demand := range told {
-		p, member := e.part(team)
-		if !member {
-			continue // its part does not depend on demand
+	for team, demand := range changed {
+		p, isMember := e.limitMembership(team)
+		if !isMember {
+			continue // the share of a non-member does not depend on demand
 		}
 		for _, m := range p.Members {
 			if m != p.Self {
@@ -163,30 +169,29 @@
 	return peers
 }
 
-// heardNote takes another entry's demand.
-func (e *Entry) heardNote(from string, kind wire.Note, payload []byte) error {
+// handleNote applies another entry's demand note and ignores other notes.
+func (e *Entry) handleNote(from string, kind wire.Note, payload []byte) error {
 	if kind != wire.NoteDemand {
 		return nil
 	}
 	var d wire.Demand
 	if _, err := d.UnmarshalMsg(payload); err != nil {
-		return result.New(result.WireMalformed, "demand: %w", err)
+		return result.New(result.WireMalformed, "decode demand: %w", err)
 	}
 	l := e.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, row := range d.Teams {
-		if t := l.team(row.Team); t != nil {
-			t.RecordDemand(l.now(), from, float64(row.Requests))
+		if t := l.limiter(row.Team); t != nil {
+			t.RecordDemand(l.elapsed(), from, float64(row.Requests))
 		}
 	}
 	return nil
 }
 
-// teamFirst moves the entries that keep the limits of the asking team to the
-// front. A caller that sends no key, or a team without limits, gets the list as it
-// is.
-func (e *Entry) teamFirst(c fiber.Ctx, addresses []string) {
+// preferTeamEntries moves the member entries of the caller's team to the front. The order is
+// unchanged if the caller sends no valid key or the team has no limits.
+func (e *Entry) preferTeamEntries(c fiber.Ctx, addresses []string) {
 	if c.Get(fiber.HeaderAuthorization) == "" {
 		return
 	}
@@ -194,15 +199,15 @@
 	if err != nil || (team.Requests == 0 && team.Tokens == 0 && team.InFlight == 0) {
 		return
 	}
-	p, _ := e.part(team.Name)
+	p, _ := e.limitMembership(team.Name)
 	vms := e.vms.Load()
 	if vms == nil {
 		return
 	}
 	rank := make(map[string]int)
 	for _, vm := range *vms {
-		if at := slices.Index(p.Members, vm.Name); at >= 0 {
-			rank[vm.Callers] = at - len(p.Members)
+		if position := slices.Index(p.Members, vm.Name); position >= 0 {
+			rank[vm.Callers] = position - len(p.Members)
 		}
 	}
 	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(rank[a], rank[b]) })
--- a/entry/link.go
+++ b/entry/link.go
@@ -18,81 +18,83 @@
 	linkBackoff     = 100 * time.Millisecond
 )
 
-// link is the connection to one agent and what the entry knows of its target.
+// link maintains the connection to one agent and holds the state of its target.
 type link struct {
 	entry  *Entry
 	target string
 
-	fleet atomic.Pointer[fleetState]
+	fleetState atomic.Pointer[fleetState]
 
-	mu      sync.Mutex
-	addr    string
-	vmState string
-	conn    *wire.Conn
-	load    wire.Load
-	hasLoad bool
-	work    ownWork
-	stopped uint64 // incarnation of the agent that has said goodbye
-	opening int    // requests on their way into the connection
+	mu                 sync.Mutex
+	addr               string
+	vmState            string
+	conn               *wire.Conn
+	load               wire.Load
+	hasLoad            bool
+	work               targetWork
+	stoppedIncarnation uint64 // incarnation of the agent that has sent a shutdown note
+	openingRequests    int    // requests that are being written to the connection
 
-	moved   chan struct{}       // signalled when the VM list names another address
-	goodbye chan struct{}       // signalled when the agent is about to stop
-	retired map[*wire.Conn]bool // connections to earlier VMs whose requests still run
+	addressChanged chan struct{}       // signalled when the VM list shows another address
+	shutdownNotice chan struct{}       // signalled when the agent is about to stop
+	retiredConns   map[*wire.Conn]bool // connections that take no new requests but still run some
 }
 
 func newLink(e *Entry, target, addr string) *link {
 	return &link{
-		entry:   e,
-		target:  target,
-		addr:    addr,
-		moved:   make(chan struct{}, 1),
-		goodbye: make(chan struct{}, 1),
-		retired: make(map[*wire.Conn]bool),
+		entry:          e,
+		target:         target,
+		addr:           addr,
+		addressChanged: make(chan struct{}, 1),
+		shutdownNotice: make(chan struct{}, 1),
+		retiredConns:   make(map[*wire.Conn]bool),
 	}
 }
 
-// update takes what the VM list says of the target. A new address means that
-// the VM was replaced.
-func (l *link) update(vm outside.VM) {
+// updateVM applies the target's row of the VM list. A new address means that the VM was
+// replaced.
+func (l *link) updateVM(vm outside.VM) {
 	l.mu.Lock()
-	moved := vm.Address != l.addr
+	changed := vm.Address != l.addr
 	l.addr, l.vmState = vm.Address, vm.State
 	l.mu.Unlock()
-	if !moved {
+	if !changed {
 		return
 	}
-	raiseFlag(l.moved)
+	raiseSignal(l.addressChanged)
 }
 
-// run keeps the link connected until the entry stops.
-func (l *link) run() {
+// connectLoop keeps the link connected until the entry stops.
+func (l *link) connectLoop() {
 	for l.entry.ctx.Err() == nil {
 		if conn := l.connect(); conn != nil {
 			select {
 			case <-conn.Done():
-			case <-l.moved:
+			case <-l.addressChanged:
 				l.retire(conn)
-			case <-l.goodbye:
+			case <-l.shutdownNotice:
 				l.retire(conn)
 			case <-l.entry.ctx.Done():
 				conn.Close()
 			}
-			l.drop()
+			l.clearConn()
 		}
 		l.entry.sleep(linkBackoff)
 	}
 }
 
-// nextAddr returns where to connect to; flags that were raised for an earlier
-// connection fall.
+// nextAddr returns the address to dial. It clears signals that were raised for an earlier
+// connection.
 func (l *link) nextAddr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	dropFlag(l.moved)
-	dropFlag(l.goodbye)
+	clearSignal(l.addressChanged)
+	clearSignal(l.shutdownNotice)
 	return l.addr
 }
 
+// connect dials the agent and activates the connection. It returns nil if the agent cannot
+// be reached or must not be used.
 func (l *link) connect() *wire.Conn {
 	addr := l.nextAddr()
 	ctx, cancel := context.WithTimeout(l.entry.ctx, linkDialTimeout)
@@ -103,36 +105,36 @@
 	}
 	conn, err := wire.Client(nc, l.entry.hello(), l, wire.Options{})
 	if err != nil {
-		l.entry.log.Error(err, "link refused", "target", l.target)
+		l.entry.log.Error(err, "handshake with agent failed", "target", l.target)
 		return nil
 	}
 	if conn.Peer().Name != l.target {
-		l.entry.log.Info("another target answers", "want", l.target, "got", conn.Peer().Name)
+		l.entry.log.Info("address belongs to another target", "want", l.target, "got", conn.Peer().Name)
 		conn.Close()
 		return nil
 	}
-	if l.hasStopped(conn.Peer().Incarnation) {
+	if l.isStopped(conn.Peer().Incarnation) {
 		conn.Close()
 		return nil
 	}
-	if !l.entry.out.supersede(l.target, conn.Peer().Incarnation, time.Now()) {
-		l.entry.log.Info("an overtaken agent answers", "target", l.target, "incarnation", conn.Peer().Incarnation)
+	if !l.entry.outcomes.acceptAgent(l.target, conn.Peer().Incarnation, time.Now()) {
+		l.entry.log.Info("superseded agent answered", "target", l.target, "incarnation", conn.Peer().Incarnation)
 		conn.Close()
 		return nil
 	}
-	l.adopt(conn)
+	l.activate(conn)
 	return conn
 }
 
-// adopt takes a new connection into use. The attestation goes first: the agent
-// must have it before any request of this entry. And it waits for requests that
-// are on their way into the earlier connection, which may live on: one of them
-// that was booked after the attestation would be missing there.
-func (l *link) adopt(conn *wire.Conn) {
-	for l.openings() > 0 && l.entry.sleep(openingPoll) {
+// activate puts a new connection into use. The agent must receive a dispatch report before
+// any request of this entry. Requests that are still being written to the earlier connection,
+// which may stay open, must finish first: if one were logged after the report was made, the
+// report would lack it.
+func (l *link) activate(conn *wire.Conn) {
+	for l.openingCount() > 0 && l.entry.sleep(openingPollInterval) {
 	}
 	if s := l.entry.current.Load(); s != nil {
-		l.attest(conn, s)
+		l.sendDispatchReport(conn, s)
 	}
 	l.mu.Lock()
 	l.conn = conn
@@ -141,31 +143,31 @@
 	l.entry.log.V(1).Info("linked", "target", l.target, "incarnation", conn.Peer().Incarnation)
 }
 
-func (l *link) drop() {
+func (l *link) clearConn() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn = nil
 	l.load, l.hasLoad = wire.Load{}, false
 }
 
-// openingPoll is how often adopt looks for requests on their way.
-const openingPoll = time.Millisecond
+// openingPollInterval is how often activate checks for requests that are being written.
+const openingPollInterval = time.Millisecond
 
-func (l *link) opened() {
+func (l *link) finishOpening() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opening--
+	l.openingRequests--
 }
 
-func (l *link) openings() int {
+func (l *link) openingCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opening
+	return l.openingRequests
 }
 
-// leaving tells whether the target takes nothing new, by its agent or by the VM
-// list, which may know it first.
-func (l *link) leaving() bool {
+// isLeaving reports whether the target accepts no new work, according to its agent or to the
+// VM list, whichever shows it first.
+func (l *link) isLeaving() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.load.Leaving || l.vmState == outside.StateLeaving
@@ -180,7 +182,7 @@
 	}
 }
 
-// notify tells the agent what it needs of the configuration in force here.
+// notify sends the agent its part of the configuration in force and a dispatch report.
 func (l *link) notify(configs *agentConfigs) {
 	l.mu.Lock()
 	conn := l.conn
@@ -188,23 +190,24 @@
 	if conn == nil || configs == nil {
 		return
 	}
-	_ = conn.SendNote(wire.NoteAgentConfig, configs.of(l.target)) // a lost link sends it again when it is back
-	l.attest(conn, configs.snap)
+	_ = conn.SendNote(wire.NoteAgentConfig, configs.forTarget(l.target)) // repeated on reconnection
+	l.sendDispatchReport(conn, configs.snap)
 }
 
-// attest tells the agent which requests that must not run twice went elsewhere.
-func (l *link) attest(conn *wire.Conn, s *config.Snapshot) {
+// sendDispatchReport tells the agent which keys of non-repeatable requests this entry sent to
+// other agents.
+func (l *link) sendDispatchReport(conn *wire.Conn, s *config.Snapshot) {
 	fleet := s.FleetOfTarget(l.target)
 	if fleet == "" {
 		return
 	}
-	p := place{target: l.target, incarnation: conn.Peer().Incarnation}
-	_ = conn.SendNote(wire.NoteDispatchReport, l.entry.out.book.attest(s, p, fleet)) // sent again with the next link
+	dest := destination{target: l.target, incarnation: conn.Peer().Incarnation}
+	_ = conn.SendNote(wire.NoteDispatchReport, l.entry.outcomes.dispatchLog.report(s, dest, fleet)) // repeated on reconnection
 }
 
-// ServeStream implements wire.Handler; agents open no streams.
+// ServeStream implements wire.Handler. It refuses every stream, since agents open none.
 func (l *link) ServeStream(_ context.Context, s *wire.Stream, m wire.Method, _ []byte) {
-	_ = s.Refuse(result.New(result.WireUnknownKind, "method %d", m)) // nothing waits for it
+	_ = s.Refuse(result.New(result.WireUnknownKind, "method %d", m)) // the agent expects no answer
 }
 
 // ServeNote implements wire.Handler.
@@ -212,63 +215,64 @@
 	switch n {
 	case wire.NoteLoad:
 	case wire.NoteRankStalled:
-		l.entry.stuck.heard(l.target, time.Now())
+		l.entry.stalled.recordReport(l.target, time.Now())
 		return
 	case wire.NoteCrash:
-		l.entry.serveCrash(payload)
+		l.entry.handleCrash(payload)
 		return
 	case wire.NoteShutdown:
-		l.heardGoodbye(c)
+		l.handleShutdownNote(c)
 		return
 	default:
 		return
 	}
 	var load wire.Load
 	if _, err := load.UnmarshalMsg(payload); err != nil {
-		l.entry.log.Error(err, "bad load report", "target", l.target)
+		l.entry.log.Error(err, "malformed load report", "target", l.target)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The first report may overtake adopt, so the hand-over of conn is not awaited.
-	if l.conn == c || (l.conn == nil && !l.retired[c]) {
-		l.takeLoad(c, &load)
+	// The first report may arrive before activate has set conn.
+	if l.conn == c || (l.conn == nil && !l.retiredConns[c]) {
+		l.applyLoad(c, &load)
 	}
 }
 
-// view returns whether the target can take work, as far as the link knows.
-func (l *link) view(t *route.Target) {
+// readAvailability sets the fields of t that say whether the target can take work.
+func (l *link) readAvailability(t *route.Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state(t)
+	l.readAvailabilityLocked(t)
 }
 
-// state is view under l.mu.
-func (l *link) state(t *route.Target) {
+// readAvailabilityLocked is readAvailability with l.mu held.
+func (l *link) readAvailabilityLocked(t *route.Target) {
 	t.Reachable = l.conn != nil && l.hasLoad
 	t.Leaving = l.load.Leaving || l.vmState == outside.StateLeaving
 	t.EngineUp = l.load.EngineUp
 }
 
-// open sends a request to the agent. before is called with the agent's
-// incarnation before any byte is handed to the connection; its error stops the try.
-func (l *link) open(req *wire.Request, before func(incarnation uint64) error) (*wire.Stream, error) {
+// openRequest sends a request to the agent. It calls before with the agent's incarnation
+// before it hands any byte to the connection; an error of before stops the attempt.
+func (l *link) openRequest(req *wire.Request, before func(incarnation uint64) error) (*wire.Stream, error) {
 	l.mu.Lock()
 	conn := l.conn
 	if conn == nil {
 		l.mu.Unlock()
-		return nil, result.New(result.Unreachable, "no link to %s", l.target)
+		return nil, result.New(result.Unreachable, "no connection to %s", l.target)
 	}
-	l.opening++
+	l.openingRequests++
 	l.mu.Unlock()
-	defer l.opened()
+	defer l.finishOpening()
 	req.AgentInc = conn.Peer().Incarnation
 	if err := before(req.AgentInc); err != nil {
 		return nil, err
 	}
-	return l.openCounted(conn, req)
+	return l.openTracked(conn, req)
 }
 
+// hello returns the handshake message of this entry.
 func (e *Entry) hello() wire.Hello {
 	return wire.Hello{
 		Name:        e.opts.Settings.Name,
@@ -278,12 +282,12 @@
 	}
 }
 
-// Linked returns how many targets can be reached and have reported.
+// Linked returns the number of targets that are connected and have sent a load report.
 func (e *Entry) Linked() int {
 	n := 0
 	for _, l := range e.allLinks() {
 		var t route.Target
-		l.view(&t)
+		l.readAvailability(&t)
 		if t.Reachable {
 			n++
 		}
--- a/entry/outcomes.go
+++ b/entry/outcomes.go
@@ -13,131 +13,138 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// outcomes is what an entry remembers of how requests ended.
-type outcomes struct {
-	book      *book
-	presentAt atomic.Uint64 // log offset after the first presence record
-	foldedTo  atomic.Uint64 // log offset up to which versions are known here
-
-	mu         sync.Mutex
-	agents     map[string]agentSeen          // newest agent known of each target
-	budgets    map[string]*route.RetryBudget // by service
-	ejector    *route.Ejector[string]
-	quarantine *route.Quarantine
-	off        safeguard.Off
+// requestOutcomes holds what later requests depend on from earlier ones: the dispatch log,
+// retry budgets, ejection, quarantine and the newest agent incarnations.
+type requestOutcomes struct {
+	dispatchLog    *dispatchLog
+	presenceOffset atomic.Uint64 // log offset after the first presence record; zero before it is written
+	appliedOffset  atomic.Uint64 // log offset up to which this entry knows the configuration versions
+
+	mu           sync.Mutex
+	newestAgents map[string]seenAgent          // by target
+	retryBudgets map[string]*route.RetryBudget // by service
+	ejector      *route.Ejector[string]
+	quarantine   *route.Quarantine
+	off          safeguard.Off
 }
 
-func newOutcomes(o *Options) *outcomes {
-	return &outcomes{
-		book:       newBook(o.Off),
-		agents:     make(map[string]agentSeen),
-		budgets:    make(map[string]*route.RetryBudget),
-		ejector:    route.NewEjector[string](),
-		quarantine: route.NewQuarantine(),
-		off:        o.Off,
+func newRequestOutcomes(o *Options) *requestOutcomes {
+	return &requestOutcomes{
+		dispatchLog:  newDispatchLog(o.Off),
+		newestAgents: make(map[string]seenAgent),
+		retryBudgets: make(map[string]*route.RetryBudget),
+		ejector:      route.NewEjector[string](),
+		quarantine:   route.NewQuarantine(),
+		off:          o.Off,
 	}
 }
 
-// agentSeen is the newest agent of a target that the entry knows of.
-type agentSeen struct {
+// seenAgent is the newest agent of a target that the entry knows of.
+type seenAgent struct {
 	incarnation uint64
-	at          time.Time
+	seenAt      time.Time
 }
 
-// agentMemory is how long an older agent of a target is refused. It exceeds every
-// dedup window's remainder that such an agent could still serve.
-const agentMemory = 24 * time.Hour
+// supersededAgentTTL is how long an older agent of a target is rejected. It exceeds the rest of
+// any deduplication window that such an agent could still serve.
+const supersededAgentTTL = 24 * time.Hour
 
-// supersede books an agent of a target. It returns false if a newer one is known:
-// the older one must get nothing more.
-func (o *outcomes) supersede(target string, incarnation uint64, at time.Time) bool {
+// acceptAgent records an agent of a target. It returns false if a newer agent is known: the
+// older one must get no more requests.
+func (o *requestOutcomes) acceptAgent(target string, incarnation uint64, seenAt time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.agents[target]
+	seen := o.newestAgents[target]
 	if o.off.Supersede {
 		return true
 	}
-	if incarnation < seen.incarnation && time.Since(seen.at) < agentMemory {
+	if incarnation < seen.incarnation && time.Since(seen.seenAt) < supersededAgentTTL {
 		return false
 	}
-	o.agents[target] = agentSeen{incarnation: incarnation, at: at}
+	o.newestAgents[target] = seenAgent{incarnation: incarnation, seenAt: seenAt}
 	return true
 }
 
-func (o *outcomes) budget(service string) *route.RetryBudget {
-	b := o.budgets[service]
+// retryBudget returns the retry budget of a service. The caller holds mu.
+func (o *requestOutcomes) retryBudget(service string) *route.RetryBudget {
+	b := o.retryBudgets[service]
 	if b == nil {
 		b = new(route.RetryBudget)
-		o.budgets[service] = b
+		o.retryBudgets[service] = b
 	}
 	return b
 }
 
-// request books a caller's request in the service's retry budget.
-func (o *outcomes) request(service string, share float64) {
+// recordRequest adds a caller's request to the retry budget of its service. share is the
+// number of retries that one request allows.
+func (o *requestOutcomes) recordRequest(service string, share float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.budget(service).RecordRequest(share)
+	o.retryBudget(service).RecordRequest(share)
 }
 
-func (o *outcomes) takeRetry(service string) bool {
+// takeRetry takes a retry from the budget of a service. It returns false if none is left.
+func (o *requestOutcomes) takeRetry(service string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.budget(service).TakeRetry()
+	return o.retryBudget(service).TakeRetry()
 }
 
-// ended books the end of a try in the target's health.
-func (o *outcomes) ended(target string, err error) {
-	fault := err != nil && route.IsTargetFault(result.From(err).Code)
-	if err != nil && !fault {
+// recordResult records the result of an attempt for ejection. Errors that are not the fault of
+// the target are ignored.
+func (o *requestOutcomes) recordResult(target string, err error) {
+	isTargetFault := err != nil && route.IsTargetFault(result.From(err).Code)
+	if err != nil && !isTargetFault {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ejector.RecordResult(target, !fault, time.Now())
+	o.ejector.RecordResult(target, !isTargetFault, time.Now())
 }
 
-// keepOut adds the ejected targets to those that one request avoids.
-func (o *outcomes) keepOut(declared []config.Target, avoid map[string]bool) map[string]bool {
+// excludedTargets returns the ejected targets and those that the request avoids.
+func (o *requestOutcomes) excludedTargets(declared []config.Target, avoid map[string]bool) map[string]bool {
 	o.mu.Lock()
-	skip := o.ejector.Excluded(targetNames(declared), time.Now(), rand.Float64)
+	excluded := o.ejector.Excluded(targetNames(declared), time.Now(), rand.Float64)
 	o.mu.Unlock()
 	for name := range avoid {
-		skip[name] = true
+		excluded[name] = true
 	}
-	return skip
+	return excluded
 }
 
-func (o *outcomes) judge(fingerprint uint64) (route.QuarantineAction, time.Duration) {
+// checkQuarantine returns how a request with this fingerprint must run, and for how long.
+func (o *requestOutcomes) checkQuarantine(fingerprint uint64) (route.QuarantineAction, time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	verdict, until := o.quarantine.Check(fingerprint, now)
-	return verdict, until.Sub(now)
+	action, until := o.quarantine.Check(fingerprint, now)
+	return action, until.Sub(now)
 }
 
-func (o *outcomes) clear(fingerprint uint64) {
+// clearQuarantine clears the suspicion on a fingerprint, whose request has been answered.
+func (o *requestOutcomes) clearQuarantine(fingerprint uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.quarantine.Clear(fingerprint)
 }
 
-// serveCrash takes an agent's report of a crashed engine.
-func (e *Entry) serveCrash(payload []byte) {
+// handleCrash applies an agent's report that its engine crashed.
+func (e *Entry) handleCrash(payload []byte) {
 	var c wire.Crash
 	if _, err := c.UnmarshalMsg(payload); err != nil {
-		e.log.Error(err, "bad crash report")
+		e.log.Error(err, "malformed crash report")
 		return
 	}
-	e.out.mu.Lock()
+	e.outcomes.mu.Lock()
 	now := time.Now()
 	age := time.Duration(c.AgeMs) * time.Millisecond
-	refused := e.out.quarantine.RecordCrash(c.ID, c.Alone, c.Suspects, now.Add(-age), now)
+	rejected := e.outcomes.quarantine.RecordCrash(c.ID, c.Alone, c.Suspects, now.Add(-age), now)
 	if age == 0 {
-		e.out.ejector.Eject(c.Target, now)
+		e.outcomes.ejector.Eject(c.Target, now)
 	}
-	e.out.mu.Unlock()
+	e.outcomes.mu.Unlock()
 	e.opts.Metrics.Count("quarantine_suspects_total", int64(len(c.Suspects)))
-	e.opts.Metrics.Count("quarantine_refused_total", int64(refused))
-	e.log.Info("target crashed", "target", c.Target, "suspects", len(c.Suspects), "refused", refused)
+	e.opts.Metrics.Count("quarantine_refused_total", int64(rejected))
+	e.log.Info("target crashed", "target", c.Target, "suspects", len(c.Suspects), "refused", rejected)
 }
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -19,8 +19,8 @@
 
 const rivalKey = "demo-key-of-the-rival"
 
-// placeConfig has three engines and two teams; the rival may ask once a second.
-var placeConfig = map[string]string{"place.ini": `
+// placementConfig has three engines and two teams; the rival team may send one request a second.
+var placementConfig = map[string]string{"place.ini": `
 [fleet drafter]
 kind = engine
 [target drafter-01]
@@ -44,10 +44,11 @@
 requests-per-second = 1
 `}
 
-func startPlaces(t *testing.T) (*demo.Fleet, string) {
+// startPlacementFleet starts a fleet with placementConfig and returns it with the address of its entry.
+func startPlacementFleet(t *testing.T) (*demo.Fleet, string) {
 	t.Helper()
 	g := NewWithT(t)
-	cfg, err := config.Load(placeConfig)
+	cfg, err := config.Load(placementConfig)
 	g.Expect(err).NotTo(HaveOccurred())
 	f, err := demo.Start(demo.Options{Config: cfg, Entries: 1, StepTime: time.Millisecond, AnswerLife: time.Second, Logger: logr.Discard()})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -58,7 +59,7 @@
 	return f, f.Entries[0].Addr()
 }
 
-// do sends a request and returns its answer, read to the end.
+// do sends a request and reads the whole answer.
 func do(t *testing.T, req *http.Request) (*http.Response, []byte) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(req)
@@ -73,11 +74,11 @@
 	return resp, body
 }
 
-// A team asks why its request went where it did; a rival that knows the request's
-// id learns nothing.
-func TestExplainIsForTheTeamAlone(t *testing.T) {
+// A team reads the placement decisions of its request. Another team that knows the request's id
+// must get nothing.
+func TestExplainAnswersOnlyTheOwningTeam(t *testing.T) {
 	g := NewWithT(t)
-	_, addr := startPlaces(t)
+	_, addr := startPlacementFleet(t)
 	resp, _ := do(t, newRequest(t, "POST", addr, "/v1/completions", draft("check the fridge", 3)))
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 	id := resp.Header.Get(entry.HeaderRequestID)
@@ -95,26 +96,26 @@
 	g.Expect(string(body)).NotTo(ContainSubstring("drafter-0"))
 }
 
-// The rival asks for more than its limit: it is refused at once with "not run" and
-// a time to come back, and the other team is served as before.
-func TestTeamLimitRefusesWithATime(t *testing.T) {
+// A team sends more than its limit. It must be rejected at once with "not run" and a Retry-After
+// header, and the other team must be served as before.
+func TestTeamLimitRejectsWithRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	f, addr := startPlaces(t)
-	refused := 0
+	f, addr := startPlacementFleet(t)
+	rejected := 0
 	for range 20 {
 		resp, _ := do(t, newRequest(t, "POST", addr, "/v1/completions", draft("rival", 1), "Authorization", "Bearer "+rivalKey))
 		if resp.StatusCode == http.StatusTooManyRequests {
-			refused++
+			rejected++
 			g.Expect(resp.Header.Get(entry.HeaderRun)).To(Equal(result.RunNot.String()))
 			g.Expect(resp.Header.Get("Retry-After")).NotTo(BeEmpty())
 		}
 	}
-	g.Expect(refused).To(BeNumerically(">", 0))
+	g.Expect(rejected).To(BeNumerically(">", 0))
 	runs := 0
 	for _, e := range f.Engines {
 		runs += len(e.Runs())
 	}
-	g.Expect(runs).To(Equal(20-refused), "refused requests did not run")
+	g.Expect(runs).To(Equal(20-rejected), "rejected requests did not run")
 	resp, _ := do(t, newRequest(t, "POST", addr, "/v1/completions", draft("kitchen", 1)))
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	presenceEvery   = 2 * time.Minute
-	presenceBackoff = 500 * time.Millisecond
-	presenceLimit   = 2 * time.Second // for one call of the log
-	presencePage    = 1024
-	farewellKeys    = 16384 // booked keys in one farewell record
+	presenceInterval         = 2 * time.Minute
+	presenceBackoff          = 500 * time.Millisecond
+	presenceTimeout          = 2 * time.Second // for one call of the log service
+	presencePageRecords      = 1024
+	maxKeysPerShutdownRecord = 16384
 )
 
-// announce keeps a presence record of this entry on the log. The first one must
-// be there before anything that must not run twice is dispatched; a later one
-// that fails costs nothing, as an outage of the log trims nothing either.
-func (e *Entry) announce() {
+// announcePresence keeps a presence record of this entry on the log. The entry dispatches no
+// non-repeatable request before the first record is written. A later record that fails does no
+// harm, because the log is not trimmed during an outage either.
+func (e *Entry) announcePresence() {
 	for e.ctx.Err() == nil {
 		offset, err := e.appendPresence(&config.Presence{})
-		if err == nil && e.out.presentAt.Load() == 0 {
-			err = e.learnAgents(offset)
+		if err == nil && e.outcomes.presenceOffset.Load() == 0 {
+			err = e.readAgentPresences(offset)
 		}
 		if err != nil {
 			e.opts.Metrics.Count("presence_errors_total", 1)
 			e.sleep(presenceBackoff)
 			continue
 		}
-		e.out.presentAt.CompareAndSwap(0, offset+1)
-		e.sleep(presenceEvery)
+		e.outcomes.presenceOffset.CompareAndSwap(0, offset+1)
+		e.sleep(presenceInterval)
 	}
 }
 
+// appendPresence completes a presence record and appends it to the log. It returns the offset.
 func (e *Entry) appendPresence(p *config.Presence) (uint64, error) {
 	p.Role, p.Name, p.Incarnation = config.PresenceEntry, e.opts.Settings.Name, e.opts.Incarnation
 	p.AtMs = time.Now().UnixMilli()
@@ -44,87 +45,88 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(e.ctx, presenceLimit)
+	ctx, cancel := context.WithTimeout(e.ctx, presenceTimeout)
 	defer cancel()
 	e.opts.Metrics.Count("log_appends_presence_total", 1)
 	return e.opts.Log.Append(ctx, [][]byte{raw})
 }
 
-// learnAgents reads which agents were announced before this entry was. An agent
-// that comes later finds this entry on the log and waits for its attestation.
+// readAgentPresences reads the agents that were on the log before this entry's presence record.
+// An agent that registers later finds the record and waits for this entry's dispatch report.
 //
-// Failure: a VM is replaced while the old one still runs, and this entry starts
-// with an old VM list. Symptom: two agents of one target serve the same keys.
-// Enough, because the entry links to no incarnation older than it has read of.
-func (e *Entry) learnAgents(until uint64) error {
+// Without it, while a VM is replaced and the old one still runs, an entry that starts with an
+// old VM list could let two agents of one target serve the same keys. Reading the records is
+// enough, because the entry connects to no incarnation older than one it has read.
+func (e *Entry) readAgentPresences(until uint64) error {
 	for next := uint64(0); next <= until; {
-		ctx, cancel := context.WithTimeout(e.ctx, presenceLimit)
-		page, err := e.opts.Log.Read(ctx, next, presencePage, 0)
+		ctx, cancel := context.WithTimeout(e.ctx, presenceTimeout)
+		page, err := e.opts.Log.Read(ctx, next, presencePageRecords, 0)
 		cancel()
 		if errors.Is(err, outside.ErrTrimmed) && page.First > next {
 			next = page.First
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("read presences: %w", err)
+			return fmt.Errorf("read presence records: %w", err)
 		}
 		if len(page.Records) == 0 {
 			return nil
 		}
 		next = page.Next
-		// The versions among them are what Registered waits for; a follower of
-		// peers would get them later.
+		// Registered waits for the configuration versions among these records. An
+		// entry that follows peers would get them later.
 		if err := e.node.Take(next-uint64(len(page.Records)), page.Records); err != nil {
 			return err
 		}
 		for _, raw := range page.Records {
 			if p, err := config.ReadPresence(raw); err == nil && p != nil && p.Role == config.PresenceAgent {
-				e.out.supersede(p.Name, p.Incarnation, p.At())
+				e.outcomes.acceptAgent(p.Name, p.Incarnation, p.At())
 			}
 		}
 	}
 	return nil
 }
 
-// Registered tells whether agents can learn of this entry from the log, and
-// whether the entry knows every version that was accepted before its presence.
-// Without the second an entry that starts late could still dispatch under a
-// version whose successor's agents have already counted the entries.
+// Registered reports whether agents can find this entry on the log and the entry knows every
+// configuration version accepted before its presence record. Without the second condition, an
+// entry that starts late could dispatch under a version when the agents of the next version have
+// already counted the entries.
 func (e *Entry) Registered() bool {
-	at := e.out.presentAt.Load()
-	return at > 0 && e.out.foldedTo.Load() >= at
+	offset := e.outcomes.presenceOffset.Load()
+	return offset > 0 && e.outcomes.appliedOffset.Load() >= offset
 }
 
 const (
-	registerWait = 250 * time.Millisecond
-	registerPoll = 2 * time.Millisecond
+	registrationWait         = 250 * time.Millisecond
+	registrationPollInterval = 2 * time.Millisecond
 )
 
-// awaitRegistered waits a moment for an entry that has just started: its presence
-// is on the way, and a refusal would cost the caller more.
+// awaitRegistered waits briefly until the entry is registered. It returns false if that does not
+// happen in time. Right after a start the presence record is being written, and the wait costs
+// the caller less than a rejection.
 func (e *Entry) awaitRegistered(ctx context.Context) bool {
-	for until := time.Now().Add(registerWait); !e.Registered(); {
-		if ctx.Err() != nil || time.Now().After(until) {
+	for deadline := time.Now().Add(registrationWait); !e.Registered(); {
+		if ctx.Err() != nil || time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(registerPoll)
+		time.Sleep(registrationPollInterval)
 	}
 	return true
 }
 
-// farewell closes the book and leaves it on the log, so that agents which start
-// later need not count this entry among those that can't be asked.
-func (e *Entry) farewell() {
-	rest := e.out.book.close()
-	if e.out.presentAt.Load() == 0 {
+// writeShutdownRecords closes the dispatch log and writes its records to the log service. Agents
+// that start later then need not count this entry among those that cannot be asked.
+func (e *Entry) writeShutdownRecords() {
+	remaining := e.outcomes.dispatchLog.close()
+	if e.outcomes.presenceOffset.Load() == 0 {
 		return
 	}
 	for {
-		part := rest[:min(len(rest), farewellKeys)]
-		rest = rest[len(part):]
-		p := &config.Presence{Gone: len(rest) == 0, Dispatched: part}
+		part := remaining[:min(len(remaining), maxKeysPerShutdownRecord)]
+		remaining = remaining[len(part):]
+		p := &config.Presence{Gone: len(remaining) == 0, Dispatched: part}
 		if _, err := e.appendPresence(p); err != nil {
-			e.log.Error(err, "farewell not written; keys may be in doubt for the dedup window")
+			e.log.Error(err, "shutdown record not written; requests may fail with key_in_doubt for the deduplication window")
 			return
 		}
 		if p.Gone {
--- a/entry/ranks.go
+++ b/entry/ranks.go
@@ -13,13 +13,13 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// rankOrder sends one order to the rank behind the link and waits for its reply.
-func (l *link) rankOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
+// sendRankOrder sends one order to the rank of this link's target and waits for the reply.
+func (l *link) sendRankOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
 	l.mu.Lock()
 	conn := l.conn
 	l.mu.Unlock()
 	if conn == nil {
-		return nil, result.New(result.Unreachable, "no link to %s", l.target)
+		return nil, result.New(result.Unreachable, "no connection to %s", l.target)
 	}
 	s, err := conn.Open(wire.MethodRank, o)
 	if err != nil {
@@ -32,16 +32,16 @@
 	}
 	reply := new(wire.RankReply)
 	if _, err := reply.UnmarshalMsg(ev.Data); err != nil {
-		return nil, result.New(result.WireMalformed, "rank reply: %w", err)
+		return nil, result.New(result.WireMalformed, "decode rank reply: %w", err)
 	}
 	return reply, nil
 }
 
-// askRanks sends an order to all ranks of a group at once. of fills in what
-// differs by rank and may be nil. Replies and errors are in the order of the
-// ranks. The first error ends the questions that are still open: none of the
-// answers would be of use, and a slow one could take minutes.
-func (e *Entry) askRanks(ctx context.Context, ranks []string, o wire.RankOrder, of func(rank int, o *wire.RankOrder)) ([]*wire.RankReply, []error) {
+// sendToRanks sends an order to all ranks of a group in parallel. customize sets the fields
+// that differ by rank; it may be nil. Replies and errors are in the order of the ranks. The
+// first error cancels the open calls: their replies would be of no use, and a slow one could
+// take minutes.
+func (e *Entry) sendToRanks(ctx context.Context, ranks []string, o wire.RankOrder, customize func(rank int, o *wire.RankOrder)) ([]*wire.RankReply, []error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make([]*wire.RankReply, len(ranks))
@@ -50,14 +50,14 @@
 	for i, target := range ranks {
 		wg.Go(func() {
 			order := o
-			if of != nil {
-				of(i, &order)
+			if customize != nil {
+				customize(i, &order)
 			}
 			l := e.link(target)
 			if l == nil {
-				errs[i] = result.New(result.Unreachable, "no link to %s", target)
+				errs[i] = result.New(result.Unreachable, "no connection to %s", target)
 			} else {
-				replies[i], errs[i] = l.rankOrder(ctx, &order)
+				replies[i], errs[i] = l.sendRankOrder(ctx, &order)
 			}
 			if errs[i] != nil {
 				cancel()
@@ -68,21 +68,20 @@
 	return replies, errs
 }
 
-// tellRanks sends an order to all ranks of a group; what becomes of it is seen
-// elsewhere.
-func (e *Entry) tellRanks(ctx context.Context, ranks []string, o wire.RankOrder) {
+// notifyRanks sends an order to all ranks of a group and ignores replies and errors.
+func (e *Entry) notifyRanks(ctx context.Context, ranks []string, o wire.RankOrder) {
 	var wg conc.WaitGroup
 	for _, target := range ranks {
 		wg.Go(func() {
 			if l := e.link(target); l != nil {
-				_, _ = l.rankOrder(ctx, &o)
+				_, _ = l.sendRankOrder(ctx, &o)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// firstError returns the error that ended the questions, nil if all were answered.
+// firstError returns the error that cancelled the other calls, or nil if all ranks answered.
 func firstError(errs []error) error {
 	var first error
 	for _, err := range errs {
@@ -93,7 +92,8 @@
 	return first
 }
 
-func holdReply(r *wire.RankReply) expert.HoldReply {
+// toHoldReply converts a rank's wire reply to a hold reply.
+func toHoldReply(r *wire.RankReply) expert.HoldReply {
 	h := expert.HoldReply{
 		Incarnation: r.Incarnation,
 		EngineRun:   r.Start,
@@ -110,6 +110,7 @@
 	return h
 }
 
+// prepareOrder returns o as an order to load the map m.
 func prepareOrder(o wire.RankOrder, m *expert.Map) wire.RankOrder {
 	o.Op = wire.RankPrepare
 	o.Ranks, o.Layers, o.Experts, o.SlotsOfRank = m.Shape.Ranks, m.Shape.Layers, m.Shape.Experts, m.Shape.SlotsOfRank
@@ -117,54 +118,56 @@
 	return o
 }
 
-// stuckRanks is what agents say of ranks that stand still.
-type stuckRanks struct {
-	mu    sync.Mutex
-	ranks map[string]stuckSpan // by target
+// stalledRanks records the reports of agents whose rank is stalled.
+type stalledRanks struct {
+	mu      sync.Mutex
+	periods map[string]stallPeriod // by target
 }
 
-type stuckSpan struct{ first, last time.Time }
+// stallPeriod is the time of the first and the last report of one stall.
+type stallPeriod struct{ firstReport, lastReport time.Time }
 
-// stuckQuiet is how long agents, which repeat themselves twice a second, are
-// silent before a rank counts as running again. A single missed report must not
-// start the wait for a rescue anew: it would never come.
-const stuckQuiet = 2 * time.Second
+// stallReportTTL is how long after its last report a rank counts as stalled. Agents repeat
+// the report twice a second. One missed report must not restart the recovery delay, or the
+// recovery would never begin.
+const stallReportTTL = 2 * time.Second
 
-func (s *stuckRanks) heard(target string, now time.Time) {
+// recordReport records that an agent reported its rank as stalled.
+func (s *stalledRanks) recordReport(target string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ranks == nil {
-		s.ranks = make(map[string]stuckSpan)
+	if s.periods == nil {
+		s.periods = make(map[string]stallPeriod)
 	}
-	span := s.ranks[target]
-	if now.Sub(span.last) > stuckQuiet {
-		span.first = now
+	period := s.periods[target]
+	if now.Sub(period.lastReport) > stallReportTTL {
+		period.firstReport = now
 	}
-	span.last = now
-	s.ranks[target] = span
+	period.lastReport = now
+	s.periods[target] = period
 }
 
-// since returns when the first of the ranks began to stand still; false: all run.
-func (s *stuckRanks) since(ranks []string, now time.Time) (first time.Time, ok bool) {
+// stalledSince returns when the earliest of the ranks stalled, and false if none is stalled.
+func (s *stalledRanks) stalledSince(ranks []string, now time.Time) (first time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range ranks {
-		span, known := s.ranks[r]
-		if !known || now.Sub(span.last) > stuckQuiet {
+		period, known := s.periods[r]
+		if !known || now.Sub(period.lastReport) > stallReportTTL {
 			continue
 		}
-		if !ok || span.first.Before(first) {
-			first, ok = span.first, true
+		if !ok || period.firstReport.Before(first) {
+			first, ok = period.firstReport, true
 		}
 	}
 	return first, ok
 }
 
-// forget drops what was said of ranks that have been released since.
-func (s *stuckRanks) forget(ranks []string) {
+// remove discards the reports on ranks that have been released.
+func (s *stalledRanks) remove(ranks []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range ranks {
-		delete(s.ranks, r)
+		delete(s.periods, r)
 	}
 }
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -10,11 +10,12 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// errorBody is OpenAI's shape of an error, with the numbered code.
+// errorBody is an error in OpenAI's format, with the numeric result code.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
 
+// errorDetail is the content of an errorBody.
 type errorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -22,9 +23,10 @@
 	Run     string `json:"run"`
 }
 
+// errorJSON encodes an error for the caller.
 func errorJSON(r *result.Error) []byte {
 	info := r.Code.Info()
-	text, _ := json.Marshal(errorBody{errorDetail{ // plain structs always encode
+	text, _ := json.Marshal(errorBody{errorDetail{ // a struct of strings and ints always encodes
 		Message: info.Meaning + " " + r.Detail,
 		Type:    info.Name,
 		Code:    int(r.Code),
@@ -33,7 +35,7 @@
 	return text
 }
 
-// refuse answers a request that has no answer of its target.
+// refuse answers a request with an error of the entry.
 func (e *Entry) refuse(c fiber.Ctx, err error) error {
 	r := result.From(err)
 	info := r.Code.Info()
--- a/entry/request.go
+++ b/entry/request.go
@@ -13,18 +13,18 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// newCall copies everything out of the library's buffers, which it reuses for
-// another caller's request once the handler has returned.
+// newCall validates a request and copies it out of the HTTP library's buffers, which the library
+// reuses for another caller's request once the handler has returned.
 func newCall(c fiber.Ctx, snap *config.Snapshot, team *config.Team, service, path string) (*Call, error) {
 	svc := snap.Service(service)
 	if svc == nil {
-		return nil, result.New(result.UnknownService, "no service %q", service)
+		return nil, result.New(result.UnknownService, "unknown service %q", service)
 	}
 	if !slices.Contains(team.Services, service) {
-		return nil, result.New(result.ServiceDenied, "team %s may not use %s", team.Name, service)
+		return nil, result.New(result.ServiceDenied, "team %s may not use service %s", team.Name, service)
 	}
-	if !plainPath(path) {
-		return nil, result.New(result.BadRequest, "the path holds spaces or control characters")
+	if !isSafePath(path) {
+		return nil, result.New(result.BadRequest, "the path contains spaces or control characters")
 	}
 	call := &Call{
 		ID:         requestID(c),
@@ -32,7 +32,7 @@
 		Service:    service,
 		Method:     strings.Clone(c.Method()),
 		Path:       path,
-		Headers:    passedOn(c),
+		Headers:    forwardHeaders(c),
 		Body:       append([]byte(nil), c.Body()...),
 		Key:        strings.Clone(c.Get(HeaderKey)),
 		Repeatable: true,
@@ -40,9 +40,9 @@
 	return call, call.readHeaders(c, snap.Policy(svc))
 }
 
-// passedHeaders go on to the target; all others of a caller stop here, above all
-// its key.
-var passedHeaders = []string{
+// forwardedHeaders are the only caller headers that reach the target. In particular, the
+// caller's API key does not.
+var forwardedHeaders = []string{
 	fiber.HeaderContentType,
 	fiber.HeaderAccept,
 	fiber.HeaderIfNoneMatch,
@@ -50,9 +50,10 @@
 	fiber.HeaderRange,
 }
 
-func passedOn(c fiber.Ctx) []wire.Header {
+// forwardHeaders returns copies of the forwarded headers of a request.
+func forwardHeaders(c fiber.Ctx) []wire.Header {
 	var headers []wire.Header
-	for _, name := range passedHeaders {
+	for _, name := range forwardedHeaders {
 		if v := c.Get(name); v != "" {
 			headers = append(headers, wire.Header{Name: name, Value: strings.Clone(v)})
 		}
@@ -60,45 +61,46 @@
 	return headers
 }
 
-// plainPath refuses what could end the request line towards the target and begin
-// a second request there.
-func plainPath(path string) bool {
+// isSafePath rejects characters that could end the request line towards the target and start a
+// second request there.
+func isSafePath(path string) bool {
 	return !strings.ContainsFunc(path, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
 
-// Limits on what a caller may ask for.
+// Limits on caller headers.
 const (
 	maxDeadline = time.Hour
-	maxKey      = 255 // bytes of an idempotency key, which targets remember
+	maxKeyBytes = 255 // of an idempotency key, which targets store
 )
 
+// readHeaders sets the idempotency, deadline and priority of the call from its headers.
 func (call *Call) readHeaders(c fiber.Ctx, policy *config.Policy) error {
 	switch v := c.Get(HeaderRepeatable); v {
 	case "", "yes":
 	case "no":
 		call.Repeatable = false
 		if call.Key == "" {
-			return result.New(result.KeyMissing, "%s: no needs an %s", HeaderRepeatable, HeaderKey)
+			return result.New(result.KeyMissing, "%s: no requires the header %s", HeaderRepeatable, HeaderKey)
 		}
 	default:
-		return result.New(result.MalformedHeader, "%s: %q is not allowed, send yes or no", HeaderRepeatable, v)
+		return result.New(result.MalformedHeader, "%s: invalid value %q, expected yes or no", HeaderRepeatable, v)
 	}
-	if len(call.Key) > maxKey {
-		return result.New(result.MalformedHeader, "%s of %d bytes, at most %d are allowed", HeaderKey, len(call.Key), maxKey)
+	if len(call.Key) > maxKeyBytes {
+		return result.New(result.MalformedHeader, "%s is %d bytes long, limit %d", HeaderKey, len(call.Key), maxKeyBytes)
 	}
-	wait := policy.Deadline
+	timeout := policy.Deadline
 	if v := c.Get(HeaderDeadline); v != "" {
 		ms, err := strconv.ParseInt(v, 10, 32)
 		if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
-			return result.New(result.MalformedHeader, "%s: %q is no number of milliseconds from 1 to %d", HeaderDeadline, v, maxDeadline.Milliseconds())
+			return result.New(result.MalformedHeader, "%s: invalid value %q, expected milliseconds from 1 to %d", HeaderDeadline, v, maxDeadline.Milliseconds())
 		}
-		wait = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	call.Deadline = time.Now().Add(wait)
+	call.Deadline = time.Now().Add(timeout)
 	if v := c.Get(HeaderPriority); v != "" {
 		n, err := strconv.ParseInt(v, 10, 8)
 		if err != nil {
-			return result.New(result.MalformedHeader, "%s: %q is no number from -128 to 127", HeaderPriority, v)
+			return result.New(result.MalformedHeader, "%s: invalid value %q, expected an integer from -128 to 127", HeaderPriority, v)
 		}
 		call.Priority = int8(n)
 	}
--- a/entry/retire.go
+++ b/entry/retire.go
@@ -6,49 +6,49 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// raiseFlag signals a channel with one place; a signal that waits already suffices.
-func raiseFlag(ch chan struct{}) {
+// raiseSignal sends on a channel with a buffer of one. A pending signal suffices.
+func raiseSignal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-func dropFlag(ch chan struct{}) {
+// clearSignal discards a pending signal.
+func clearSignal(ch chan struct{}) {
 	select {
 	case <-ch:
 	default:
 	}
 }
 
-// retirePoll is how often a retired connection is looked at.
-const retirePoll = 20 * time.Millisecond
+// retiredPollInterval is how often a retired connection is checked for requests.
+const retiredPollInterval = 20 * time.Millisecond
 
-// retire gives a connection no new work and closes it when its requests have
-// ended.
+// retire sends no new work to a connection and closes it when its requests have ended.
 //
-// Failure: the VM list names the successor of a VM that is shutting down
-// gracefully. Symptom: answers in flight are cut off. Enough, because the old
-// agent ends its connections itself once it has nothing left to do.
+// Without it, answers in flight would be cut off when the VM list shows the successor of a VM
+// that is shutting down gracefully. The old agent closes its connections itself once it has
+// no work left.
 func (l *link) retire(conn *wire.Conn) {
 	l.mu.Lock()
-	l.retired[conn] = true
+	l.retiredConns[conn] = true
 	l.mu.Unlock()
-	l.entry.duties.Go(func() {
+	l.entry.tasks.Go(func() {
 		l.closeWhenIdle(conn)
 		l.mu.Lock()
-		delete(l.retired, conn)
+		delete(l.retiredConns, conn)
 		l.mu.Unlock()
 	})
 }
 
-// closeWhenIdle closes the connection once no request waits on it.
+// closeWhenIdle closes the connection once it has no open request.
 func (l *link) closeWhenIdle(conn *wire.Conn) {
 	for !conn.CloseIfIdle() {
 		select {
 		case <-conn.Done():
 			return
-		case <-time.After(retirePoll):
+		case <-time.After(retiredPollInterval):
 		case <-l.entry.ctx.Done():
 			conn.Close()
 			return
@@ -56,17 +56,19 @@
 	}
 }
 
-func (l *link) heardGoodbye(c *wire.Conn) {
+// handleShutdownNote records that the agent is stopping and retires its connection.
+func (l *link) handleShutdownNote(c *wire.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stopped = c.Peer().Incarnation
+	l.stoppedIncarnation = c.Peer().Incarnation
 	if l.conn == c {
-		raiseFlag(l.goodbye)
+		raiseSignal(l.shutdownNotice)
 	}
 }
 
-func (l *link) hasStopped(incarnation uint64) bool {
+// isStopped reports whether this agent incarnation has sent a shutdown note.
+func (l *link) isStopped(incarnation uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stopped == incarnation
+	return l.stoppedIncarnation == incarnation
 }
--- a/entry/sched.go
+++ b/entry/sched.go
@@ -13,37 +13,38 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// sched is what placement and queues know of a call.
-type sched struct {
-	known   bool
-	cost    route.Cost
-	blocks  []uint64
-	weight  int
-	maxWait int64   // milliseconds, of the latest choice
-	cached  float64 // tokens, at the latest choice
-	trail   route.RejectionHistory
+// schedState holds what placement and the agents' admission queues know of a call.
+type schedState struct {
+	prepared     bool // prepareSched has run
+	cost         route.Cost
+	blockHashes  []uint64
+	weight       int
+	maxWaitMS    int64   // of the latest placement
+	cachedTokens float64 // of the latest placement
+	rejections   route.RejectionHistory
 }
 
-// refused notes a failed try.
-func (s *sched) refused(target string, err error) {
+// recordRejection records that a target rejected an attempt because its queue was too
+// long. It ignores other errors.
+func (s *schedState) recordRejection(target string, err error) {
 	if r := result.From(err); r.Code == result.WaitTooLong {
-		s.trail.Add(target, r.RetryAfter)
+		s.rejections.Add(target, r.RetryAfter)
 	}
 }
 
-// usable tells whether a target can take work.
-func (e *Entry) usable(target string) bool {
+// isUsable reports whether a target can take work.
+func (e *Entry) isUsable(target string) bool {
 	l := e.link(target)
 	if l == nil {
 		return false
 	}
 	var t route.Target
-	l.view(&t)
+	l.readAvailability(&t)
 	return t.Reachable && t.EngineUp && !t.Leaving
 }
 
-// bodyShape is the part of a model request that costs depend on.
-type bodyShape struct {
+// modelRequestBody is the part of a model request that determines its cost.
+type modelRequestBody struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Messages  []struct {
@@ -51,8 +52,8 @@
 	} `json:"messages"`
 }
 
-// text returns the prompt as one text.
-func (b *bodyShape) text() []byte {
+// promptText returns the prompt and all messages as one text.
+func (b *modelRequestBody) promptText() []byte {
 	text := []byte(b.Prompt)
 	for i := range b.Messages {
 		text = append(text, b.Messages[i].Content...)
@@ -60,94 +61,95 @@
 	return text
 }
 
-// prepare fills in what depends on the call alone.
-func (c *Call) prepare(snap *config.Snapshot, svc *config.Service, answer float64) {
+// prepareSched computes the scheduling data that does not depend on the target. answer is
+// the mean answer length in tokens. Later calls have no effect.
+func (c *Call) prepareSched(snap *config.Snapshot, svc *config.Service, meanAnswerTokens float64) {
 	s := &c.sched
-	if s.known {
+	if s.prepared {
 		return
 	}
-	s.known = true
+	s.prepared = true
 	s.weight = snap.Weight(c.Team)
 	if svc.Model == "" {
 		s.cost = route.PlainCost
 		return
 	}
-	var b bodyShape
+	var b modelRequestBody
 	if err := json.Unmarshal(c.Body, &b); err != nil {
-		s.cost = route.EstimateCost(len(c.Body), 0, answer) // the engine will say what is wrong
+		s.cost = route.EstimateCost(len(c.Body), 0, meanAnswerTokens) // the engine reports the malformed body
 		return
 	}
-	text := b.text()
-	s.cost = route.EstimateCost(len(text), b.MaxTokens, answer)
-	s.blocks = route.BlockHashes(c.Team, text, nil)
+	text := b.promptText()
+	s.cost = route.EstimateCost(len(text), b.MaxTokens, meanAnswerTokens)
+	s.blockHashes = route.BlockHashes(c.Team, text, nil)
 }
 
-// wire returns what the agent's queue must know.
-func (s *sched) wire() wire.Sched {
+// toWire returns the scheduling data for the agent's admission queue.
+func (s *schedState) toWire() wire.Sched {
 	return wire.Sched{
 		Weight:    s.weight,
-		Prompt:    int(max(0, s.cost.Prompt-s.cached)),
+		Prompt:    int(max(0, s.cost.Prompt-s.cachedTokens)),
 		Decode:    int(math.Ceil(s.cost.Decode)),
-		MaxWaitMs: s.maxWait,
+		MaxWaitMs: s.maxWaitMS,
 	}
 }
 
-var decisions = sync.Pool{New: func() any { return new(route.Decision) }}
+var decisionPool = sync.Pool{New: func() any { return new(route.Decision) }}
 
-// place chooses a target among few of those that the entry uses. keepOut are
-// targets that this request must not use.
-func (e *Entry) place(snap *config.Snapshot, c *Call, view *fleetView, keepOut map[string]bool) (string, error) {
+// placeRequest chooses a target from a sample of the targets that this entry uses. The
+// request must not go to the excluded targets.
+func (e *Entry) placeRequest(snap *config.Snapshot, c *Call, view *fleetView, excluded map[string]bool) (string, error) {
 	svc := snap.Service(c.Service)
-	c.prepare(snap, svc, view.state.answerTokens())
+	c.prepareSched(snap, svc, view.state.meanAnswerTokens())
 	s := &c.sched
-	if target, ok := s.trail.FinalTarget(); ok && e.usable(target) {
-		s.maxWait = 0
+	if target, ok := s.rejections.FinalTarget(); ok && e.isUsable(target) {
+		s.maxWaitMS = 0
 		return target, nil
 	}
 	req := route.Request{
 		DataCentre: e.opts.Settings.DataCentre,
-		Avoid:      keepOut,
+		Avoid:      excluded,
 		Cost:       s.cost,
-		Blocks:     s.blocks,
+		Blocks:     s.blockHashes,
 		Seed:       rand.Uint64(),
 	}
-	placer := e.placerOf(snap.Policy(svc))
-	d := decisions.Get().(*route.Decision)
-	defer decisions.Put(d)
-	placer.Pick(&req, view, d)
-	e.explain.add(c, d)
-	best := d.Best()
-	if told, _, ok := s.trail.ShortestWait(); best == nil && ok && e.usable(told) {
-		s.maxWait = 0 // all others were tried, or can't be used
-		return told, nil
+	placer := e.placerFor(snap.Policy(svc))
+	decision := decisionPool.Get().(*route.Decision)
+	defer decisionPool.Put(decision)
+	placer.Pick(&req, view, decision)
+	e.explanations.add(c, decision)
+	best := decision.Best()
+	if shortest, _, ok := s.rejections.ShortestWait(); best == nil && ok && e.isUsable(shortest) {
+		s.maxWaitMS = 0 // all other targets were tried or are unusable
+		return shortest, nil
 	}
 	if best == nil {
 		return "", result.New(result.NoTarget, "none of %d targets of %s can take work", view.Len(), c.Service)
 	}
-	s.cached, s.maxWait = best.Target.CachedTokens, 0
+	s.cachedTokens, s.maxWaitMS = best.Target.CachedTokens, 0
 	if svc.Model != "" {
-		s.maxWait = s.trail.MaxWait(placer.MaxWait(&req, best)).Milliseconds()
+		s.maxWaitMS = s.rejections.MaxWait(placer.MaxWait(&req, best)).Milliseconds()
 	}
-	view.learn(best.Index, s.blocks)
+	view.recordPrompt(best.Index, s.blockHashes)
 	return best.Target.Name, nil
 }
 
-// placerKey is the part of a policy that a placer depends on.
+// placerKey is the part of a policy that determines a placer.
 type placerKey struct {
-	patience, distance time.Duration
-	near, far          int
-	loadPrice          float64
+	waitSlack, remotePenalty time.Duration
+	nearSamples, farSamples  int
+	loadPenalty              float64
 }
 
-// placerOf returns the placer of a policy.
+// placerFor returns the placer of a policy. Placers are cached.
 //
-// Failure: a policy was written by a build that did not know the sampling keys, so
-// they are zero here. Symptom: no target is ever found. Enough, because a policy of
-// a build that knows them has at least one sample.
-func (e *Entry) placerOf(p *config.Policy) *route.Placer {
+// A policy written by a build that did not know the sampling keys has no samples, and a
+// placer without samples finds no target. Such a policy gets the default placer. Every
+// policy of a newer build has at least one sample.
+func (e *Entry) placerFor(p *config.Policy) *route.Placer {
 	key := placerKey{p.WaitSlack, p.Distance, p.SampleNear, p.SampleFar, p.LoadPrice}
-	if held, ok := e.placers.Load(key); ok {
-		return held.(*route.Placer)
+	if cached, ok := e.placers.Load(key); ok {
+		return cached.(*route.Placer)
 	}
 	placer := route.DefaultPlacer()
 	if p.SampleNear+p.SampleFar > 0 {
@@ -155,6 +157,6 @@
 		placer.NearSamples, placer.FarSamples = p.SampleNear, p.SampleFar
 		placer.Scorer = route.WaitScorer{RemotePenaltySec: p.Distance.Seconds(), LoadPenaltySec: p.LoadPrice}
 	}
-	held, _ := e.placers.LoadOrStore(key, placer)
-	return held.(*route.Placer)
+	cached, _ := e.placers.LoadOrStore(key, placer)
+	return cached.(*route.Placer)
 }
--- a/entry/slowcaller_test.go
+++ b/entry/slowcaller_test.go
@@ -22,7 +22,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// endless is an engine that produces as fast as it is read.
+// endless is an engine that produces output as fast as it is read.
 type endless struct{ produced atomic.Int64 }
 
 func (e *endless) Run(_ context.Context, call *outside.Call) (*outside.Reply, error) {
@@ -41,7 +41,7 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// pipeListener hands out in-memory connections.
+// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -63,7 +63,7 @@
 	return a, nil
 }
 
-// startPipe joins an entry and an agent by memory alone, in virtual time.
+// startPipe starts an entry and an agent that are connected in memory, in virtual time.
 func startPipe(g *WithT, backend outside.Backend) (*entry.Entry, func()) {
 	cfg, err := config.Load(smallConfig)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -99,7 +99,7 @@
 	return e, func() { e.Close(); a.Close() }
 }
 
-func ask(g *WithT, e *entry.Entry, path string) *entry.Exchange {
+func startCall(g *WithT, e *entry.Entry, path string) *entry.Exchange {
 	x, err := e.Do(context.Background(), e.Current(), &entry.Call{
 		ID: path, Team: "kitchens", Service: "drafter", Method: "POST", Path: path,
 		Repeatable: true, Deadline: time.Now().Add(time.Hour),
@@ -108,27 +108,26 @@
 	return x
 }
 
-// A caller reads slowly. What is produced for it stays within a window and a
-// few buffers, so its engine is held back; another caller's answer from the same
-// target, over the same connection, arrives whole meanwhile.
-func TestSlowCallerHoldsBackItsEngineAndNobodyElse(t *testing.T) {
+// A slow caller must hold back only its own engine run: the output produced for it stays within a
+// window and a few buffers, and another answer over the same connection completes meanwhile.
+func TestSlowCallerThrottlesOnlyItsOwnStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		backend := new(endless)
 		e, stop := startPipe(g, backend)
 		defer stop()
-		slow := ask(g, e, "/slow")
+		slow := startCall(g, e, "/slow")
 		defer slow.Close()
 		synctest.Wait()
 		time.Sleep(time.Minute)
-		held := backend.produced.Load()
-		g.Expect(held).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
+		producedForSlow := backend.produced.Load()
+		g.Expect(producedForSlow).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
 
-		quick := ask(g, e, "/short")
-		defer quick.Close()
+		fast := startCall(g, e, "/short")
+		defer fast.Close()
 		got := 0
 		for {
-			p, err := quick.Recv()
+			p, err := fast.Recv()
 			got += len(p)
 			if err == io.EOF {
 				break
@@ -136,7 +135,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		g.Expect(got).To(Equal(100 << 10))
-		g.Expect(backend.produced.Load()).To(Equal(held))
+		g.Expect(backend.produced.Load()).To(Equal(producedForSlow))
 
 		read := 0
 		for read < 4*wire.DefaultWindow {
@@ -145,7 +144,7 @@
 			read += len(p)
 		}
 		time.Sleep(time.Second)
-		g.Expect(backend.produced.Load()).To(BeNumerically(">", held))
+		g.Expect(backend.produced.Load()).To(BeNumerically(">", producedForSlow))
 		g.Expect(backend.produced.Load() - int64(read)).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
 	})
 }
--- a/entry/smuggling_test.go
+++ b/entry/smuggling_test.go
@@ -12,10 +12,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// What a caller sends is never read as another request than the one that was
-// authenticated. Each input hides a second request or leaves its own length
-// open; the service must run what is before the hidden part, or nothing.
-func TestHiddenRequestsNeverRun(t *testing.T) {
+// Each input hides a second request or leaves its own length ambiguous. The service must run the
+// request before the hidden part or nothing, never the hidden request.
+func TestSmuggledRequestsNeverRun(t *testing.T) {
 	f, addr, _ := startSmall(t)
 	hidden := "POST /v1/services/logbook/hidden HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nh"
 	post := "POST /v1/services/logbook/open HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\n"
@@ -26,10 +25,10 @@
 		{"space before the colon", post + fmt.Sprintf("Content-Length : %d\r\n\r\n", len(hidden)) + hidden},
 		{"negative length", post + "Content-Length: -1\r\n\r\n" + hidden},
 		{"length with a sign", post + "Content-Length: +0\r\n\r\n" + hidden},
-		{"odd coding", post + "Transfer-Encoding: xchunked\r\n\r\n" + hidden},
+		{"unknown transfer coding", post + "Transfer-Encoding: xchunked\r\n\r\n" + hidden},
 		{"chunk size without end", post + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n" + hidden},
-		{"line end in the path", "POST /v1/services/logbook/a%0d%0aX:%20y HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\nContent-Length: 0\r\n\r\n"},
-		{"line end in a header", post + "Idempotency-Key: k\rX: y\r\nContent-Length: 0\r\n\r\n"},
+		{"line break in the path", "POST /v1/services/logbook/a%0d%0aX:%20y HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\nContent-Length: 0\r\n\r\n"},
+		{"line break in a header", post + "Idempotency-Key: k\rX: y\r\nContent-Length: 0\r\n\r\n"},
 		{"zero byte in a header", post + "Idempotency-Key: k\x00\r\nContent-Length: 0\r\n\r\n"},
 		{"no request at all", strings.Repeat("\x16\x03\x01", 100) + "\r\n\r\n"},
 	}
@@ -42,7 +41,7 @@
 			_, err = io.WriteString(nc, tc.input)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(nc.(*net.TCPConn).CloseWrite()).To(Succeed())
-			answer, _ := io.ReadAll(nc) // a cut is as good as an answer
+			answer, _ := io.ReadAll(nc) // a closed connection is as good as an answer
 			g.Expect(strings.Count(string(answer), "HTTP/1.1 200")).To(BeNumerically("<=", 1))
 		})
 	}
@@ -52,17 +51,16 @@
 		g.Expect(r.Key).NotTo(ContainSubstring("\r"))
 	}
 	g.Expect(metricsText(f)).To(ContainSubstring(`reason="bad_request"`))
-	// The entry goes on to serve.
+	// The entry keeps serving.
 	resp, err := http.DefaultClient.Do(newRequest(t, "POST", addr, "/v1/services/logbook/open", "after"))
 	g.Expect(err).NotTo(HaveOccurred())
 	_ = resp.Body.Close()
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 }
 
-// A caller sends a byte now and then, in its headers or in its body, to hold a
-// connection for good. The time to arrive counts from the first byte, so each
-// such connection is cut long before its request is whole, and nothing runs.
-func TestSlowRequestIsCut(t *testing.T) {
+// A caller sends single bytes slowly, in its headers or body, to hold a connection open. The
+// arrival timeout counts from the first byte, so the connection must close and nothing must run.
+func TestSlowRequestIsClosed(t *testing.T) {
 	f, addr, _ := startArrival(t, 300*time.Millisecond)
 	head := "POST /v1/services/logbook/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\n"
 	for _, tc := range []struct{ name, atOnce, slowly string }{
--- a/entry/switch.go
+++ b/entry/switch.go
@@ -16,76 +16,77 @@
 )
 
 const (
-	// holdMargin is how many steps ahead the ranks are asked to hold. Hold,
-	// confirmation and decision are three round trips; at a step of five
-	// milliseconds they end long before the first rank is there.
-	holdMargin = 48
-	// holdLimit is when a switch that has not decided is withdrawn: before the
-	// ranks reach the hold, so that a silent rank costs no step.
-	holdLimit = 150 * time.Millisecond
-	// rescueLimit bounds the same in a rescue, where the group stands anyway.
-	rescueLimit  = 3 * time.Second
-	statusLimit  = 2 * time.Second
-	prepareLimit = 10 * time.Minute
-	decideLimit  = 5 * time.Second
-	decideRetry  = 20 * time.Millisecond
+	// holdAheadSteps is how many steps ahead of the ranks the hold is placed. Hold,
+	// confirmation and decision take three round trips; at 5 ms a step they end long
+	// before the first rank reaches the hold.
+	holdAheadSteps = 48
+	// holdTimeout withdraws a switch that has not been decided. It ends before the ranks
+	// reach the hold, so a rank that does not answer costs no step.
+	holdTimeout = 150 * time.Millisecond
+	// recoveryHoldTimeout replaces holdTimeout in a recovery, where the group is stalled
+	// already.
+	recoveryHoldTimeout = 3 * time.Second
+	statusTimeout       = 2 * time.Second
+	prepareTimeout      = 10 * time.Minute
+	decideTimeout       = 5 * time.Second
+	decideRetryInterval = 20 * time.Millisecond
 )
 
-// mapSwitch is one attempt of this entry to bring a group to a map.
+// mapSwitch is one attempt of this entry to switch a rank group to an expert map.
 type mapSwitch struct {
-	entry  *Entry
-	group  *config.Group
-	order  wire.RankOrder // what all orders of the attempt share
-	want   *expert.Map    // nil: bring the group on with the map that it has
-	ballot expert.Ballot
+	entry     *Entry
+	group     *config.Group
+	baseOrder wire.RankOrder // fields that all orders of the attempt share
+	wantedMap *expert.Map    // nil: release the group with the map that it has
+	ballot    expert.Ballot
 }
 
-var errNoMap = errors.New("no rank knows the map in use")
+var errMapUnavailable = errors.New("no rank returned the map in use")
 
-// run prepares, holds and decides.
+// run loads the wanted map on all ranks, holds the ranks and decides the switch.
 func (s *mapSwitch) run(ctx context.Context) error {
-	status, err := s.status(ctx)
+	status, err := s.queryStatus(ctx)
 	if err != nil {
 		return err
 	}
 	if err := s.prepare(ctx, status); err != nil {
 		return err
 	}
-	if status, err = s.status(ctx); err != nil { // loading took its time
+	if status, err = s.queryStatus(ctx); err != nil { // the ranks have advanced while they loaded the map
 		return err
 	}
-	return s.decide(ctx, s.attempt(status))
+	return s.holdAndDecide(ctx, s.newAttempt(status))
 }
 
-func (s *mapSwitch) status(ctx context.Context) ([]*wire.RankReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusLimit)
+func (s *mapSwitch) queryStatus(ctx context.Context) ([]*wire.RankReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	o := s.order
+	o := s.baseOrder
 	o.Op = wire.RankStatus
-	replies, errs := s.entry.askRanks(ctx, s.group.Ranks, o, nil)
+	replies, errs := s.entry.sendToRanks(ctx, s.group.Ranks, o, nil)
 	return replies, firstError(errs)
 }
 
-// prepare has all ranks load the wanted map, and ranks that have restarted the
-// one in use.
+// prepare makes all ranks load the map in use, which restarted ranks lack, and the wanted
+// map.
 func (s *mapSwitch) prepare(ctx context.Context, status []*wire.RankReply) error {
-	ctx, cancel := context.WithTimeout(ctx, prepareLimit)
+	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
-	inUse, err := s.entry.liveMap(ctx, s.group, status)
+	inUse, err := s.entry.mapInUse(ctx, s.group, status)
 	if err != nil {
 		return err
 	}
 	if inUse == nil {
-		inUse = expert.InitialMap(shapeOf(s.group))
-		if s.want == nil {
-			s.want = inUse
+		inUse = expert.InitialMap(mapShape(s.group))
+		if s.wantedMap == nil {
+			s.wantedMap = inUse
 		}
 	}
-	for _, m := range []*expert.Map{inUse, s.want} {
+	for _, m := range []*expert.Map{inUse, s.wantedMap} {
 		if m == nil {
 			continue
 		}
-		_, errs := s.entry.askRanks(ctx, s.group.Ranks, prepareOrder(s.order, m), func(rank int, o *wire.RankOrder) { o.Rank = rank })
+		_, errs := s.entry.sendToRanks(ctx, s.group.Ranks, prepareOrder(s.baseOrder, m), func(rank int, o *wire.RankOrder) { o.Rank = rank })
 		if err := firstError(errs); err != nil {
 			return err
 		}
@@ -93,53 +94,56 @@
 	return nil
 }
 
-// attempt begins a ballot above all that the ranks have promised.
-func (s *mapSwitch) attempt(status []*wire.RankReply) *expert.SwitchAttempt {
-	at, round := uint64(1), uint64(0)
+// newAttempt starts a ballot with a higher round than any that the ranks have promised.
+func (s *mapSwitch) newAttempt(status []*wire.RankReply) *expert.SwitchAttempt {
+	holdAt, round := uint64(1), uint64(0)
 	for _, r := range status {
-		at = max(at, r.Next)
+		holdAt = max(holdAt, r.Next)
 		round = max(round, r.Round)
 	}
-	if !s.order.Recovery {
-		at += holdMargin
+	if !s.baseOrder.Recovery {
+		holdAt += holdAheadSteps
 	}
 	s.ballot = expert.Ballot{Round: round + 1, Owner: xxhash.Sum64String(fmt.Sprint(s.entry.opts.Settings.Name, s.entry.opts.Incarnation))}
-	s.order.Round, s.order.Owner = s.ballot.Round, s.ballot.Owner
-	want := expert.MapID(0)
-	if s.want != nil {
-		want = s.want.ID()
+	s.baseOrder.Round, s.baseOrder.Owner = s.ballot.Round, s.ballot.Owner
+	wantedID := expert.MapID(0)
+	if s.wantedMap != nil {
+		wantedID = s.wantedMap.ID()
 	}
-	return expert.NewSwitchAttempt(s.ballot, at, want, len(s.group.Ranks))
+	return expert.NewSwitchAttempt(s.ballot, holdAt, wantedID, len(s.group.Ranks))
 }
 
-// decide holds all ranks, has them confirm, and sends the decision.
-func (s *mapSwitch) decide(ctx context.Context, a *expert.SwitchAttempt) error {
-	limit := holdLimit
-	if s.order.Recovery {
-		limit = rescueLimit
+// holdAndDecide holds all ranks, collects their confirmations and sends the decision. It
+// withdraws the ballot if no decision is possible.
+func (s *mapSwitch) holdAndDecide(ctx context.Context, a *expert.SwitchAttempt) error {
+	timeout := holdTimeout
+	if s.baseOrder.Recovery {
+		timeout = recoveryHoldTimeout
 	}
-	d, err := s.collect(ctx, a, limit)
+	decision, err := s.collectReplies(ctx, a, timeout)
 	if err != nil {
 		s.withdraw(ctx, a)
 		return err
 	}
-	return s.announce(ctx, a, d)
+	return s.sendDecision(ctx, a, decision)
 }
 
-func (s *mapSwitch) collect(ctx context.Context, a *expert.SwitchAttempt, limit time.Duration) (*expert.Decision, error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, limit, result.New(result.BallotVoid, "ranks were silent for %s", limit))
+// collectReplies asks all ranks to hold and then to confirm, and returns the decision that
+// their replies allow.
+func (s *mapSwitch) collectReplies(ctx context.Context, a *expert.SwitchAttempt, timeout time.Duration) (*expert.Decision, error) {
+	ctx, cancel := context.WithTimeoutCause(ctx, timeout, result.New(result.BallotVoid, "ranks did not answer within %s", timeout))
 	defer cancel()
-	o := s.order
+	o := s.baseOrder
 	o.Op, o.At = wire.RankHold, a.HoldAt
-	replies, errs := s.entry.askRanks(ctx, s.group.Ranks, o, nil)
+	replies, errs := s.entry.sendToRanks(ctx, s.group.Ranks, o, nil)
 	if err := firstError(errs); err != nil {
 		return nil, err
 	}
 	for rank, r := range replies {
-		a.RecordReply(rank, holdReply(r))
+		a.RecordReply(rank, toHoldReply(r))
 	}
 	o.Op = wire.RankConfirm
-	_, errs = s.entry.askRanks(ctx, s.group.Ranks, o, s.addressed(a))
+	_, errs = s.entry.sendToRanks(ctx, s.group.Ranks, o, s.stampOrder(a))
 	for rank, err := range errs {
 		if err == nil {
 			a.RecordConfirmation(rank)
@@ -151,93 +155,98 @@
 	return a.Decide()
 }
 
-// addressed sends back to each rank whose reply the order rests on.
-func (s *mapSwitch) addressed(a *expert.SwitchAttempt) func(rank int, o *wire.RankOrder) {
+// stampOrder returns a function that sets, in the order for a rank, the agent incarnation
+// and engine run that the rank reported in its hold reply.
+func (s *mapSwitch) stampOrder(a *expert.SwitchAttempt) func(rank int, o *wire.RankOrder) {
 	return func(rank int, o *wire.RankOrder) {
 		o.Incarnation, o.Start = a.Replies[rank].Incarnation, a.Replies[rank].EngineRun
 	}
 }
 
-// withdraw lets the ranks run on at once. It is allowed only while this ballot
-// has not decided; SwitchAttempt sees to it that it won't afterwards.
+// withdraw releases the ranks at once. This is allowed only while the ballot has not been
+// decided; SwitchAttempt refuses to decide afterwards.
 func (s *mapSwitch) withdraw(ctx context.Context, a *expert.SwitchAttempt) {
 	if !a.Withdraw() {
 		return
 	}
 	s.entry.opts.Metrics.Count("map_switches_withdrawn_total", 1)
-	ctx, cancel := context.WithTimeout(ctx, statusLimit)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	o := s.order
+	o := s.baseOrder
 	o.Op = wire.RankWithdraw
-	s.entry.tellRanks(ctx, s.group.Ranks, o) // ranks that don't hear of it report that they stand still
+	s.entry.notifyRanks(ctx, s.group.Ranks, o) // a rank that misses the order reports that it is stalled
 }
 
-// announce tells all ranks, again and again until each has obeyed or can't: from
-// the first one that obeys, the decision is made and the others wait for it.
-func (s *mapSwitch) announce(ctx context.Context, a *expert.SwitchAttempt, d *expert.Decision) error {
-	ctx, cancel := context.WithTimeout(ctx, decideLimit)
+// sendDecision sends the decision to every rank and repeats it until the rank has applied
+// it or cannot. The decision is final once the first rank applies it; the other ranks wait
+// for it.
+func (s *mapSwitch) sendDecision(ctx context.Context, a *expert.SwitchAttempt, d *expert.Decision) error {
+	ctx, cancel := context.WithTimeout(ctx, decideTimeout)
 	defer cancel()
-	o := s.order
+	o := s.baseOrder
 	o.Op, o.Join = wire.RankDecide, d.JoinStep
 	for _, seg := range d.Schedule {
 		o.Schedule = append(o.Schedule, wire.RankSegment{From: seg.From, Map: uint64(seg.Map)})
 	}
-	address := s.addressed(a)
+	stamp := s.stampOrder(a)
 	wg := pool.New().WithErrors()
 	for rank, target := range s.group.Ranks {
 		order := o
-		address(rank, &order)
-		wg.Go(func() error { return s.tell(ctx, target, &order) })
+		stamp(rank, &order)
+		wg.Go(func() error { return s.sendDecisionTo(ctx, target, &order) })
 	}
 	return wg.Wait()
 }
 
-func (s *mapSwitch) tell(ctx context.Context, target string, o *wire.RankOrder) error {
+// sendDecisionTo repeats the decision to one rank until the rank applies it, the ballot is
+// superseded or void, or ctx ends.
+func (s *mapSwitch) sendDecisionTo(ctx context.Context, target string, o *wire.RankOrder) error {
 	for {
-		err := error(result.New(result.Unreachable, "no link to %s", target))
+		err := error(result.New(result.Unreachable, "no connection to %s", target))
 		if l := s.entry.link(target); l != nil {
-			_, err = l.rankOrder(ctx, o)
+			_, err = l.sendRankOrder(ctx, o)
 		}
 		if err == nil || result.From(err).Code == result.BallotOld || result.From(err).Code == result.BallotVoid {
 			return err
 		}
 		select {
-		case <-time.After(decideRetry):
+		case <-time.After(decideRetryInterval):
 		case <-ctx.Done():
 			return err
 		}
 	}
 }
 
-// liveMap returns the content of the map in use; nil if no rank has entered a
-// step yet.
-func (e *Entry) liveMap(ctx context.Context, g *config.Group, status []*wire.RankReply) (*expert.Map, error) {
-	known := false
+// mapInUse fetches the map in use from a rank. It returns nil if no rank has entered a step
+// yet, and errMapUnavailable if no rank returned a valid map.
+func (e *Entry) mapInUse(ctx context.Context, g *config.Group, status []*wire.RankReply) (*expert.Map, error) {
+	hasEntered := false
 	for rank, r := range status {
 		if r == nil || !r.Entered {
 			continue
 		}
-		known = true
+		hasEntered = true
 		l := e.link(g.Ranks[rank])
 		if l == nil {
 			continue
 		}
-		reply, err := l.rankOrder(ctx, &wire.RankOrder{Group: g.Name, Op: wire.RankMap})
+		reply, err := l.sendRankOrder(ctx, &wire.RankOrder{Group: g.Name, Op: wire.RankMap})
 		if err != nil {
 			continue
 		}
-		m := &expert.Map{Shape: shapeOf(g), Slot: wire.DecodeSlots(reply.Slots)}
+		m := &expert.Map{Shape: mapShape(g), Slot: wire.DecodeSlots(reply.Slots)}
 		if m.Validate() == nil && uint64(m.ID()) == reply.Map {
 			return m, nil
 		}
 	}
-	if known {
-		return nil, errNoMap
+	if hasEntered {
+		return nil, errMapUnavailable
 	}
 	return nil, nil
 }
 
-func shapeOf(g *config.Group) expert.Shape {
+// mapShape returns the shape of a group's expert maps.
+func mapShape(g *config.Group) expert.Shape {
 	return expert.Shape{
 		Ranks:       len(g.Ranks),
 		Layers:      g.Layers,
--- a/entry/duties.go
+++ b/entry/vms.go
@@ -7,20 +7,22 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-const vmPoll = 500 * time.Millisecond
+const vmPollInterval = 500 * time.Millisecond
 
-// install puts a version in force; an older one than held is never taken.
-func (e *Entry) install(s *config.Snapshot) {
-	held := e.current.Load()
-	if s == nil || (held != nil && s.Version <= held.Version) {
+// installConfig puts a configuration version in force. It ignores versions that are not newer
+// than the current one.
+func (e *Entry) installConfig(s *config.Snapshot) {
+	current := e.current.Load()
+	if s == nil || (current != nil && s.Version <= current.Version) {
 		return
 	}
 	e.current.Store(s)
 	e.log.Info("configuration in force", "version", s.Version, "change", s.ID)
 	e.syncLinks()
-	e.notifyAgents()
+	e.requestNotify()
 }
 
+// watchVMs polls the VM list until the entry stops.
 func (e *Entry) watchVMs() {
 	for e.ctx.Err() == nil {
 		vms, err := e.opts.VMs.List(e.ctx)
@@ -28,17 +30,16 @@
 			e.opts.Metrics.Count("vm_list_errors_total", 1)
 		} else {
 			e.vms.Store(&vms)
-			e.entriesDigest.Store(digestNodes(e.liveEntries()))
-			e.node.SetPeers(peers(vms))
+			e.entriesDigest.Store(entriesHash(e.liveEntries()))
+			e.node.SetPeers(entryPeers(vms))
 			e.syncLinks()
 		}
-		e.sleep(vmPoll)
+		e.sleep(vmPollInterval)
 	}
 }
 
-// syncLinks keeps one link to each declared target whose VM is listed. A target
-// that the list no longer shows keeps its link: the list lags, and the link
-// itself tells when the agent is gone.
+// syncLinks creates a link for each declared target whose VM is listed. A target that disappears
+// from the list keeps its link: the list lags, and the connection shows when the agent is gone.
 func (e *Entry) syncLinks() {
 	snap, vms := e.current.Load(), e.vms.Load()
 	if snap == nil || vms == nil {
@@ -55,8 +56,8 @@
 	}
 }
 
-// targetVMs returns one VM for each target: while a VM is replaced the list may
-// show the leaving one beside its successor.
+// targetVMs returns one VM for each target. While a VM is replaced, the list may show the leaving
+// VM beside its successor; the live one is preferred.
 func targetVMs(vms []outside.VM) map[string]outside.VM {
 	chosen := make(map[string]outside.VM)
 	for _, vm := range vms {
@@ -70,6 +71,7 @@
 	return chosen
 }
 
+// ensureLink starts a link to the VM's target, or updates the existing one.
 func (e *Entry) ensureLink(vm outside.VM) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,9 +82,9 @@
 	if !ok {
 		l = newLink(e, vm.Name, vm.Address)
 		e.links[vm.Name] = l
-		e.duties.Go(l.run)
+		e.tasks.Go(l.connectLoop)
 	}
-	l.update(vm)
+	l.updateVM(vm)
 }
 
 func (e *Entry) link(target string) *link {
--- a/entry/work.go
+++ b/entry/work.go
@@ -9,99 +9,101 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// dispatched is one request in the entry's books of a target. It watches the
-// request's stream, so the books are exact without any report.
-type dispatched struct {
+// trackedRequest is one request in the entry's record of its own work at a target. It watches
+// the request's stream, so the record is exact without load reports.
+type trackedRequest struct {
 	link *link
 
-	mu    sync.Mutex
-	left  route.Cost
-	ended bool
+	mu        sync.Mutex
+	remaining route.Cost
+	ended     bool
 }
 
-// count adds a request to the books.
-func (l *link) count(s *wire.Sched) *dispatched {
-	b := &dispatched{link: l, left: route.Cost{Prompt: float64(s.Prompt), Decode: float64(s.Decode)}}
-	l.change(1, b.left)
-	return b
+// trackRequest adds a request to the entry's own work at the target.
+func (l *link) trackRequest(s *wire.Sched) *trackedRequest {
+	r := &trackedRequest{link: l, remaining: route.Cost{Prompt: float64(s.Prompt), Decode: float64(s.Decode)}}
+	l.addOwnWork(1, r.remaining)
+	return r
 }
 
-func (l *link) change(requests float64, c route.Cost) {
+// addOwnWork changes the entry's own work at the target by the given amounts.
+func (l *link) addOwnWork(requests float64, c route.Cost) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.work.own.Requests += requests
 	l.work.own.Prompt += c.Prompt
 	l.work.own.Decode += c.Decode
 	if l.work.own.Requests == 0 {
-		l.work.own = route.Work{} // rounding errors don't add up
+		l.work.own = route.Work{} // clears accumulated rounding errors
 	}
 }
 
 // Arrived implements wire.Watcher.
-func (b *dispatched) Arrived(chunk []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ended {
+func (r *trackedRequest) Arrived(chunk []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.ended {
 		return
 	}
 	tokens, _ := route.EstimateTokens(chunk)
-	n := min(b.left.Decode, float64(tokens))
-	done := route.Cost{Prompt: -b.left.Prompt, Decode: -n}
-	b.left.Prompt = 0
-	b.left.Decode -= n
-	b.link.change(0, done)
+	n := min(r.remaining.Decode, float64(tokens))
+	progress := route.Cost{Prompt: -r.remaining.Prompt, Decode: -n}
+	r.remaining.Prompt = 0
+	r.remaining.Decode -= n
+	r.link.addOwnWork(0, progress)
 }
 
 // Ended implements wire.Watcher.
-func (b *dispatched) Ended() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ended {
+func (r *trackedRequest) Ended() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.ended {
 		return
 	}
-	b.ended = true
-	b.link.change(-1, route.Cost{Prompt: -b.left.Prompt, Decode: -b.left.Decode})
+	r.ended = true
+	r.link.addOwnWork(-1, route.Cost{Prompt: -r.remaining.Prompt, Decode: -r.remaining.Decode})
 }
 
-// openCounted opens the stream of a request with a dispatched that watches it.
-func (l *link) openCounted(conn *wire.Conn, req *wire.Request) (*wire.Stream, error) {
-	b := l.count(&req.Sched)
-	s, err := conn.OpenWatched(wire.MethodRequest, req, b)
+// openTracked opens the stream of a request with a trackedRequest that watches it.
+func (l *link) openTracked(conn *wire.Conn, req *wire.Request) (*wire.Stream, error) {
+	r := l.trackRequest(&req.Sched)
+	s, err := conn.OpenWatched(wire.MethodRequest, req, r)
 	if err != nil {
-		b.Ended()
+		r.Ended()
 		return nil, result.New(result.Unreachable, "open stream to %s: %w", l.target, err)
 	}
 	return s, nil
 }
 
-// takeLoad takes a report; one that is older than the last of its connection is
-// dropped. Another connection may lead to another agent, whose numbers begin
-// anew. Called with l.mu.
-func (l *link) takeLoad(from *wire.Conn, load *wire.Load) {
-	if l.hasLoad && l.work.from == from && load.Seq <= l.load.Seq {
-		return // late or doubled
+// applyLoad stores a load report. It drops a report that is not newer than the last one of
+// the same connection. Another connection may lead to another agent, whose sequence numbers
+// start again. The caller holds l.mu.
+func (l *link) applyLoad(source *wire.Conn, load *wire.Load) {
+	if l.hasLoad && l.work.source == source && load.Seq <= l.load.Seq {
+		return // reordered or duplicated
 	}
-	l.work.from = from
+	l.work.source = source
 	l.load, l.hasLoad = *load, true
 	l.load.Target = l.target
-	l.work.reported = time.Now()
-	l.work.others = othersOf(load)
-	if f := l.fleet.Load(); f != nil {
+	l.work.reportedAt = time.Now()
+	l.work.others = othersWork(load)
+	if f := l.fleetState.Load(); f != nil {
 		f.mu.Lock()
-		f.means.RecordSpeeds(&route.Target{
+		f.loadMeans.RecordSpeeds(&route.Target{
 			TokensPerSec:      float64(load.TokensPerSec),
 			PrefillPerSec:     float64(load.PrefillPerSec),
 			FirstTokenBaseSec: float64(load.FirstTokenBaseSec),
-		}, len(f.slots))
-		f.means.RecordLoad(l.work.own, l.work.others, len(f.slots))
+		}, len(f.indexSlots))
+		f.loadMeans.RecordLoad(l.work.own, l.work.others, len(f.indexSlots))
 		if load.AnswerTokens > 0 {
-			f.answer = float64(load.AnswerTokens)
+			f.meanAnswer = float64(load.AnswerTokens)
 		}
 		f.mu.Unlock()
 	}
 }
 
-func othersOf(l *wire.Load) route.Work {
+// othersWork returns the reported work of all entries but this one.
+func othersWork(l *wire.Load) route.Work {
 	return route.Work{
 		Requests: float64(max(0, l.Total.Requests-l.FromReceiver.Requests)),
 		Prompt:   float64(max(0, l.Total.Prompt-l.FromReceiver.Prompt)),
@@ -109,16 +111,16 @@
 	}
 }
 
-// read fills in what the link knows and returns the others' work by the last
-// report, and its age.
-func (l *link) read(t *route.Target) (route.Work, time.Duration) {
+// readTarget fills in t from the link. It returns the other entries' work by the last load
+// report, and the age of that report.
+func (l *link) readTarget(t *route.Target) (route.Work, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state(t)
+	l.readAvailabilityLocked(t)
 	t.Slots = l.load.Slots
 	t.TokensPerSec = float64(l.load.TokensPerSec)
 	t.PrefillPerSec = float64(l.load.PrefillPerSec)
 	t.FirstTokenBaseSec = float64(l.load.FirstTokenBaseSec)
 	t.Own = l.work.own
-	return l.work.others, time.Since(l.work.reported)
+	return l.work.others, time.Since(l.work.reportedAt)
 }
