--- a/control/apply.go
+++ b/control/apply.go
@@ -13,31 +13,31 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Operator applies changes for a person. It reads the log itself, so what it
-// reports is what every reader will find.
+// Operator applies configuration changes on behalf of an operator. It reads the log
+// itself, so it reports the same outcome that every other reader of the log derives.
 type Operator struct {
 	Log outside.Log
-	// State returns a peer's saved state, for a log that was trimmed; may be nil.
+	// State returns a peer's saved state. It is used when the log was trimmed; may be nil.
 	State func(context.Context) ([]byte, error)
 
 	fold *config.Fold
 }
 
 const (
-	operatorPage  = 1024
-	operatorPause = 200 * time.Millisecond
+	operatorPageRecords   = 1024
+	operatorRetryInterval = 200 * time.Millisecond
 )
 
-// Sync folds the log up to its present end.
+// Sync folds the log up to its current end.
 func (o *Operator) Sync(ctx context.Context) error {
 	if o.fold == nil {
 		o.fold, _ = NewFold()
 	}
 	for {
-		page, err := o.Log.Read(ctx, o.fold.Next(), operatorPage, 0)
+		page, err := o.Log.Read(ctx, o.fold.Next(), operatorPageRecords, 0)
 		if errors.Is(err, outside.ErrTrimmed) && page.First > o.fold.Next() {
 			o.fold.SkipTo(page.First)
-			_ = o.fromPeer(ctx) // without one, a snapshot on the log may do
+			_ = o.restoreFromPeer(ctx) // if no peer has a state, a snapshot on the log may be enough
 			continue
 		}
 		if err != nil {
@@ -60,13 +60,13 @@
 	if !o.fold.NeedsSnapshot() {
 		return nil
 	}
-	if err := o.fromPeer(ctx); err != nil {
-		return fmt.Errorf("the log was trimmed, it holds no snapshot, and no entry helped: %w", err)
+	if err := o.restoreFromPeer(ctx); err != nil {
+		return fmt.Errorf("log was trimmed, holds no snapshot, and no entry returned its state: %w", err)
 	}
 	return nil
 }
 
-func (o *Operator) fromPeer(ctx context.Context) error {
+func (o *Operator) restoreFromPeer(ctx context.Context) error {
 	if o.State == nil {
 		return errors.New("no entries are known")
 	}
@@ -77,13 +77,15 @@
 	return o.fold.Restore(saved)
 }
 
-// Current returns the version in force as of the latest Sync, nil if there is none.
+// Current returns the configuration version in force as of the latest Sync, or nil if
+// there is none.
 func (o *Operator) Current() *config.Snapshot { return o.fold.Current() }
 
-// Apply puts c in force as a whole, if version base still is. It returns the
-// outcome once it has read it back. The error is result.ChangeRefused, which names
-// the winner; result.ChangeUnknown, with the id to resume, if ctx ended first; or
-// the reason why nothing was sent.
+// Apply replaces the whole configuration with c, provided that version base is still in
+// force. It returns the outcome after reading it back from the log. The error is
+// result.ChangeRefused, which names the change that won; result.ChangeUnknown, with the
+// id to resume, if ctx ended before the outcome was read; or the reason why nothing was
+// sent.
 func (o *Operator) Apply(ctx context.Context, id string, base uint64, c *config.Config) (config.Outcome, error) {
 	var old *config.Config
 	if s := o.fold.Current(); s != nil {
@@ -97,33 +99,33 @@
 	if err != nil {
 		return config.Outcome{}, err
 	}
-	return o.settle(ctx, id, records)
+	return o.appendUntilDecided(ctx, id, records)
 }
 
-// Resume settles a change whose outcome was unknown. If it is not on the log, a
-// record with its id and an impossible base is appended: should the lost append
-// arrive later, it is a repeated id and changes nothing.
+// Resume determines the outcome of a change whose outcome was unknown. It appends a
+// record with the same id and a base that can never be in force. If the lost append
+// reaches the log later, its id is a repetition and it changes nothing.
 func (o *Operator) Resume(ctx context.Context, id string) (config.Outcome, error) {
 	if err := o.Sync(ctx); err != nil {
 		return config.Outcome{}, result.New(result.ChangeUnknown, "%s: %w", id, err)
 	}
 	if oldest, full := o.fold.OldestOutcome(); full && id < oldest {
-		return config.Outcome{}, result.New(result.ChangeUnknown, "%s is too old, outcomes before %s are forgotten", id, oldest)
+		return config.Outcome{}, result.New(result.ChangeUnknown, "change %s is too old: outcomes before %s are no longer kept", id, oldest)
 	}
 	records, err := config.ChangeRecords(&config.Change{ID: id, Base: config.VoidBase})
 	if err != nil {
 		return config.Outcome{}, err
 	}
-	return o.settle(ctx, id, records)
+	return o.appendUntilDecided(ctx, id, records)
 }
 
-// settle appends records until their outcome can be read back. Appending again is
-// harmless: parts are kept once and a repeated id keeps its first outcome.
-func (o *Operator) settle(ctx context.Context, id string, records [][]byte) (config.Outcome, error) {
+// appendUntilDecided appends records until their outcome can be read back. Appending them
+// again is harmless: each part is stored once, and a repeated id keeps its first outcome.
+func (o *Operator) appendUntilDecided(ctx context.Context, id string, records [][]byte) (config.Outcome, error) {
 	sent := 0
 	for {
 		if out, ok := o.fold.Outcome(id); ok {
-			return out, refusal(out)
+			return out, outcomeError(out)
 		}
 		for sent < len(records) && ctx.Err() == nil {
 			if _, err := o.Log.Append(ctx, records[sent:sent+1]); err != nil {
@@ -136,17 +138,17 @@
 			continue
 		}
 		if err == nil && sent == len(records) {
-			sent = 0 // read to the end without an outcome: an acknowledged record is missing
+			sent = 0 // the log was read to its end without an outcome, so an acknowledged record is missing
 		}
 		select {
-		case <-time.After(operatorPause):
+		case <-time.After(operatorRetryInterval):
 		case <-ctx.Done():
 			return config.Outcome{}, result.New(result.ChangeUnknown, "%s: %w", id, errors.Join(err, context.Cause(ctx)))
 		}
 	}
 }
 
-func refusal(o config.Outcome) error {
+func outcomeError(o config.Outcome) error {
 	if o.Accepted {
 		return nil
 	}
@@ -156,5 +158,5 @@
 	return result.New(result.ChangeRefused, "%s by change %s", o.Reason, o.Winner)
 }
 
-// NewChangeID returns an id for a change: it sorts by time.
+// NewChangeID returns a new id for a change. Ids sort by creation time.
 func NewChangeID() string { return ulid.Make().String() }
--- a/control/apply_test.go
+++ b/control/apply_test.go
@@ -25,8 +25,9 @@
 	version uint64
 }
 
-// versionModel is one register: an accepted change on base v makes it v+1; a refused
-// one saw another version; of an unknown one either may be true.
+// versionModel is a register of the version in force. An accepted change on base v sets it
+// to v+1, a refused change saw another version, and an unknown change may or may not have
+// taken effect.
 var versionModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
@@ -46,9 +47,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Four operators race with conflicting files, while answers of the log are lost and
-// it is down now and then. Each sees accepted, refused or unknown; what they saw
-// must be explained by one order of changes, each on the version before it.
+// Four operators apply conflicting configurations while the log loses answers and is down
+// at times. Their outcomes must fit one order of changes, each on the version before it.
 func TestRacingOperators(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
@@ -64,7 +64,7 @@
 					rng := rand.New(rand.NewPCG(seed, uint64(client)))
 					for i := range 8 {
 						time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-						op := operate(t, log, rng, client, i, &clock)
+						op := runOperator(t, log, rng, client, i, &clock)
 						if op == nil {
 							continue
 						}
@@ -92,7 +92,7 @@
 	}
 }
 
-func operate(t *testing.T, log outside.Log, rng *rand.Rand, client, i int, clock *atomic.Int64) *porcupine.Operation {
+func runOperator(t *testing.T, log outside.Log, rng *rand.Rand, client, i int, clock *atomic.Int64) *porcupine.Operation {
 	op := &Operator{Log: log}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
@@ -103,14 +103,14 @@
 	if s := op.Current(); s != nil {
 		base = s.Version
 	}
-	time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) // the person reads the diff
+	time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) // the operator reads the diff
 	id := NewChangeID()
 	call := clock.Add(1)
 	out, err := op.Apply(ctx, id, base, teams(1+client*100+i))
 	if err != nil && result.From(err).Code == result.ChangeUnknown && rng.IntN(2) == 0 {
-		again, cancel := context.WithTimeout(t.Context(), time.Minute)
+		resumeCtx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		out, err = op.Resume(again, id)
+		out, err = op.Resume(resumeCtx, id)
 	}
 	code := result.OK
 	if err != nil {
@@ -118,19 +118,18 @@
 	}
 	end := clock.Add(1)
 	if code == result.ChangeUnknown {
-		end = 1 << 40 // it may take effect at any later time
+		end = 1 << 40 // the change may still take effect at any later time
 	}
-	// A change that was settled by its resumption on the right base is "did not
-	// happen": it says nothing about the version.
+	// Resume voided the change although its base may have been right: the outcome
+	// says nothing about the version.
 	if code == result.ChangeRefused && out.Reason == config.ReasonVoided {
 		return nil
 	}
 	return &porcupine.Operation{ClientId: client*1000 + i, Input: applyInput{base}, Call: call, Output: applyOutput{code, out.Version}, Return: end}
 }
 
-// An operator's tool dies between the parts of a large change. Nobody sees any of
-// it; the next operator's change goes on the version before; a later resumption is
-// told that the first did not happen.
+// The operator's tool dies between the parts of a large change. No node may apply any
+// part, the next change succeeds, and a later Resume of the first change is refused.
 func TestApplyCutOffHalfWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -143,23 +142,23 @@
 		records, err := config.ChangeRecords(&config.Change{ID: id, Base: v, Digest: config.Digest(big), Delta: config.NewDelta(teams(1), big)})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(len(records)).To(BeNumerically(">", 3))
-		_, err = c.log.Append(t.Context(), records[:len(records)-1]) // all parts, no commit
+		_, err = c.log.Append(t.Context(), records[:len(records)-1]) // all parts but not the commit
 		g.Expect(err).NotTo(HaveOccurred())
 		next := c.apply(2)
 		g.Expect(next).To(Equal(v + 1))
-		c.within(inForce, next, c.names()...)
+		c.waitForVersion(applyDeadline, next, c.names()...)
 		op := &Operator{Log: c.log}
 		_, err = op.Resume(t.Context(), id)
 		g.Expect(result.From(err).Code).To(Equal(result.ChangeRefused))
 		_, err = c.log.Append(t.Context(), records[len(records)-1:]) // the commit arrives late
 		g.Expect(err).NotTo(HaveOccurred())
-		time.Sleep(inForce)
+		time.Sleep(applyDeadline)
 		g.Expect(c.version("a-0")).To(Equal(next))
 	})
 }
 
-// The operator sees one acceptance although the log's answer was lost. In order:
-// the append takes effect, its answer is lost, the tool reads back and finds it.
+// An append takes effect but its answer is lost. The operator must find the change by
+// reading back and see it accepted exactly once.
 func TestLostAppendAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -170,6 +169,6 @@
 		c.log.SetFaults(fake.LogFaults{LoseAnswers: 1})
 		g.Expect(c.apply(2)).To(Equal(v + 1))
 		g.Expect(c.apply(3)).To(Equal(v + 2))
-		c.within(inForce, v+2, c.names()...)
+		c.waitForVersion(applyDeadline, v+2, c.names()...)
 	})
 }
--- a/control/beat.go
+++ b/control/beat.go
@@ -10,20 +10,20 @@
 
 const peerDialTimeout = time.Second
 
-// peerConn is the connection that this process opened to a peer.
+// peerConn is a connection that this process opened to a peer.
 type peerConn struct {
 	conn    *wire.Conn
 	address string
 }
 
-// connect returns the connection to a peer, opened if needed.
+// connect returns the connection to a peer. It opens one if there is none.
 func (n *Node) connect(name string) (*wire.Conn, error) {
 	n.mu.Lock()
 	peer, known := n.topology.Peers[name]
 	have := n.conns[name]
 	n.mu.Unlock()
 	if !known {
-		return nil, result.New(result.Unreachable, "%s is not listed", name)
+		return nil, result.New(result.Unreachable, "peer %s is not in the VM list", name)
 	}
 	if have != nil && have.address == peer.Address {
 		select {
@@ -40,18 +40,19 @@
 	}
 	conn, err := wire.Client(nc, n.hello(), n, wire.Options{})
 	if err != nil {
-		return nil, result.New(result.Unreachable, "hello of %s: %w", name, err)
+		return nil, result.New(result.Unreachable, "handshake with %s: %w", name, err)
 	}
 	if conn.Peer().Name != name {
 		conn.Close()
-		return nil, result.New(result.Unreachable, "%s answers where %s is listed", conn.Peer().Name, name)
+		return nil, result.New(result.Unreachable, "peer %s answered at the address listed for %s", conn.Peer().Name, name)
 	}
-	return n.keep(name, &peerConn{conn: conn, address: peer.Address})
+	return n.storeConn(name, &peerConn{conn: conn, address: peer.Address})
 }
 
-// keep books a new connection. Two duties may have opened one at once: the later
-// one stays, the earlier ends when its last use does.
-func (n *Node) keep(name string, p *peerConn) (*wire.Conn, error) {
+// storeConn stores a new connection to a peer. Two tasks may have opened one at the same
+// time: the later connection replaces the earlier one, which closes when its last use
+// ends.
+func (n *Node) storeConn(name string, p *peerConn) (*wire.Conn, error) {
 	n.mu.Lock()
 	old := n.conns[name]
 	n.conns[name] = p
@@ -66,15 +67,16 @@
 	return p.conn, nil
 }
 
-// beat sends heartbeats to the few, and, as one of the few, who is silent.
-func (n *Node) beat() {
+// sendHeartbeats sends heartbeats to the observers of the data centre, silent reports to
+// the entries that send heartbeats here, and summaries to other data centres.
+func (n *Node) sendHeartbeats() {
 	last := time.Time{}
 	for round := 0; n.sleep(n.opts.Timing.HeartbeatInterval); round++ {
 		n.mu.Lock()
 		local, remote := n.topology.Local(ObserverCount), n.topology.SummaryPeers()
 		n.mu.Unlock()
-		n.sendAll(local, wire.NoteHeartbeat, n.beatNote())
-		n.sendSilent(round%silentEvery == 0)
+		n.sendAll(local, wire.NoteHeartbeat, n.heartbeat())
+		n.sendSilentReport(round%silentReportHeartbeats == 0)
 		if time.Since(last) >= n.opts.Timing.Summaries {
 			last = time.Now()
 			n.sendAll(remote, wire.NoteSummary, n.summary())
@@ -82,7 +84,7 @@
 	}
 }
 
-func (n *Node) beatNote() *wire.Heartbeat {
+func (n *Node) heartbeat() *wire.Heartbeat {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := &wire.Heartbeat{Leaving: n.leaving.Load()}
@@ -92,17 +94,17 @@
 	return b
 }
 
-// note is a message that encodes itself.
-type note interface{ MarshalMsg([]byte) ([]byte, error) }
+// marshaler is a message that encodes itself.
+type marshaler interface{ MarshalMsg([]byte) ([]byte, error) }
 
-// sendAll sends to each in a goroutine of its own: a peer that does not answer the
-// dial must not delay the heartbeats to the others.
-func (n *Node) sendAll(names []string, kind wire.Note, msg note) {
+// sendAll sends a message to each named peer in a goroutine of its own, so that a peer
+// that does not answer the dial does not delay the heartbeats to the others.
+func (n *Node) sendAll(names []string, kind wire.Note, msg marshaler) {
 	for _, name := range names {
-		n.duties.Go(func() {
+		n.tasks.Go(func() {
 			conn, err := n.connect(name)
 			if err != nil {
-				n.log.V(1).Info("peer not reached", "peer", name, "detail", err.Error())
+				n.log.V(1).Info("peer unreachable", "peer", name, "detail", err.Error())
 				return
 			}
 			_ = conn.SendNote(kind, msg) // the next heartbeat opens a new connection
@@ -112,15 +114,18 @@
 
 // Send sends a one-way message to another entry. It does not wait, and the message
 // may be lost.
-func (n *Node) Send(name string, kind wire.Note, msg note) { n.sendAll([]string{name}, kind, msg) }
-
-// silentEvery is in how many heartbeats an empty SilentReport is sent; a witness that says
-// nothing for longer than Timing.FailureTimeout does not count.
-const silentEvery = 3
-
-// sendSilent tells the entries that beat to this one whom it misses: at once when
-// there is something to tell, and now and then if not.
-func (n *Node) sendSilent(due bool) {
+func (n *Node) Send(name string, kind wire.Note, msg marshaler) { n.sendAll([]string{name}, kind, msg) }
+
+// silentReportHeartbeats is the number of heartbeats from one empty SilentReport to the
+// next. An observer that sends nothing for longer than Timing.FailureTimeout does not
+// count.
+const silentReportHeartbeats = 3
+
+// sendSilentReport sends a SilentReport to the entries that send heartbeats to this one.
+// It lists the processes that this entry has not heard in time, that are leaving or that
+// have no configuration. A report with rows and the first empty one after it are sent at
+// once; other empty reports only if due.
+func (n *Node) sendSilentReport(due bool) {
 	n.mu.Lock()
 	now := time.Now()
 	var silent wire.SilentReport
@@ -130,8 +135,8 @@
 				Version: s.Version, AgeMs: s.Age.Milliseconds(), Leaving: s.Leaving})
 		}
 	}
-	due = due || len(silent.Rows) > 0 || n.toldSilent
-	n.toldSilent = len(silent.Rows) > 0
+	due = due || len(silent.Rows) > 0 || n.reportedSilent
+	n.reportedSilent = len(silent.Rows) > 0
 	var conns []*wire.Conn
 	for c := range n.incoming {
 		if p := c.Peer(); p.Role == wire.RoleEntry && p.DataCentre == n.opts.Self.DataCentre && due {
@@ -140,7 +145,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range conns {
-		n.duties.Go(func() { _ = c.SendNote(wire.NoteSilentReport, &silent) }) // a lost peer comes back by itself
+		n.tasks.Go(func() { _ = c.SendNote(wire.NoteSilentReport, &silent) }) // a peer whose connection was lost reconnects
 	}
 }
 
@@ -165,27 +170,27 @@
 // ServeNote implements wire.Handler.
 func (n *Node) ServeNote(c *wire.Conn, kind wire.Note, payload []byte) {
 	if c.Peer().Role != wire.RoleEntry {
-		return // others are no members and no witnesses
+		return // only entries are members and observers
 	}
 	var err error
 	switch kind {
 	case wire.NoteHeartbeat:
-		err = n.heardBeat(c, payload)
+		err = n.handleHeartbeat(c, payload)
 	case wire.NoteSilentReport:
-		err = n.heardSilent(c, payload)
+		err = n.handleSilentReport(c, payload)
 	case wire.NoteSummary:
-		err = n.heardSummary(payload)
+		err = n.handleSummary(payload)
 	default:
 		if n.opts.Note != nil {
 			err = n.opts.Note(c.Peer().Name, kind, payload)
 		}
 	}
 	if err != nil {
-		n.log.Error(err, "bad note", "peer", c.Peer().Name, "note", kind)
+		n.log.Error(err, "invalid note", "peer", c.Peer().Name, "note", kind)
 	}
 }
 
-func (n *Node) heardBeat(c *wire.Conn, payload []byte) error {
+func (n *Node) handleHeartbeat(c *wire.Conn, payload []byte) error {
 	var b wire.Heartbeat
 	if _, err := b.UnmarshalMsg(payload); err != nil {
 		return err
@@ -197,26 +202,26 @@
 	return nil
 }
 
-func (n *Node) heardSilent(c *wire.Conn, payload []byte) error {
+func (n *Node) handleSilentReport(c *wire.Conn, payload []byte) error {
 	var silent wire.SilentReport
 	if _, err := silent.UnmarshalMsg(payload); err != nil {
 		return err
 	}
-	witness := c.Peer().Name
+	observer := c.Peer().Name
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	missed := make(map[string]bool, len(silent.Rows))
 	for _, r := range silent.Rows {
 		missed[r.Name] = true
-		n.members.Report(witness, Observation{Name: r.Name, Incarnation: r.Incarnation, Version: r.Version,
+		n.members.Report(observer, Observation{Name: r.Name, Incarnation: r.Incarnation, Version: r.Version,
 			Age: time.Duration(r.AgeMs) * time.Millisecond, Leaving: r.Leaving}, now)
 	}
-	n.members.RecordAllAlive(witness, missed, now)
+	n.members.RecordAllAlive(observer, missed, now)
 	return nil
 }
 
-func (n *Node) heardSummary(payload []byte) error {
+func (n *Node) handleSummary(payload []byte) error {
 	var sum wire.Summary
 	if _, err := sum.UnmarshalMsg(payload); err != nil {
 		return err
--- a/control/client.go
+++ b/control/client.go
@@ -16,58 +16,59 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Client asks processes on behalf of an operator.
+// Client queries processes on behalf of an operator.
 type Client struct {
 	VMs  outside.VMList
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// clientParallel bounds how many processes are asked at once; clientTimeout is for each.
+// maxParallelQueries bounds how many processes are queried at once; queryTimeout applies to
+// each query.
 const (
-	clientParallel = 32
-	clientTimeout  = 3 * time.Second
+	maxParallelQueries = 32
+	queryTimeout       = 3 * time.Second
 )
 
-// silentHandler is for a side that serves nothing.
-type silentHandler struct{}
+// noopHandler serves no streams and ignores notes.
+type noopHandler struct{}
 
 // ServeStream implements wire.Handler.
-func (silentHandler) ServeStream(_ context.Context, s *wire.Stream, m wire.Method, _ []byte) {
-	_ = s.Refuse(result.New(result.WireUnknownKind, "method %d", m)) // nobody waits for it
+func (noopHandler) ServeStream(_ context.Context, s *wire.Stream, m wire.Method, _ []byte) {
+	_ = s.Refuse(result.New(result.WireUnknownKind, "method %d", m)) // on a lost connection there is no receiver
 }
 
 // ServeNote implements wire.Handler.
-func (silentHandler) ServeNote(*wire.Conn, wire.Note, []byte) {}
+func (noopHandler) ServeNote(*wire.Conn, wire.Note, []byte) {}
 
 func (c *Client) connect(ctx context.Context, addr string) (*wire.Conn, error) {
 	nc, err := c.Dial(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	return wire.Client(nc, wire.Hello{Name: "heatherrail", Role: wire.RoleTool}, silentHandler{}, wire.Options{})
+	return wire.Client(nc, wire.Hello{Name: "heatherrail", Role: wire.RoleTool}, noopHandler{}, wire.Options{})
 }
 
-// State returns the saved state of the first entry that has one.
+// State returns the saved state of the first listed entry that returns one.
 func (c *Client) State(ctx context.Context) ([]byte, error) {
 	vms, err := c.VMs.List(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("list VMs: %w", err)
 	}
-	err = errors.New("no entries are listed")
+	err = errors.New("no entries in the VM list")
 	for _, vm := range vms {
 		if vm.Role != outside.RoleEntry {
 			continue
 		}
 		var state []byte
-		if state, err = c.state(ctx, vm.Address); err == nil {
+		if state, err = c.fetchState(ctx, vm.Address); err == nil {
 			return state, nil
 		}
 	}
 	return nil, err
 }
 
-func (c *Client) state(ctx context.Context, addr string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
+func (c *Client) fetchState(ctx context.Context, addr string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	conn, err := c.connect(ctx, addr)
 	if err != nil {
@@ -79,47 +80,48 @@
 		return nil, err
 	}
 	if !reply.State {
-		return nil, fmt.Errorf("%s sent no state", conn.Peer().Name)
+		return nil, fmt.Errorf("entry %s sent no state", conn.Peer().Name)
 	}
 	return state, nil
 }
 
-// Answer is what one process said, or why it did not.
+// Answer is the status reply of one process, or the error of the query.
 type Answer struct {
 	VM     outside.VM
 	Status *wire.StatusReply
 	Err    error
 }
 
-// Status asks all listed processes of a role (empty: all), in the list's order.
+// Status queries all listed processes of a role (empty: all roles). Answers are in the
+// order of the VM list.
 func (c *Client) Status(ctx context.Context, role string, full bool) ([]Answer, error) {
-	return c.ask(ctx, wire.MethodStatus, &wire.StatusRequest{Full: full}, func(vm *outside.VM) bool {
+	return c.query(ctx, wire.MethodStatus, &wire.StatusRequest{Full: full}, func(vm *outside.VM) bool {
 		return role == "" || vm.Role == role
 	})
 }
 
-// Drain takes the process of a name out of service, or back in.
+// Drain takes the named process out of service, or, with undo, back into service.
 func (c *Client) Drain(ctx context.Context, name string, undo bool) (Answer, error) {
-	answers, err := c.ask(ctx, wire.MethodDrain, &wire.DrainRequest{Undo: undo}, func(vm *outside.VM) bool { return vm.Name == name })
+	answers, err := c.query(ctx, wire.MethodDrain, &wire.DrainRequest{Undo: undo}, func(vm *outside.VM) bool { return vm.Name == name })
 	if err != nil {
 		return Answer{}, err
 	}
 	if len(answers) == 0 {
-		return Answer{}, fmt.Errorf("no VM is listed for %s", name)
+		return Answer{}, fmt.Errorf("no VM named %s in the VM list", name)
 	}
 	return answers[0], answers[0].Err
 }
 
-func (c *Client) ask(ctx context.Context, m wire.Method, msg note, want func(*outside.VM) bool) ([]Answer, error) {
+func (c *Client) query(ctx context.Context, m wire.Method, msg marshaler, matches func(*outside.VM) bool) ([]Answer, error) {
 	vms, err := c.VMs.List(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("list VMs: %w", err)
 	}
 	var mu sync.Mutex
 	var answers []Answer
-	p := pool.New().WithMaxGoroutines(clientParallel)
+	p := pool.New().WithMaxGoroutines(maxParallelQueries)
 	for _, vm := range vms {
-		if !want(&vm) {
+		if !matches(&vm) {
 			continue
 		}
 		mu.Lock()
@@ -127,7 +129,7 @@
 		i := len(answers) - 1
 		mu.Unlock()
 		p.Go(func() {
-			status, err := c.askOne(ctx, vm.Address, m, msg)
+			status, err := c.queryVM(ctx, vm.Address, m, msg)
 			mu.Lock()
 			defer mu.Unlock()
 			answers[i].Status, answers[i].Err = status, err
@@ -137,8 +139,8 @@
 	return answers, nil
 }
 
-func (c *Client) askOne(ctx context.Context, addr string, m wire.Method, msg note) (*wire.StatusReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
+func (c *Client) queryVM(ctx context.Context, addr string, m wire.Method, msg marshaler) (*wire.StatusReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	conn, err := c.connect(ctx, addr)
 	if err != nil {
@@ -152,7 +154,7 @@
 	defer s.Close()
 	ev, err := s.Recv(ctx)
 	if errors.Is(err, io.EOF) {
-		return nil, result.New(result.WireMalformed, "%s sent no status", conn.Peer().Name)
+		return nil, result.New(result.WireMalformed, "process %s sent no status", conn.Peer().Name)
 	}
 	if err != nil {
 		return nil, err
@@ -164,11 +166,12 @@
 	return r, nil
 }
 
-// waitPoll is how often processes are asked until a version is in force.
-const waitPoll = 250 * time.Millisecond
+// inForcePollInterval is the pause between two queries of all entries for the version that
+// they have in force.
+const inForcePollInterval = 250 * time.Millisecond
 
-// WaitInForce returns nil when every listed entry has reported a version at least
-// as new, or those that have not when ctx ends.
+// WaitInForce waits until every listed entry reports the given version or a newer one, and
+// then returns nil. If ctx ends first, it returns the answers of the entries that do not.
 func (c *Client) WaitInForce(ctx context.Context, version uint64) ([]Answer, error) {
 	for {
 		answers, err := c.Status(context.WithoutCancel(ctx), outside.RoleEntry, false)
@@ -185,7 +188,7 @@
 			return nil, nil
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(inForcePollInterval):
 		case <-ctx.Done():
 			return behind, nil
 		}
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -18,10 +18,10 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// theLog is the log service's name among cuts.
-const theLog = "log"
+// logEndpoint is the name of the log service in cuts.
+const logEndpoint = "log"
 
-// cluster is nodes on a network of pipes; it runs inside a synctest bubble.
+// cluster is a set of nodes on a network of pipes. It runs inside a synctest bubble.
 type cluster struct {
 	t   *testing.T
 	log *fake.Log
@@ -31,9 +31,9 @@
 	mu          sync.Mutex
 	nodes       map[string]*Node
 	peers       map[string]Peer
-	cuts        map[[2]string]bool // from, to: bytes are lost on the way
+	cuts        map[[2]string]bool // (from, to) pairs whose bytes are lost
 	incarnation uint64
-	fell        []string // processes that installed an older version
+	downgraded  []string // processes that installed an older version after a newer one
 }
 
 func newCluster(t *testing.T, centres map[string]int) *cluster {
@@ -53,11 +53,11 @@
 	}
 }
 
-// start starts a node, or a new incarnation of it with an empty memory.
+// start starts a node, or a new incarnation of it without state.
 func (c *cluster) start(name string) *Node {
 	c.mu.Lock()
 	c.incarnation++
-	inc, held := c.incarnation, uint64(0)
+	inc, installed := c.incarnation, uint64(0)
 	c.mu.Unlock()
 	n := New(Options{
 		Self:        c.peers[name],
@@ -68,12 +68,12 @@
 		Metrics:     metrics.New(),
 		Timing:      c.timing,
 		Install: func(s *config.Snapshot) {
-			if s.Version < held {
+			if s.Version < installed {
 				c.mu.Lock()
-				c.fell = append(c.fell, name)
+				c.downgraded = append(c.downgraded, name)
 				c.mu.Unlock()
 			}
-			held = s.Version
+			installed = s.Version
 		},
 	})
 	c.mu.Lock()
@@ -102,8 +102,8 @@
 			c.stop(name)
 		}
 	}
-	if len(c.fell) > 0 {
-		c.t.Errorf("older versions were installed at %v", c.fell)
+	if len(c.downgraded) > 0 {
+		c.t.Errorf("processes %v installed an older version after a newer one", c.downgraded)
 	}
 }
 
@@ -113,20 +113,21 @@
 	return c.nodes[name]
 }
 
-// cut loses everything on the way from one process to another, or heals it.
+// cut drops all bytes from one process to another, or, with on false, restores the link.
 func (c *cluster) cut(from, to string, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cuts[[2]string{from, to}] = on
 }
 
-// isolate cuts a process off from all others and from the log, both ways.
+// isolate cuts a process off from all others and from the log, in both directions, or
+// restores its links.
 func (c *cluster) isolate(name string, on bool) {
 	for other := range c.peers {
 		c.cut(name, other, on)
 		c.cut(other, name, on)
 	}
-	c.cut(name, theLog, on)
+	c.cut(name, logEndpoint, on)
 }
 
 func (c *cluster) isCut(from, to string) bool {
@@ -135,12 +136,12 @@
 	return c.cuts[[2]string{from, to}]
 }
 
-var errCut = errors.New("no route")
+var errNoRoute = errors.New("no route")
 
 func (c *cluster) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	n := c.node(to)
 	if n == nil {
-		return nil, errCut
+		return nil, errNoRoute
 	}
 	if c.isCut(from, to) || c.isCut(to, from) {
 		<-ctx.Done()
@@ -156,7 +157,7 @@
 	return &lossyConn{a, c, from, to}, nil
 }
 
-// lossyConn swallows what is written while its way is cut.
+// lossyConn drops written bytes while the link is cut.
 type lossyConn struct {
 	net.Conn
 	c        *cluster
@@ -170,14 +171,14 @@
 	return l.Conn.Write(p)
 }
 
-// cutLog is the log as one process reaches it.
+// cutLog is the log as seen by one process, through its link.
 type cutLog struct {
 	c    *cluster
 	name string
 }
 
 func (l *cutLog) Append(ctx context.Context, records [][]byte) (uint64, error) {
-	if l.c.isCut(l.name, theLog) {
+	if l.c.isCut(l.name, logEndpoint) {
 		<-ctx.Done()
 		return 0, outside.ErrUnknownOutcome
 	}
@@ -185,19 +186,19 @@
 }
 
 func (l *cutLog) Read(ctx context.Context, from uint64, max int, wait time.Duration) (outside.Page, error) {
-	if l.c.isCut(l.name, theLog) {
+	if l.c.isCut(l.name, logEndpoint) {
 		<-ctx.Done()
 		return outside.Page{}, ctx.Err()
 	}
 	page, err := l.c.log.Read(ctx, from, max, wait)
-	if l.c.isCut(l.name, theLog) { // the answer is lost
+	if l.c.isCut(l.name, logEndpoint) { // the answer is lost
 		<-ctx.Done()
 		return outside.Page{}, ctx.Err()
 	}
 	return page, err
 }
 
-// version returns what a node has in force, 0 for none.
+// version returns the configuration version in force at a node, 0 for none.
 func (c *cluster) version(name string) uint64 {
 	n := c.node(name)
 	if n == nil {
@@ -206,8 +207,9 @@
 	return n.Status(false).Version
 }
 
-// within returns how long it took until all named nodes had a version.
-func (c *cluster) within(limit time.Duration, version uint64, names ...string) time.Duration {
+// waitForVersion waits until all named nodes have at least the given version in force, and
+// returns how long it took.
+func (c *cluster) waitForVersion(limit time.Duration, version uint64, names ...string) time.Duration {
 	begin := time.Now()
 	for {
 		ready := true
@@ -218,7 +220,7 @@
 			return time.Since(begin)
 		}
 		if time.Since(begin) > limit {
-			c.t.Fatalf("version %d is not in force at all of %v after %s", version, names, limit)
+			c.t.Fatalf("version %d is not in force at all of %v within %s", version, names, limit)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -232,7 +234,7 @@
 	return names
 }
 
-// apply puts a configuration with n teams in force as an operator does.
+// apply applies a configuration with n teams as an operator does, and returns its version.
 func (c *cluster) apply(n int) uint64 {
 	op := &Operator{Log: c.log}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/control/fence.go
+++ b/control/fence.go
@@ -6,39 +6,39 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Floor is the least fencing number that may act for a resource.
+// Floor is the fencing floor of a resource: the least fencing number that is accepted.
 type Floor struct {
 	Resource string
 	Fence    uint64
 }
 
-// Fence is an agent's memory of fencing numbers. It stands in front of engines
-// that ignore them.
+// Fence checks the fencing numbers of orders at an agent, for engines that do not check
+// them.
 //
-// A holder that was paused through its lapse still believes in its lease and
-// sends an order; the engine would run it beside the new holder's. The agent
-// refuses every number below the highest it has seen. After the agent's own
-// restart that memory is empty, so all orders are refused until enough entries
-// have told it the floor that the log gave them.
+// A holder that was paused while its lease lapsed still acts as the holder and sends an
+// order, which the engine would run beside the orders of the new holder. The agent refuses
+// every number below the highest one it has seen. After a restart the agent knows no
+// numbers, so it refuses all orders until enough entries have sent it the fencing floors
+// that they read from the log.
 type Fence struct {
 	mu      sync.Mutex
-	entries int // as many as a source said there are
+	entries int // highest number of entries that a source reported
 	sources map[string]bool
 	highest map[string]uint64
 }
 
-// FenceSources is how many entries must have told a restarted agent its floors
-// before it passes orders. One alone may be cut off from the log and know an old
-// floor.
+// FenceSources is the number of entries that must have sent their fencing floors to a
+// restarted agent before the agent accepts orders. A single entry may be cut off from the
+// log and know only an old floor.
 const FenceSources = 2
 
-// NewFence returns an empty memory.
+// NewFence returns a fence that knows no numbers and refuses all orders.
 func NewFence() *Fence {
 	return &Fence{sources: make(map[string]bool), highest: make(map[string]uint64)}
 }
 
-// Learn takes the floors that one entry knows from the log, and how many entries
-// it sees in the VM list: in a system of one entry, one source must do.
+// Learn records the fencing floors that one entry read from the log, and the number of
+// entries in that entry's VM list: with a single entry, one source is enough.
 func (f *Fence) Learn(source string, entries int, floors []Floor) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,22 +49,22 @@
 	}
 }
 
-// Check passes an order with a fencing number, and remembers the number, or
-// refuses it: result.FenceStale, or result.FenceUnknown while floors are missing.
+// Check accepts an order with a fencing number and records the number, or returns
+// result.FenceStale, or result.FenceUnknown while too few entries have sent their floors.
 func (f *Fence) Check(resource string, number uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if need := max(1, min(FenceSources, f.entries)); len(f.sources) < need {
-		return result.New(result.FenceUnknown, "%d of %d entries told their floors", len(f.sources), need)
+		return result.New(result.FenceUnknown, "%d of %d required entries have sent their fencing floors", len(f.sources), need)
 	}
 	if high := f.highest[resource]; number < high {
-		return result.New(result.FenceStale, "%s: number %d, highest seen %d", resource, number, high)
+		return result.New(result.FenceStale, "%s: fencing number %d, highest seen %d", resource, number, high)
 	}
 	f.highest[resource] = number
 	return nil
 }
 
-// Highest returns the highest number seen for a resource.
+// Highest returns the highest fencing number seen for a resource.
 func (f *Fence) Highest(resource string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/fence_test.go
+++ b/control/fence_test.go
@@ -8,10 +8,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// The caller sees: an order of a holder that was paused through its lapse is
-// refused with fence_stale. In order: holder 7 is paused, holder 8 gives an order,
-// the agent restarts with an empty memory, holder 7 wakes and sends its order.
-// The restarted agent knows nothing, so it must refuse until entries told it.
+// A holder is paused, a newer one gives an order, and the agent restarts. The agent must
+// refuse the paused holder's order before and after two entries have sent their floors.
 func TestFenceAfterRestart(t *testing.T) {
 	g := NewWithT(t)
 	res := GroupResource("a")
@@ -23,7 +21,7 @@
 		return result.OK
 	}
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
-	f.Learn("entry-1", 3, []Floor{{res, 6}}) // cut off from the log, behind
+	f.Learn("entry-1", 3, []Floor{{res, 6}}) // entry-1 is cut off from the log: its floor is old
 	f.Learn("entry-1", 3, []Floor{{res, 6}})
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
 	f.Learn("entry-2", 3, []Floor{{res, 8}})
--- a/control/follow.go
+++ b/control/follow.go
@@ -14,190 +14,193 @@
 )
 
 const (
-	pageRecords    = 256
-	fallbackPeers  = 3 // peers beyond the few that are tried
-	maxDoublings   = 5 // of the pause after a failed source
-	maxSavedBytes  = 64 << 20
-	pullGrace      = 2 * time.Second // added to the long poll for the way and back
-	appendDeadline = 5 * time.Second
+	pageRecords         = 256
+	fallbackPeers       = 3 // peers tried after the relays of the data centre
+	maxBackoffDoublings = 5 // of the pause after a failed source
+	maxSavedBytes       = 64 << 20
+	pollRoundTrip       = 2 * time.Second // added to the long poll for the round trip
+	appendDeadline      = 5 * time.Second
 )
 
-var errNotFresh = errors.New("source has not read the log for long")
+var errSourceStale = errors.New("source has not read the log recently")
 
-// followLog reads the log: always at the few that do so for their data centre, and
-// elsewhere while no peer brings news.
+// followLog reads the log: always at the log readers of a data centre, and at other
+// entries while no peer has fresh records.
 func (n *Node) followLog() {
 	failures := 0
-	pace := n.newPace()
+	limiter := n.newReadLimiter()
 	for n.ctx.Err() == nil {
-		if !n.needsLog() {
+		if !n.needsLogRead() {
 			n.sleep(n.opts.Timing.HeartbeatInterval)
 			continue
 		}
 		if err := n.pullLog(); err != nil {
-			n.sourceFailed("log", err)
-			n.sleep(min(n.pause(failures), n.opts.Timing.LogBackoff))
+			n.recordSourceFailure("log", err)
+			n.sleep(min(n.backoff(failures), n.opts.Timing.LogBackoff))
 			failures++
 			continue
 		}
 		failures = 0
-		n.sleep(pace.next(time.Now()))
+		n.sleep(limiter.delay(time.Now()))
 	}
 }
 
-// followPeers pulls from peers: always where the log is not read, and elsewhere
-// while the log does not answer.
+// followPeers pulls records from peers: always at entries that do not read the log, and at
+// log readers while the log does not answer or a snapshot is needed.
 func (n *Node) followPeers() {
 	at, rounds := 0, 0
-	pace := n.newPace()
-	var since time.Time // when the present source was chosen
+	limiter := n.newReadLimiter()
+	var chosenAt time.Time // when the current source was chosen
 	for n.ctx.Err() == nil {
-		sources := n.sources()
-		if len(sources) == 0 || !n.needsPeers() {
+		sources := n.pullSources()
+		if len(sources) == 0 || !n.needsPeerRead() {
 			at, rounds = 0, 0
-			n.sleep(n.opts.Timing.Backoff) // a newcomer waits for the VM list here
+			n.sleep(n.opts.Timing.Backoff) // an entry that has just started waits for the VM list here
 			continue
 		}
-		if at >= len(sources) || (at > 0 && time.Since(since) > n.opts.Timing.Retry) {
-			at, since = 0, time.Now()
+		if at >= len(sources) || (at > 0 && time.Since(chosenAt) > n.opts.Timing.Retry) {
+			at, chosenAt = 0, time.Now()
 		}
 		if err := n.pullPeer(sources[at]); err != nil {
-			n.sourceFailed(sources[at], err)
+			n.recordSourceFailure(sources[at], err)
 			if at++; at == len(sources) {
-				rounds++ // all have failed: ask less often
+				rounds++ // all sources have failed: increase the backoff
 			}
-			since = time.Now()
-			n.sleep(n.pause(rounds))
+			chosenAt = time.Now()
+			n.sleep(n.backoff(rounds))
 			continue
 		}
 		rounds = 0
-		n.sleep(pace.next(time.Now()))
+		n.sleep(limiter.delay(time.Now()))
 	}
 }
 
-// paceBurst is how many reads may follow each other at once.
-const paceBurst = 8
+// readBurst is the number of reads that may follow each other without a delay.
+const readBurst = 8
 
-// pace bounds how often a source is asked: a few records in a row are read at once,
-// a steady flow of them costs one read each period.
-type pace struct {
-	every time.Duration
-	full  time.Time // when all reads of a burst are free again
+// readLimiter bounds how often a source is read. A few records in a row are read at once;
+// a steady flow of records costs one read per interval.
+type readLimiter struct {
+	interval    time.Duration
+	burstFreeAt time.Time // when a whole burst of reads is available again
 }
 
-func (n *Node) newPace() pace { return pace{every: n.opts.Timing.Coalesce} }
+func (n *Node) newReadLimiter() readLimiter { return readLimiter{interval: n.opts.Timing.Coalesce} }
 
-// next returns how long to wait before the next read.
-func (p *pace) next(now time.Time) time.Duration {
-	if p.full.Before(now) {
-		p.full = now
+// delay returns how long to wait before the next read, and counts that read.
+func (l *readLimiter) delay(now time.Time) time.Duration {
+	if l.burstFreeAt.Before(now) {
+		l.burstFreeAt = now
 	}
-	p.full = p.full.Add(p.every)
-	return max(0, p.full.Sub(now)-paceBurst*p.every)
+	l.burstFreeAt = l.burstFreeAt.Add(l.interval)
+	return max(0, l.burstFreeAt.Sub(now)-readBurst*l.interval)
 }
 
-// pause returns how long to wait after failures in a row.
-func (n *Node) pause(failures int) time.Duration {
-	return min(n.opts.Timing.Backoff<<min(failures, maxDoublings), n.opts.Timing.MaxBackoff)
+// backoff returns how long to wait after a number of consecutive failures.
+func (n *Node) backoff(failures int) time.Duration {
+	return min(n.opts.Timing.Backoff<<min(failures, maxBackoffDoublings), n.opts.Timing.MaxBackoff)
 }
 
-func (n *Node) sourceFailed(name string, err error) {
+func (n *Node) recordSourceFailure(name string, err error) {
 	n.log.V(1).Info("source failed", "source", name, "detail", err.Error())
 	n.opts.Metrics.Count("control_source_errors_total", 1)
 }
 
-func (n *Node) needsLog() bool {
+func (n *Node) needsLogRead() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.topology.ReadsLog() || n.age() > n.opts.Timing.Fresh
+	return n.topology.ReadsLog() || n.logAge() > n.opts.Timing.Fresh
 }
 
-func (n *Node) needsPeers() bool {
+func (n *Node) needsPeerRead() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.topology.ReadsLog() || n.age() > n.opts.Timing.Fresh || n.fold.NeedsSnapshot()
+	return !n.topology.ReadsLog() || n.logAge() > n.opts.Timing.Fresh || n.fold.NeedsSnapshot()
 }
 
-// sources returns the peers to pull from, best first.
-func (n *Node) sources() []string {
+// pullSources returns the peers to pull from, best first.
+func (n *Node) pullSources() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	peers := n.topology.Sources()
-	few := len(n.topology.Local(RelayCount))
-	return peers[:min(few+fallbackPeers, len(peers))]
+	relays := len(n.topology.Local(RelayCount))
+	return peers[:min(relays+fallbackPeers, len(peers))]
 }
 
 func (n *Node) pullLog() error {
 	n.mu.Lock()
 	from := n.fold.Next()
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, n.opts.Timing.LogWait+pullGrace)
+	ctx, cancel := context.WithTimeout(n.ctx, n.opts.Timing.LogWait+pollRoundTrip)
 	defer cancel()
 	page, err := n.opts.Log.Read(ctx, from, pageRecords, n.opts.Timing.LogWait)
 	if errors.Is(err, outside.ErrTrimmed) && page.First > from {
 		n.opts.Metrics.Count("control_trimmed_total", 1)
-		n.log.Info("log was trimmed past this reader", "next", from, "first", page.First)
+		n.log.Info("log trimmed past the read position", "next", from, "first", page.First)
 		n.mu.Lock()
 		n.fold.SkipTo(page.First)
 		n.mu.Unlock()
-		return nil // a snapshot on the log or a peer's state helps now
+		return nil // the fold now needs a snapshot from the log or a peer's state
 	}
 	if err != nil {
 		return fmt.Errorf("read log: %w", err)
 	}
 	n.mu.Lock()
-	n.snapshot.first = page.First
+	n.snapshots.oldestOffset = page.First
 	n.mu.Unlock()
-	return n.take(page.Next-uint64(len(page.Records)), page.Records, time.Now())
+	return n.foldRecords(page.Next-uint64(len(page.Records)), page.Records, time.Now())
 }
 
-// Take folds consecutive log records, beginning at first, that this process has
-// read for another purpose. It may stop early at a gap; the followers go on.
+// Take folds consecutive log records, beginning at offset first, that this process has
+// read for another purpose. It may stop early at a gap; the followers read on from there.
 func (n *Node) Take(first uint64, records [][]byte) error {
-	return n.take(first, records, time.Now())
+	return n.foldRecords(first, records, time.Now())
 }
 
-// take folds consecutive records that begin at first and were fresh at an instant.
-func (n *Node) take(first uint64, records [][]byte, fresh time.Time) error {
+// foldRecords folds consecutive records. The first one has offset first, and all were read
+// from the log at readAt.
+func (n *Node) foldRecords(first uint64, records [][]byte, readAt time.Time) error {
 	n.mu.Lock()
 	for i, raw := range records {
 		offset := first + uint64(i)
 		before := n.fold.Next()
-		err := n.foldOne(offset, raw)
+		err := n.foldRecord(offset, raw)
 		if errors.Is(err, config.ErrGap) {
-			break // a snapshot set the position back: read on from there
+			break // a snapshot moved the read position back: read on from there
 		}
 		if err != nil {
 			n.mu.Unlock()
 			n.opts.Metrics.Gauge("control_fold_stopped", 1)
-			n.log.Error(err, "configuration stopped")
+			n.log.Error(err, "configuration fold stopped")
 			return err
 		}
 		if before == offset {
-			n.relay.add(offset, raw)
+			n.cache.add(offset, raw)
 		}
 	}
-	if fresh.After(n.freshAt) {
-		n.freshAt = fresh
+	if readAt.After(n.logReadAt) {
+		n.logReadAt = readAt
 	}
 	n.mu.Unlock()
-	n.folded()
+	n.notifyFolded()
 	return nil
 }
 
-// foldOne folds a record; peers send empty ones for those that change nothing.
-func (n *Node) foldOne(offset uint64, raw []byte) error {
+// foldRecord folds one record. Peers send an empty record for one that does not change the
+// state.
+func (n *Node) foldRecord(offset uint64, raw []byte) error {
 	if len(raw) == 0 {
 		return n.fold.Skip(offset)
 	}
 	return n.fold.Apply(offset, raw)
 }
 
-// folded hands what the fold found to those who wait for it. Both followers call
-// it; the lock keeps an older version from being handed over after a newer one.
-func (n *Node) folded() {
-	n.installing.Lock()
-	defer n.installing.Unlock()
+// notifyFolded passes the folded state to the callbacks and wakes the waiting followers.
+// Both follower tasks call it; the lock ensures that no older version is installed after a
+// newer one.
+func (n *Node) notifyFolded() {
+	n.notifyMu.Lock()
+	defer n.notifyMu.Unlock()
 	n.mu.Lock()
 	now := time.Now()
 	current, next := n.fold.Current(), n.fold.Next()
@@ -205,11 +208,11 @@
 		next = 0 // records before it may be missing
 	}
 	n.claimer.Observe(n.table, now)
-	n.snapshot.observe(n.fold.SnapshotOffset(), now)
-	moved := n.table.highest != n.fences
-	n.fences = n.table.highest
-	close(n.wake)
-	n.wake = make(chan struct{})
+	n.snapshots.observe(n.fold.SnapshotOffset(), now)
+	changed := n.table.highestFence != n.notifiedFence
+	n.notifiedFence = n.table.highestFence
+	close(n.recordsFolded)
+	n.recordsFolded = make(chan struct{})
 	n.mu.Unlock()
 	if current != nil && n.opts.Install != nil {
 		n.opts.Install(current)
@@ -217,12 +220,12 @@
 	if n.opts.Folded != nil {
 		n.opts.Folded(next)
 	}
-	if moved && n.opts.Leases != nil {
+	if changed && n.opts.Leases != nil {
 		n.opts.Leases()
 	}
 }
 
-// pullPeer follows a peer by long polls.
+// pullPeer pulls records, or a whole state, from a peer by one long poll.
 func (n *Node) pullPeer(name string) error {
 	conn, err := n.connect(name)
 	if err != nil {
@@ -232,7 +235,7 @@
 	cold := n.fold.NeedsSnapshot() || (n.fold.Next() == 0 && n.fold.Current() == nil)
 	req := wire.TailRequest{From: n.fold.Next(), Cold: cold, WaitMs: n.opts.Timing.LogWait.Milliseconds()}
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, n.opts.Timing.LogWait+pullGrace)
+	ctx, cancel := context.WithTimeout(n.ctx, n.opts.Timing.LogWait+pollRoundTrip)
 	defer cancel()
 	reply, state, err := Tail(ctx, conn, &req)
 	if err != nil {
@@ -247,16 +250,16 @@
 			return fmt.Errorf("state of %s: %w", name, err)
 		}
 	}
-	if err := n.take(reply.First, reply.Records, time.Now().Add(-age)); err != nil {
+	if err := n.foldRecords(reply.First, reply.Records, time.Now().Add(-age)); err != nil {
 		return err
 	}
 	if age > n.opts.Timing.Fresh {
-		return errNotFresh
+		return errSourceStale
 	}
 	return nil
 }
 
-// Tail asks a peer for records or its state.
+// Tail requests records, or the saved state, from the peer of a connection.
 func Tail(ctx context.Context, conn *wire.Conn, req *wire.TailRequest) (*wire.TailReply, []byte, error) {
 	s, err := conn.Open(wire.MethodTail, req)
 	if err != nil {
--- a/control/leaser.go
+++ b/control/leaser.go
@@ -9,11 +9,11 @@
 // Want implements Leaser.
 func (n *Node) Want(resource string) {
 	n.mu.Lock()
-	n.claimer.Want(resource, n.rankAmongAll(resource))
+	n.claimer.Want(resource, n.rankAmongEntries(resource))
 	n.claimer.Observe(n.table, time.Now())
 	n.mu.Unlock()
 	select {
-	case n.changed <- struct{}{}:
+	case n.wantAdded <- struct{}{}:
 	default:
 	}
 }
@@ -32,9 +32,9 @@
 	return n.claimer.Held(resource, time.Now())
 }
 
-// lease appends claims and renewals as they fall due; a process that wants nothing
-// sleeps.
-func (n *Node) lease() {
+// maintainLeases appends claims and renewals as they fall due. It blocks while no resource
+// is wanted.
+func (n *Node) maintainLeases() {
 	tick := max(n.opts.Timing.Lease.TTL/60, time.Millisecond)
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
@@ -42,21 +42,21 @@
 		n.mu.Unlock()
 		if idle {
 			select {
-			case <-n.changed:
+			case <-n.wantAdded:
 			case <-n.ctx.Done():
 			}
 			continue
 		}
 		if n.sleep(tick) {
-			n.claim()
+			n.appendLeaseBatch()
 		}
 	}
 }
 
-func (n *Node) claim() {
+func (n *Node) appendLeaseBatch() {
 	n.mu.Lock()
 	var batch *LeaseBatch
-	if n.fold.Next() > 0 || n.listed { // before the first read, rows are not known to be free
+	if n.fold.Next() > 0 || n.vmListSeen { // before the first read, an empty row may belong to a held resource
 		batch = n.claimer.Next(time.Now())
 	}
 	n.mu.Unlock()
@@ -65,8 +65,8 @@
 	}
 	raw, err := config.NewRecord(RecordLease, batch)
 	if err != nil {
-		n.log.Error(err, "lease batch not sent")
+		n.log.Error(err, "lease batch not encoded")
 		return
 	}
-	n.append([][]byte{raw}, "lease")
+	n.appendRecords([][]byte{raw}, "lease")
 }
--- a/control/leases.go
+++ b/control/leases.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// maxResources bounds the table: a claim on one more is refused.
+// maxResources bounds the lease table: a claim on a further resource is refused.
 const maxResources = 4096
 
-// LeaseTable folds lease records. It knows no clock: whether a lease has lapsed is
-// judged by those who claim it, and the log's order picks one of them. It
-// implements config.Extension.
+// LeaseTable folds lease records. It uses no clock: the claimants judge whether a lease
+// has lapsed, and the order of the log decides between them. It implements
+// config.Extension.
 type LeaseTable struct {
-	highest uint64
-	rows    map[string]LeaseRow
+	highestFence uint64
+	rows         map[string]LeaseRow
 }
 
 // NewLeaseTable returns an empty table.
@@ -33,47 +33,47 @@
 		return fmt.Errorf("lease batch: %w", err)
 	}
 	for i := range b.Claims {
-		t.claim(&b, &b.Claims[i])
+		t.applyClaim(&b, &b.Claims[i])
 	}
 	return nil
 }
 
-func (t *LeaseTable) claim(b *LeaseBatch, c *LeaseClaim) {
+func (t *LeaseTable) applyClaim(b *LeaseBatch, c *LeaseClaim) {
 	row, known := t.rows[c.Resource]
 	if row.Fence != c.Fence || row.Term != c.Term {
-		return // somebody was faster
+		return // another record of this resource came first
 	}
 	if !known && len(t.rows) >= maxResources {
 		return
 	}
-	mine := row.Holder == b.Holder && row.Incarnation == b.Incarnation
+	held := row.Holder == b.Holder && row.Incarnation == b.Incarnation
 	switch {
-	case c.Release && !mine:
+	case c.Release && !held:
 		return
 	case c.Release:
 		row.Term++
 		row.Holder = ""
-	case mine:
+	case held:
 		row.Term++
 	default:
-		t.highest++
-		row = LeaseRow{Resource: c.Resource, Holder: b.Holder, Incarnation: b.Incarnation, Fence: t.highest}
+		t.highestFence++
+		row = LeaseRow{Resource: c.Resource, Holder: b.Holder, Incarnation: b.Incarnation, Fence: t.highestFence}
 	}
 	row.TTLMs, row.Nonce = b.TTLMs, b.Nonce
 	t.rows[c.Resource] = row
 }
 
-// Row returns the state of a resource; the zero row if nobody ever claimed it.
+// Row returns the state of a resource, or the zero row if the resource was never claimed.
 func (t *LeaseTable) Row(resource string) LeaseRow { return t.rows[resource] }
 
-// Rows returns all resources, sorted.
+// Rows returns the rows of all resources, sorted by resource.
 func (t *LeaseTable) Rows() []LeaseRow {
 	return slices.SortedFunc(maps.Values(t.rows), func(a, b LeaseRow) int { return cmp.Compare(a.Resource, b.Resource) })
 }
 
 // Save implements config.Extension.
 func (t *LeaseTable) Save() ([]byte, error) {
-	st := LeaseState{Highest: t.highest, Rows: t.Rows()}
+	st := LeaseState{Highest: t.highestFence, Rows: t.Rows()}
 	return st.MarshalMsg(nil)
 }
 
@@ -83,7 +83,7 @@
 	if _, err := st.UnmarshalMsg(saved); err != nil {
 		return fmt.Errorf("lease table: %w", err)
 	}
-	t.highest = st.Highest
+	t.highestFence = st.Highest
 	t.rows = make(map[string]LeaseRow, len(st.Rows))
 	for _, row := range st.Rows {
 		t.rows[row.Resource] = row
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -13,9 +13,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Any number of claimants, whose batches are lost, late, doubled or reordered on the
-// way to the log, who read late and whose clocks run at different speeds within the
-// margin: at no instant may two hold, and fencing numbers only grow.
+// Batches are lost, delayed, duplicated or reordered, and clocks differ within the margin.
+// Two claimants never hold the lease at once, and fencing numbers never decrease.
 func TestLeaseHasOneHolder(t *testing.T) {
 	const res = "group/x"
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,7 +29,7 @@
 			claimers = append(claimers, c)
 			speed = append(speed, rapid.Float64Range(0.97, 1.03).Draw(t, "speed"))
 		}
-		var way [][]byte // batches on the way
+		var inTransit [][]byte // batches on their way to the log
 		highest := uint64(0)
 		for step := range rapid.IntRange(20, 150).Draw(t, "steps") {
 			real := time.Duration(step) * 700 * time.Millisecond
@@ -45,16 +44,16 @@
 				if b := c.Next(now); b != nil {
 					raw, _ := b.MarshalMsg(nil)
 					for range rapid.IntRange(0, 2).Draw(t, "copies") {
-						way = append(way, raw)
+						inTransit = append(inTransit, raw)
 					}
 				}
 			}
-			for len(way) > 0 && rapid.Bool().Draw(t, "arrives") {
-				i := rapid.IntRange(0, len(way)-1).Draw(t, "which")
-				if err := table.Fold(0, way[i]); err != nil {
+			for len(inTransit) > 0 && rapid.Bool().Draw(t, "arrives") {
+				i := rapid.IntRange(0, len(inTransit)-1).Draw(t, "which")
+				if err := table.Fold(0, inTransit[i]); err != nil {
 					t.Fatal(err)
 				}
-				way = append(way[:i], way[i+1:]...)
+				inTransit = append(inTransit[:i], inTransit[i+1:]...)
 			}
 			holders := 0
 			for i, c := range claimers {
@@ -67,7 +66,7 @@
 				t.Fatalf("step %d: %d holders at once", step, holders)
 			}
 			if f := table.Row(res).Fence; f < highest {
-				t.Fatalf("fence fell from %d to %d", highest, f)
+				t.Fatalf("fencing number decreased from %d to %d", highest, f)
 			} else {
 				highest = f
 			}
@@ -75,7 +74,7 @@
 	})
 }
 
-// holder returns which nodes hold a resource now.
+// holders returns the nodes that hold a resource now.
 func (c *cluster) holders(resource string) []string {
 	var names []string
 	for name := range c.peers {
@@ -88,26 +87,24 @@
 	return names
 }
 
-// until waits until exactly one node holds a resource, and checks on the way that
-// never two do.
-func (c *cluster) until(resource string, limit time.Duration, not string) string {
+// waitForHolder waits until exactly one node, other than except, holds a resource, and
+// returns its name. It fails if two nodes hold the resource at once.
+func (c *cluster) waitForHolder(resource string, limit time.Duration, except string) string {
 	for begin := time.Now(); time.Since(begin) < limit; time.Sleep(100 * time.Millisecond) {
 		holders := c.holders(resource)
 		if len(holders) > 1 {
-			c.t.Fatalf("held by %v at once", holders)
+			c.t.Fatalf("nodes %v hold the lease at once", holders)
 		}
-		if len(holders) == 1 && holders[0] != not {
+		if len(holders) == 1 && holders[0] != except {
 			return holders[0]
 		}
 	}
-	c.t.Fatalf("nobody else holds %s after %s", resource, limit)
+	c.t.Fatalf("no other node holds %s within %s", resource, limit)
 	return ""
 }
 
-// The engine would see: orders of two owners. In order: the holder looks at its
-// lease, is paused (nothing leaves or reaches it) through the lapse, another claims,
-// gives an order, and the agent restarts. The first wakes and sends the order that
-// it had decided on. The agent refuses it, by the log's number, not by any clock.
+// A holder is paused while its lease lapses, another node claims it, and the agent
+// restarts. The agent must refuse the paused holder's order by its fencing number.
 func TestPausedHolderDoesNoHarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -115,11 +112,11 @@
 		c := newCluster(t, map[string]int{"a": 3})
 		defer c.close()
 		c.startAll()
-		c.within(inForce, c.apply(1), c.names()...)
+		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		for _, name := range c.names() {
 			c.node(name).Want(res)
 		}
-		first := c.until(res, 10*time.Second, "")
+		first := c.waitForHolder(res, 10*time.Second, "")
 		agent := NewFence()
 		learn := func() {
 			for _, name := range c.names() {
@@ -127,11 +124,11 @@
 			}
 		}
 		learn()
-		old, ok := c.node(first).Held(res) // the holder looks, and is paused here
+		old, ok := c.node(first).Held(res) // the holder is paused after this check
 		g.Expect(ok).To(BeTrue())
 		g.Expect(agent.Check(res, old.Fence)).To(Succeed())
 		c.isolate(first, true)
-		second := c.until(res, time.Minute, first)
+		second := c.waitForHolder(res, time.Minute, first)
 		lease, _ := c.node(second).Held(res)
 		g.Expect(lease.Fence).To(BeNumerically(">", old.Fence))
 		g.Expect(agent.Check(res, lease.Fence)).To(Succeed())
@@ -145,13 +142,12 @@
 		g.Expect(agent.Check(res, lease.Fence)).To(Succeed())
 		c.isolate(first, false)
 		_, ok = c.node(first).Held(res)
-		g.Expect(ok).To(BeFalse(), "it stops by its own clock as well")
+		g.Expect(ok).To(BeFalse(), "the old holder must stop by its own clock as well")
 	})
 }
 
-// The operator sees: nobody gives orders during an outage of the log, and one owner
-// again after it. In order: renewals fail, the holder stops by itself, the log comes
-// back, one of them claims.
+// Renewals fail while the log is down. The holder must stop acting when its TTL has
+// passed, and one node must hold the lease again after the outage.
 func TestLeaseRunsOutWithTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -159,39 +155,39 @@
 		c := newCluster(t, map[string]int{"a": 3, "b": 2})
 		defer c.close()
 		c.startAll()
-		c.within(inForce, c.apply(1), c.names()...)
+		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		for _, name := range c.names() {
 			c.node(name).Want(res)
 		}
-		c.until(res, 10*time.Second, "")
+		c.waitForHolder(res, 10*time.Second, "")
 		c.log.SetFaults(fake.LogFaults{Down: true})
 		time.Sleep(DefaultLeaseTiming.TTL)
 		g.Expect(c.holders(res)).To(BeEmpty())
 		c.log.SetFaults(fake.LogFaults{LoseAnswers: 3})
-		c.until(res, time.Minute, "")
+		c.waitForHolder(res, time.Minute, "")
 	})
 }
 
-// A holder that leaves in order hands over without waiting for the lapse, and 30
-// resources of one holder cost one record each renewal.
+// A holder that drops its lease hands over without waiting for the TTL, and one record
+// renews 30 resources of a holder.
 func TestLeaseReleaseAndBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2})
 		defer c.close()
 		c.startAll()
-		c.within(inForce, c.apply(1), c.names()...)
+		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		n := c.node("a-0")
 		for i := range 30 {
 			n.Want(fmt.Sprint("r", i))
 		}
-		c.until("r29", 10*time.Second, "")
+		c.waitForHolder("r29", 10*time.Second, "")
 		time.Sleep(20 * time.Second)
 		before := c.log.Appends()
 		time.Sleep(time.Minute)
-		g.Expect(c.log.Appends()-before).To(BeNumerically("<=", 7), "30 resources renewed every 10 s by one record")
+		g.Expect(c.log.Appends()-before).To(BeNumerically("<=", 7), "one record every 10 s renews 30 resources")
 		c.node("a-1").Want("r0")
 		n.Drop("r0")
-		c.until("r0", 5*time.Second, "a-0")
+		c.waitForHolder("r0", 5*time.Second, "a-0")
 	})
 }
--- a/control/members.go
+++ b/control/members.go
@@ -6,52 +6,56 @@
 	"time"
 )
 
-// ObserverQuorum is how many must have lost a process before it counts as down, as long
-// as there are that many to ask.
+// ObserverQuorum is the number of observers that must miss a process before it counts as
+// down. With fewer observers no process counts as down.
 const ObserverQuorum = 2
 
-// DefaultFailureTimeout is how long a process may be silent towards a witness.
+// DefaultFailureTimeout is the time without a heartbeat after which an observer misses a
+// process.
 const DefaultFailureTimeout = 4 * time.Second
 
-// Observation is how long ago a witness last heard a process.
+// Observation is what an observer last heard of a process.
 type Observation struct {
 	Name        string
 	Incarnation uint64
-	Version     uint64 // configuration in force there
-	Age         time.Duration
+	Version     uint64        // configuration version in force there
+	Age         time.Duration // time since the observer last heard the process
 	Leaving     bool
 }
 
-// Members is one process's view of who is up. It is pure: time is an argument.
+// Members is one process's view of which processes are up. It has no side effects: time is
+// an argument.
 //
-// With asymmetric loss (A hears B, B does not hear A) one witness always goes on
-// hearing the process, or only one misses it: neither makes it down, so it does
-// not flap. A process is down when at least two witnesses miss it and none hears it.
+// A process is down when at least ObserverQuorum observers miss it and none hears it. With
+// asymmetric loss (A hears B, B does not hear A) one observer still hears the process, or
+// only one misses it. In both cases the process stays up, so its state does not flap.
 type Members struct {
-	self    string
-	silence time.Duration
-	reports map[string]map[string]heard // by process, then witness
+	self           string
+	failureTimeout time.Duration
+	reports        map[string]map[string]observerReport // by process, then by observer
 }
 
-type heard struct {
+// observerReport is the latest observation of a process by one observer.
+type observerReport struct {
 	incarnation uint64
 	version     uint64
 	leaving     bool
-	at          time.Time // when the witness last heard it, on this process's clock
-	told        time.Time // when the witness told it
+	heardAt     time.Time // when the observer last heard the process, on the local clock
+	reportedAt  time.Time // when the observer reported it
 }
 
-// NewMembers returns a view that knows nobody.
-func NewMembers(self string, silence time.Duration) *Members {
-	return &Members{self: self, silence: silence, reports: make(map[string]map[string]heard)}
+// NewMembers returns a view without processes.
+func NewMembers(self string, failureTimeout time.Duration) *Members {
+	return &Members{self: self, failureTimeout: failureTimeout, reports: make(map[string]map[string]observerReport)}
 }
 
-// Report takes what a witness (this process itself included) says about a process.
-// A sighting of an older incarnation is dropped: it was another process.
-func (m *Members) Report(witness string, s Observation, now time.Time) {
+// Report records an observer's observation of a process; the observer may be this process.
+// An observation of an older incarnation is dropped: it is about an earlier process of the
+// same name.
+func (m *Members) Report(observer string, s Observation, now time.Time) {
 	by := m.reports[s.Name]
 	if by == nil {
-		by = make(map[string]heard)
+		by = make(map[string]observerReport)
 		m.reports[s.Name] = by
 	}
 	for _, h := range by {
@@ -59,31 +63,31 @@
 			return
 		}
 	}
-	maps.DeleteFunc(by, func(_ string, h heard) bool { return h.incarnation < s.Incarnation })
-	h := heard{incarnation: s.Incarnation, version: s.Version, leaving: s.Leaving, at: now.Add(-s.Age), told: now}
-	if old, ok := by[witness]; ok && old.at.After(h.at) {
-		h.at, h.version, h.leaving = old.at, old.version, old.leaving // a late report does not make it older
+	maps.DeleteFunc(by, func(_ string, h observerReport) bool { return h.incarnation < s.Incarnation })
+	h := observerReport{incarnation: s.Incarnation, version: s.Version, leaving: s.Leaving, heardAt: now.Add(-s.Age), reportedAt: now}
+	if old, ok := by[observer]; ok && old.heardAt.After(h.heardAt) {
+		h.heardAt, h.version, h.leaving = old.heardAt, old.version, old.leaving // a delayed report must not replace a newer one
 	}
-	by[witness] = h
+	by[observer] = h
 }
 
-// IsDown reports whether a process is lost. Unknown ones are not: the VM list names
-// them and nobody has missed them yet.
+// IsDown reports whether a process counts as down. Unknown processes do not: the VM list
+// names them and no observer has missed them yet.
 func (m *Members) IsDown(name string, now time.Time) bool {
 	missing := 0
-	for witness, h := range m.reports[name] {
-		if now.Sub(h.at) < m.silence {
+	for observer, h := range m.reports[name] {
+		if now.Sub(h.heardAt) < m.failureTimeout {
 			return false
 		}
-		if witness == m.self || now.Sub(h.told) < m.silence {
-			missing++ // a witness that is silent itself says nothing
+		if observer == m.self || now.Sub(h.reportedAt) < m.failureTimeout {
+			missing++ // an observer whose own reports have stopped does not count
 		}
 	}
 	return missing >= ObserverQuorum
 }
 
-// CanServe reports whether a process is not known to be leaving or without a
-// configuration: it would refuse what callers send.
+// CanServe reports whether a process is not known to be leaving or to lack a
+// configuration. Such a process would refuse requests.
 func (m *Members) CanServe(name string) bool {
 	for _, h := range m.reports[name] {
 		if h.leaving || h.version == 0 {
@@ -93,18 +97,19 @@
 	return true
 }
 
-// Observations returns what this process heard itself, for its peers, sorted by name.
+// Observations returns this process's own observations, for its peers, sorted by name.
 func (m *Members) Observations(now time.Time) []Observation {
 	var out []Observation
 	for _, name := range slices.Sorted(maps.Keys(m.reports)) {
 		if h, ok := m.reports[name][m.self]; ok {
-			out = append(out, Observation{Name: name, Incarnation: h.incarnation, Version: h.version, Age: now.Sub(h.at), Leaving: h.leaving})
+			out = append(out, Observation{Name: name, Incarnation: h.incarnation, Version: h.version, Age: now.Sub(h.heardAt), Leaving: h.leaving})
 		}
 	}
 	return out
 }
 
-// Versions returns the newest version that each process is known to have in force.
+// Versions returns the newest configuration version that each process is known to have in
+// force.
 func (m *Members) Versions() map[string]uint64 {
 	versions := make(map[string]uint64, len(m.reports))
 	for name, by := range m.reports {
@@ -115,11 +120,12 @@
 	return versions
 }
 
-// Forget drops processes that the VM list has not shown for long.
+// Forget drops processes that are not listed and that no observer has heard for
+// unlistedRetention.
 func (m *Members) Forget(listed map[string]bool, now time.Time) {
-	maps.DeleteFunc(m.reports, func(name string, by map[string]heard) bool {
+	maps.DeleteFunc(m.reports, func(name string, by map[string]observerReport) bool {
 		for _, h := range by {
-			if listed[name] || now.Sub(h.at) < forgetAfter {
+			if listed[name] || now.Sub(h.heardAt) < unlistedRetention {
 				return false
 			}
 		}
@@ -127,16 +133,16 @@
 	})
 }
 
-// forgetAfter is longer than the VM list lags.
-const forgetAfter = 5 * time.Minute
+// unlistedRetention exceeds the delay of the VM list.
+const unlistedRetention = 5 * time.Minute
 
-// RecordAllAlive takes from a witness that it heard all processes but the missed ones,
-// and that those stay and have a configuration.
-func (m *Members) RecordAllAlive(witness string, missed map[string]bool, now time.Time) {
+// RecordAllAlive records that an observer heard all processes except the missed ones, and
+// that these processes are not leaving and have a configuration.
+func (m *Members) RecordAllAlive(observer string, missed map[string]bool, now time.Time) {
 	for name, by := range m.reports {
-		if h, ok := by[witness]; ok && !missed[name] && witness != m.self {
-			h.at, h.told, h.leaving, h.version = now, now, false, max(h.version, 1)
-			by[witness] = h
+		if h, ok := by[observer]; ok && !missed[name] && observer != m.self {
+			h.heardAt, h.reportedAt, h.leaving, h.version = now, now, false, max(h.version, 1)
+			by[observer] = h
 		}
 	}
 }
--- a/control/members_test.go
+++ b/control/members_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
+// A process is down only if two observers miss it and none hears it.
 func TestMembersNeedTwoWitnesses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) Observation { return Observation{Name: "x", Incarnation: 1, Age: d} }
@@ -16,26 +17,26 @@
 		reports map[string]time.Duration
 		down    bool
 	}{
-		{"nobody knows it", nil, false},
-		{"one misses it", map[string]time.Duration{"me": time.Minute}, false},
-		{"two miss it", map[string]time.Duration{"me": time.Minute, "b": time.Minute}, true},
-		{"two miss it, one hears it", map[string]time.Duration{"me": time.Minute, "b": time.Minute, "c": time.Second}, false},
-		{"others miss it, this one hears it", map[string]time.Duration{"b": time.Minute, "c": time.Minute, "me": 0}, false},
+		{"unknown", nil, false},
+		{"one observer misses it", map[string]time.Duration{"me": time.Minute}, false},
+		{"two observers miss it", map[string]time.Duration{"me": time.Minute, "b": time.Minute}, true},
+		{"two observers miss it, one hears it", map[string]time.Duration{"me": time.Minute, "b": time.Minute, "c": time.Second}, false},
+		{"other observers miss it, this process hears it", map[string]time.Duration{"b": time.Minute, "c": time.Minute, "me": 0}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			m := NewMembers("me", DefaultFailureTimeout)
-			for witness, age := range tc.reports {
-				m.Report(witness, ago(age), now)
+			for observer, age := range tc.reports {
+				m.Report(observer, ago(age), now)
 			}
 			g.Expect(m.IsDown("x", now)).To(Equal(tc.down))
 		})
 	}
 }
 
-// A replaced VM comes back under the same name. Late reports of the old process must
-// not make the new one down, nor may they bring its version back.
+// A replaced VM comes back under the same name. Late reports about the old process must
+// neither make the new one down nor bring back its version.
 func TestMembersIncarnations(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -49,19 +50,17 @@
 	g.Expect(m.Versions()).To(HaveKeyWithValue("x", uint64(3)))
 }
 
-// Callers ask which entries to use. In order: one way between two entries loses
-// everything for ten minutes; the heard one is still named by all and does not
-// flap. Then it really dies: its data centre notices within seconds, and takes it
-// back as soon as it beats again.
+// Loss in one direction between two entries must not make an entry unusable or flap. An
+// entry that is really lost, or draining, is unusable until it returns.
 func TestAsymmetricLossEvictsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 5})
 		defer c.close()
 		c.startAll()
-		c.within(inForce, c.apply(1), c.names()...)
+		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		time.Sleep(10 * time.Second)
-		few := c.node("a-0").topology.Ranked[:RelayCount]
+		relays := c.node("a-0").topology.Ranked[:RelayCount]
 		x := c.node("a-0").topology.Ranked[4]
 		usable := func() int {
 			n := 0
@@ -72,12 +71,12 @@
 			}
 			return n
 		}
-		c.cut(x, few[0], true) // the first witness no longer hears x
+		c.cut(x, relays[0], true) // the first observer no longer hears x
 		for range 600 {
 			time.Sleep(time.Second)
 			g.Expect(usable()).To(Equal(4))
 		}
-		c.cut(x, few[0], false)
+		c.cut(x, relays[0], false)
 		c.isolate(x, true)
 		time.Sleep(3 * DefaultFailureTimeout)
 		g.Expect(usable()).To(BeZero())
@@ -86,13 +85,15 @@
 		g.Expect(usable()).To(Equal(4))
 		c.node(x).SetLeaving(true)
 		time.Sleep(5 * time.Second)
-		g.Expect(usable()).To(BeZero(), "a leaving entry is out of the answers first")
+		g.Expect(usable()).To(BeZero(), "a leaving entry is unusable before it stops")
 		c.node(x).SetLeaving(false)
 		time.Sleep(5 * time.Second)
-		g.Expect(usable()).To(Equal(4), "an undone drain brings it back")
+		g.Expect(usable()).To(Equal(4), "an undone drain makes the entry usable again")
 	})
 }
 
+// The number of log readers and of peers of each entry stays within bounds in a system of
+// 399 entries.
 func TestTopologyIsFlat(t *testing.T) {
 	g := NewWithT(t)
 	var all []Peer
@@ -104,15 +105,15 @@
 			}
 		}
 	}
-	tailers, most := 0, 0
+	logReaders, maxPeers := 0, 0
 	for _, p := range all {
 		top := NewTopology(p, all)
 		if top.ReadsLog() {
-			tailers++
+			logReaders++
 		}
-		most = max(most, len(top.SummaryPeers())+len(top.Local(RelayCount)))
+		maxPeers = max(maxPeers, len(top.SummaryPeers())+len(top.Local(RelayCount)))
 		g.Expect(top.Sources()).To(HaveLen(len(all) - 1))
 	}
-	g.Expect(tailers).To(Equal(7 * 3 * LogReaderCount))
-	g.Expect(most).To(BeNumerically("<=", RelayCount+2+6))
+	g.Expect(logReaders).To(Equal(7 * 3 * LogReaderCount))
+	g.Expect(maxPeers).To(BeNumerically("<=", RelayCount+2+6))
 }
--- a/control/node.go
+++ b/control/node.go
@@ -18,23 +18,23 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Timing holds the periods of control.
+// Timing holds the periods and timeouts of control.
 type Timing struct {
 	HeartbeatInterval time.Duration // between heartbeats
-	FailureTimeout    time.Duration // after which a witness misses a process
-	LogWait           time.Duration // long poll of the log and of peers
-	Coalesce          time.Duration // between two reads at least, so that many records cost one
-	Backoff           time.Duration // after a failed source, doubled up to MaxBackoff
+	FailureTimeout    time.Duration // after which an observer misses a process
+	LogWait           time.Duration // duration of a long poll of the log or of a peer
+	Coalesce          time.Duration // mean time between two reads, so that many records cost one read
+	Backoff           time.Duration // after a failed source; doubled up to MaxBackoff
 	MaxBackoff        time.Duration
-	LogBackoff        time.Duration // bound for the log: its return should show soon
-	Fresh             time.Duration // a source that read the log longer ago is left
-	Retry             time.Duration // how long a fallback source is kept
-	Snapshots         time.Duration // between published snapshots; a fraction of the retention
+	LogBackoff        time.Duration // upper bound for the log, so that its return is noticed soon
+	Fresh             time.Duration // a source that read the log longer ago is replaced
+	Retry             time.Duration // time until a fallback source is replaced by the first one
+	Snapshots         time.Duration // between published snapshots; a fraction of the log's retention
 	Summaries         time.Duration // between summaries to other data centres
 	Lease             LeaseTiming
 }
 
-// DefaultTiming is what the daemons use.
+// DefaultTiming is the timing of the daemons.
 var DefaultTiming = Timing{
 	HeartbeatInterval: time.Second,
 	FailureTimeout:    DefaultFailureTimeout,
@@ -50,7 +50,7 @@
 	Lease:             DefaultLeaseTiming,
 }
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
 	Self        Peer
 	Incarnation uint64
@@ -59,53 +59,55 @@
 	Logger      logr.Logger
 	Metrics     *metrics.Set
 	Timing      Timing
-	// Install is called with each new version, in order, never with an older one.
+	// Install is called with the current configuration after records were folded, never
+	// with an older version than before.
 	Install func(*config.Snapshot)
-	// Folded is called with the offset up to which records were folded, after Install.
+	// Folded is called after Install with the offset of the next record to fold, 0 while a
+	// snapshot is needed.
 	Folded func(next uint64)
-	// Leases is called after the lease table changed hands.
+	// Leases is called after a lease has got a new holder.
 	Leases func()
-	// Status fills in what the owner of the node knows.
+	// Status fills in the fields of the reply that the owner of the node knows.
 	Status func(full bool, into *wire.StatusReply)
-	// Note takes notes of kinds that the node does not know; it must not block.
+	// Note handles notes of kinds that the node does not know; it must not block.
 	Note func(from string, kind wire.Note, payload []byte) error
-	// Drain takes the process out of service.
+	// Drain takes the process out of service, or, with undo, back into service.
 	Drain func(undo bool)
 }
 
 // Node keeps one entry's configuration, leases and membership up to date.
 type Node struct {
-	opts    Options
-	log     logr.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	duties  conc.WaitGroup
-	leaving atomic.Bool
-	changed chan struct{} // something is wanted for the first time
+	opts      Options
+	log       logr.Logger
+	ctx       context.Context
+	cancel    context.CancelFunc
+	tasks     conc.WaitGroup
+	leaving   atomic.Bool
+	wantAdded chan struct{} // signalled when a resource is wanted
 
-	installing sync.Mutex // taken before mu
+	notifyMu sync.Mutex // taken before mu
 
-	mu         sync.Mutex
-	rng        *rand.Rand
-	fold       *config.Fold
-	table      *LeaseTable
-	relay      relay
-	saved      savedState
-	wake       chan struct{} // closed when records were folded
-	freshAt    time.Time     // when this process or its source last read the log
-	fences     uint64        // highest fence that Leases was called for
-	claimer    *Claimer
-	members    *Members
-	topology   *Topology
-	listed     bool // a VM list was seen
-	toldSilent bool // the latest SilentReport named somebody
-	conns      map[string]*peerConn
-	incoming   map[*wire.Conn]struct{}
-	summaries  map[string]wire.Summary // by data centre
-	snapshot   snapshotClock
+	mu             sync.Mutex
+	rng            *rand.Rand
+	fold           *config.Fold
+	table          *LeaseTable
+	cache          recordCache
+	saved          savedState
+	recordsFolded  chan struct{} // closed and replaced when records were folded
+	logReadAt      time.Time     // when this process or its source last read the log
+	notifiedFence  uint64        // highest fencing number that Leases was called for
+	claimer        *Claimer
+	members        *Members
+	topology       *Topology
+	vmListSeen     bool // a VM list has been received
+	reportedSilent bool // the latest SilentReport had rows
+	conns          map[string]*peerConn
+	incoming       map[*wire.Conn]struct{}
+	summaries      map[string]wire.Summary // by data centre
+	snapshots      snapshotSchedule
 }
 
-// savedState is a saved fold that newcomers share.
+// savedState is a saved fold that is sent to all peers that need a state.
 type savedState struct {
 	next uint64
 	data []byte
@@ -117,7 +119,7 @@
 	return config.NewFold(t), t
 }
 
-// New returns a node that knows nothing yet; Start makes it follow.
+// New returns a node without state; Start makes it read the log and follow peers.
 func New(o Options) *Node {
 	if o.Timing == (Timing{}) {
 		o.Timing = DefaultTiming
@@ -126,35 +128,35 @@
 	now := time.Now()
 	seed := xxhash.Sum64String(o.Self.Name)
 	n := &Node{
-		rng:       rand.New(rand.NewPCG(seed, o.Incarnation)),
-		opts:      o,
-		log:       o.Logger.WithName("control"),
-		ctx:       ctx,
-		cancel:    cancel,
-		changed:   make(chan struct{}, 1),
-		wake:      make(chan struct{}),
-		claimer:   NewClaimer(o.Self.Name, o.Incarnation, o.Timing.Lease),
-		members:   NewMembers(o.Self.Name, o.Timing.FailureTimeout),
-		topology:  NewTopology(o.Self, nil),
-		conns:     make(map[string]*peerConn),
-		incoming:  make(map[*wire.Conn]struct{}),
-		summaries: make(map[string]wire.Summary),
-		snapshot:  snapshotClock{seenAt: now},
+		rng:           rand.New(rand.NewPCG(seed, o.Incarnation)),
+		opts:          o,
+		log:           o.Logger.WithName("control"),
+		ctx:           ctx,
+		cancel:        cancel,
+		wantAdded:     make(chan struct{}, 1),
+		recordsFolded: make(chan struct{}),
+		claimer:       NewClaimer(o.Self.Name, o.Incarnation, o.Timing.Lease),
+		members:       NewMembers(o.Self.Name, o.Timing.FailureTimeout),
+		topology:      NewTopology(o.Self, nil),
+		conns:         make(map[string]*peerConn),
+		incoming:      make(map[*wire.Conn]struct{}),
+		summaries:     make(map[string]wire.Summary),
+		snapshots:     snapshotSchedule{latestSeenAt: now},
 	}
 	n.fold, n.table = NewFold()
 	return n
 }
 
-// Start begins to follow and returns at once.
+// Start starts the tasks of the node and returns at once.
 func (n *Node) Start() {
-	n.duties.Go(n.followLog)
-	n.duties.Go(n.followPeers)
-	n.duties.Go(n.beat)
-	n.duties.Go(n.publish)
-	n.duties.Go(n.lease)
+	n.tasks.Go(n.followLog)
+	n.tasks.Go(n.followPeers)
+	n.tasks.Go(n.sendHeartbeats)
+	n.tasks.Go(n.publishSnapshots)
+	n.tasks.Go(n.maintainLeases)
 }
 
-// Close stops all duties.
+// Close stops all tasks and closes all connections.
 func (n *Node) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -171,15 +173,15 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	n.duties.Wait()
+	n.tasks.Wait()
 }
 
-// SetPeers takes the entries of the platform's list.
+// SetPeers sets the entries of the platform's VM list.
 func (n *Node) SetPeers(entries []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.topology = NewTopology(n.opts.Self, entries)
-	n.listed = true
+	n.vmListSeen = true
 	listed := make(map[string]bool, len(entries))
 	for _, p := range entries {
 		listed[p.Name] = true
@@ -187,24 +189,25 @@
 	n.members.Forget(listed, time.Now())
 }
 
-// SetLeaving says in heartbeats that this process leaves.
+// SetLeaving sets whether heartbeats announce that this process is leaving.
 func (n *Node) SetLeaving(leaving bool) { n.leaving.Store(leaving) }
 
-// Usable reports whether an entry may be named to callers, as far as is known here.
+// Usable reports whether an entry may be named to callers: it is neither down nor leaving
+// nor without a configuration, as far as this node knows.
 func (n *Node) Usable(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members.CanServe(name) && !n.members.IsDown(name, time.Now())
 }
 
-// Outcome returns what became of a change.
+// Outcome returns the outcome of a change; false if it is unknown here.
 func (n *Node) Outcome(id string) (config.Outcome, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fold.Outcome(id)
 }
 
-// Floors returns the fencing floors of resources.
+// Floors returns the fencing floors of resources, in the given order.
 func (n *Node) Floors(resources []string) []Floor {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -222,7 +225,7 @@
 	return n.table.Rows()
 }
 
-// Entries returns how many entries the VM list shows, this one included.
+// Entries returns the number of entries in the VM list, this one included.
 func (n *Node) Entries() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -238,11 +241,11 @@
 	}
 }
 
-// sleepSpread is the part of a sleep that is random: processes that started
-// together would otherwise send and ask at the same instants for ever.
+// sleepSpread sets the random part of a sleep to at most 1/sleepSpread of it: processes
+// that started together would otherwise send and read at the same instants.
 const sleepSpread = 8
 
-// sleep waits for about d; false means that the node stops.
+// sleep waits for about d. It returns false if the node is stopping.
 func (n *Node) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return n.ctx.Err() == nil
--- a/control/publish.go
+++ b/control/publish.go
@@ -9,54 +9,55 @@
 	"github.com/heatherrail/heatherrail/config"
 )
 
-// snapshotClock tells when the next snapshot is due.
-type snapshotClock struct {
-	upto   uint64 // of the latest snapshot seen
-	first  uint64 // oldest offset that the log keeps
-	seenAt time.Time
+// snapshotSchedule determines when the next snapshot is due.
+type snapshotSchedule struct {
+	latestOffset uint64 // offset of the latest snapshot seen
+	oldestOffset uint64 // oldest offset that the log still holds
+	latestSeenAt time.Time
 }
 
-func (s *snapshotClock) observe(upto uint64, now time.Time) {
-	if upto > s.upto {
-		s.upto, s.seenAt = upto, now
+func (s *snapshotSchedule) observe(offset uint64, now time.Time) {
+	if offset > s.latestOffset {
+		s.latestOffset, s.latestSeenAt = offset, now
 	}
 }
 
-// due reports whether a process of some rank should publish at now. The ranks take
-// turns, so that one publishes; two at once do no harm.
-func (s *snapshotClock) due(rank int, every time.Duration, now time.Time) bool {
-	wait := every + time.Duration(rank)*every/snapshotStride
-	if s.first > s.upto {
-		wait = time.Duration(rank) * every / snapshotStride // the latest one was trimmed
+// isDue reports whether a process of a given rank should publish at now. Ranks become due
+// one after another, so that one process publishes; two snapshots at once do no harm.
+func (s *snapshotSchedule) isDue(rank int, every time.Duration, now time.Time) bool {
+	wait := every + time.Duration(rank)*every/snapshotRankDivisor
+	if s.oldestOffset > s.latestOffset {
+		wait = time.Duration(rank) * every / snapshotRankDivisor // the latest one was trimmed
 	}
-	return now.Sub(s.seenAt) >= wait
+	return now.Sub(s.latestSeenAt) >= wait
 }
 
-// snapshotStride is the part of the period by which ranks are apart.
-const snapshotStride = 30
+// snapshotRankDivisor divides the snapshot period into the delays between ranks.
+const snapshotRankDivisor = 30
 
-// publishers bounds who publishes; beyond it the period would come to the retention.
-const publishers = 16
+// maxPublishers bounds the number of entries that publish. With the delay of further
+// ranks, the period would come close to the retention of the log.
+const maxPublishers = 16
 
-// publish puts a saved state on the log before the records that made it are trimmed.
-// Otherwise a fleet that lost all its processes could never start again.
-func (n *Node) publish() {
-	for n.sleep(n.opts.Timing.Snapshots / snapshotStride) {
-		if records, ok := n.dueSnapshot(); ok {
-			n.append(records, "snapshot")
+// publishSnapshots appends the saved state to the log before the records that led to it
+// are trimmed. Otherwise a system that lost all its processes could never start again.
+func (n *Node) publishSnapshots() {
+	for n.sleep(n.opts.Timing.Snapshots / snapshotRankDivisor) {
+		if records, ok := n.nextSnapshot(); ok {
+			n.appendRecords(records, "snapshot")
 		}
 	}
 }
 
-func (n *Node) dueSnapshot() ([][]byte, bool) {
+func (n *Node) nextSnapshot() ([][]byte, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	rank := n.rankAmongAll("snapshot")
-	if rank >= publishers || !n.snapshot.due(rank, n.opts.Timing.Snapshots, time.Now()) {
+	rank := n.rankAmongEntries("snapshot")
+	if rank >= maxPublishers || !n.snapshots.isDue(rank, n.opts.Timing.Snapshots, time.Now()) {
 		return nil, false
 	}
-	if n.age() > n.opts.Timing.Fresh || n.fold.Next() == 0 {
-		return nil, false // a state that may be old helps nobody
+	if n.logAge() > n.opts.Timing.Fresh || n.fold.Next() == 0 {
+		return nil, false // a state that may be old is not worth publishing
 	}
 	saved, err := n.fold.Save()
 	if err != nil {
@@ -67,12 +68,13 @@
 		n.log.Error(err, "snapshot not published")
 		return nil, false
 	}
-	n.snapshot.seenAt = time.Now() // a lost answer is not tried again at once
+	n.snapshots.latestSeenAt = time.Now() // if the answer of the append is lost, do not publish again at once
 	return records, true
 }
 
-// rankAmongAll is this process's place among all entries for a subject.
-func (n *Node) rankAmongAll(subject string) int {
+// rankAmongEntries returns the rank of this process among all entries for a subject, from
+// 0.
+func (n *Node) rankAmongEntries(subject string) int {
 	names := []string{n.opts.Self.Name}
 	for name := range n.topology.Peers {
 		names = append(names, name)
@@ -85,9 +87,9 @@
 	return len(names)
 }
 
-// append adds records to the log, one call for each so that none is too large.
-// Its answer is not needed: what took effect is read back.
-func (n *Node) append(records [][]byte, kind string) {
+// appendRecords appends records to the log, one per call so that no call is too large. The
+// returned offsets are not needed: whatever took effect is read back.
+func (n *Node) appendRecords(records [][]byte, kind string) {
 	for _, raw := range records {
 		ctx, cancel := context.WithTimeout(n.ctx, appendDeadline)
 		_, err := n.opts.Log.Append(ctx, [][]byte{raw})
--- a/control/schema.go
+++ b/control/schema.go
@@ -4,38 +4,38 @@
 
 //msgp:limit arrays:1048576 maps:131072
 
-// RecordLease is the kind of log records that hold a LeaseBatch.
+// RecordLease is the kind of log records that contain a LeaseBatch.
 const RecordLease = "lease"
 
-// LeaseBatch is one holder's claims and renewals, in one record.
+// LeaseBatch holds the claims and renewals of one process in one record.
 type LeaseBatch struct {
 	Holder      string       `msg:"h"`
 	Incarnation uint64       `msg:"i"`
-	TTLMs       int64        `msg:"s"` // how long each accepted claim holds
-	Nonce       uint64       `msg:"n"` // tells the holder which of its batches was accepted
+	TTLMs       int64        `msg:"s"` // validity of each accepted claim, in ms
+	Nonce       uint64       `msg:"n"` // identifies the accepted batch to its sender
 	Claims      []LeaseClaim `msg:"c"`
 }
 
-// LeaseClaim asks for a resource, provided that its lease is still the one that the
-// claimant saw. The log's order thereby decides between racing claims.
+// LeaseClaim claims, renews or releases a resource, provided that its lease is still the
+// one that the claimant saw. The order of the log thereby decides between racing claims.
 //
 //msgp:tuple LeaseClaim
 type LeaseClaim struct {
 	Resource string
-	Fence    uint64 // seen
-	Term     uint64 // seen
+	Fence    uint64 // as seen by the claimant
+	Term     uint64 // as seen by the claimant
 	Release  bool
 }
 
-// LeaseRow is the state of one resource after a fold.
+// LeaseRow is the folded lease state of one resource.
 //
 //msgp:tuple LeaseRow
 type LeaseRow struct {
 	Resource    string
-	Holder      string // empty: released
+	Holder      string // empty: the lease was released
 	Incarnation uint64
-	Fence       uint64 // grows with each new holder
-	Term        uint64 // grows with each accepted record of this fence
+	Fence       uint64 // fencing number, grows with each new holder
+	Term        uint64 // grows with each accepted record under this fencing number
 	TTLMs       int64
 	Nonce       uint64
 }
--- a/control/serve.go
+++ b/control/serve.go
@@ -8,7 +8,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Accept serves a connection that a peer or the operators' tool opened, until it ends.
+// Accept serves a connection opened by a peer or by the operators' tool. It returns when
+// the connection ends.
 func (n *Node) Accept(c *wire.Conn) {
 	n.mu.Lock()
 	n.incoming[c] = struct{}{}
@@ -28,7 +29,7 @@
 	switch m {
 	case wire.MethodTail:
 		if s.Conn().Peer().Role == wire.RoleAgent {
-			// The state holds the hashes of all teams' keys; a target's VM needs none.
+			// The state contains the key hashes of all teams; the VM of a target must not have them.
 			err = result.New(result.WireRole, "agents get no state")
 			break
 		}
@@ -41,7 +42,7 @@
 		err = result.New(result.WireUnknownKind, "method %d", m)
 	}
 	if err != nil {
-		_ = s.Refuse(err) // without a connection nobody waits for it
+		_ = s.Refuse(err) // on a lost connection there is no receiver
 	}
 }
 
@@ -51,7 +52,7 @@
 		return result.New(result.WireMalformed, "tail request: %w", err)
 	}
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, n.opts.Timing.LogWait)
-	n.await(ctx, req.From, wait)
+	n.waitForRecord(ctx, req.From, wait)
 	reply, state, err := n.tailReply(&req)
 	if err != nil {
 		return err
@@ -65,13 +66,13 @@
 	return s.Finish()
 }
 
-// await returns when there is a record at from, or after wait.
-func (n *Node) await(ctx context.Context, from uint64, wait time.Duration) {
+// waitForRecord returns when the record at offset from has been folded, or after wait.
+func (n *Node) waitForRecord(ctx context.Context, from uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		n.mu.Lock()
-		ready, wake := n.fold.Next() > from, n.wake
+		ready, wake := n.fold.Next() > from, n.recordsFolded
 		n.mu.Unlock()
 		if ready {
 			return
@@ -92,21 +93,21 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := n.fold.Next()
-	reply := &wire.TailReply{First: req.From, Next: next, AgeMs: n.age().Milliseconds()}
+	reply := &wire.TailReply{First: req.From, Next: next, AgeMs: n.logAge().Milliseconds()}
 	if req.From >= next && !req.Cold {
 		return reply, nil, nil
 	}
-	if !req.Cold && n.relay.next() == next && n.relay.has(req.From) {
-		reply.Records = n.relay.page(req.From)
+	if !req.Cold && n.cache.next() == next && n.cache.canContinueFrom(req.From) {
+		reply.Records = n.cache.page(req.From)
 		return reply, nil, nil
 	}
 	if n.fold.NeedsSnapshot() || next == 0 {
-		return nil, nil, result.New(result.NoConfig, "%s has no state to give", n.opts.Self.Name)
+		return nil, nil, result.New(result.NoConfig, "entry %s has no state yet", n.opts.Self.Name)
 	}
-	if n.saved.data == nil || n.saved.next < n.relay.first || n.saved.next <= req.From {
+	if n.saved.data == nil || n.saved.next < n.cache.first || n.saved.next <= req.From {
 		data, err := n.fold.Save()
 		if err != nil {
-			return nil, nil, result.New(result.NoConfig, "save: %w", err)
+			return nil, nil, result.New(result.NoConfig, "save state: %w", err)
 		}
 		n.saved = savedState{next: next, data: data}
 	}
@@ -115,12 +116,12 @@
 	return reply, n.saved.data, nil
 }
 
-// age returns how long ago this process, or its source, read the log.
-func (n *Node) age() time.Duration {
-	if n.freshAt.IsZero() {
+// logAge returns the time since this process, or its source, read the log.
+func (n *Node) logAge() time.Duration {
+	if n.logReadAt.IsZero() {
 		return time.Hour
 	}
-	return time.Since(n.freshAt)
+	return time.Since(n.logReadAt)
 }
 
 func (n *Node) serveStatus(s *wire.Stream, payload []byte) error {
@@ -141,7 +142,7 @@
 		return result.New(result.WireMalformed, "drain request: %w", err)
 	}
 	if role := s.Conn().Peer().Role; role != wire.RoleTool {
-		return result.New(result.WireRole, "role %q may not drain", role)
+		return result.New(result.WireRole, "role %q may not drain an entry", role)
 	}
 	if n.opts.Drain != nil {
 		n.opts.Drain(req.Undo)
@@ -152,7 +153,7 @@
 	return s.Finish()
 }
 
-// Status returns how this process sees itself and others.
+// Status returns the status of this process and its view of the others.
 func (n *Node) Status(full bool) *wire.StatusReply {
 	n.mu.Lock()
 	now := time.Now()
@@ -161,7 +162,7 @@
 		Role:        wire.RoleEntry,
 		DataCentre:  n.opts.Self.DataCentre,
 		Incarnation: n.opts.Incarnation,
-		LogAgeMs:    n.age().Milliseconds(),
+		LogAgeMs:    n.logAge().Milliseconds(),
 		Leaving:     n.leaving.Load(),
 	}
 	if err := n.fold.StopError(); err != nil {
--- a/control/topology.go
+++ b/control/topology.go
@@ -7,19 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RelayCount is how many entries of a data centre serve the others with records.
+// RelayCount is the number of entries of a data centre, its relays, that serve records to
+// the other entries.
 const RelayCount = 4
 
-// ObserverCount is how many of the few hear heartbeats. Two witnesses are needed against
-// a silent one; the third is the spare.
+// ObserverCount is the number of relays that receive heartbeats. Two observers are needed
+// to count a silent process as down; the third is a spare.
 const ObserverCount = 3
 
-// LogReaderCount is how many of the few read the log itself: the other ones and all the
-// rest follow them.
+// LogReaderCount is the number of relays that read the log. The other relays and all other
+// entries follow them.
 const LogReaderCount = 2
 
-// Rank orders names by rendezvous hash for a subject: all processes that know the
-// same names agree on the order, and a change of one name moves little.
+// Rank orders names by rendezvous hash for a subject. All processes that know the same
+// names agree on the order, and adding or removing one name leaves the order of the others
+// as it is.
 func Rank(subject string, names []string) []string {
 	ranked := slices.Clone(names)
 	weight := make(map[string]uint64, len(names))
@@ -32,7 +34,7 @@
 	return slices.Compact(ranked)
 }
 
-// Peer is an entry that control talks to.
+// Peer is an entry as named in the VM list.
 type Peer struct {
 	Name       string
 	Address    string
@@ -41,15 +43,15 @@
 	Leaving    bool
 }
 
-// Topology is one process's place among the entries.
+// Topology is the place of one process among the entries.
 type Topology struct {
 	Self   Peer
-	Peers  map[string]Peer // all entries but this one
-	Ranked []string        // names of the own data centre, best first, this one included
+	Peers  map[string]Peer // all other entries
+	Ranked []string        // entries of the own data centre, this one included, first rank first
 }
 
-// NewTopology places self among the entries of the VM list. It goes by the list and
-// not by who seems alive, so that a short silence does not move everyone.
+// NewTopology places self among the entries of the VM list. It uses the list and not the
+// liveness of entries, so that a short silence does not change the roles of all entries.
 func NewTopology(self Peer, entries []Peer) *Topology {
 	t := &Topology{Self: self, Peers: make(map[string]Peer, len(entries))}
 	local := []string{self.Name}
@@ -66,21 +68,22 @@
 	return t
 }
 
-// Place returns this process's place in its data centre, from 0.
+// Place returns the rank of this process in its data centre, from 0.
 func (t *Topology) Place() int { return slices.Index(t.Ranked, t.Self.Name) }
 
-// Local returns the first n of the own data centre without this process.
+// Local returns the first n entries of the own data centre without this process.
 func (t *Topology) Local(n int) []string {
-	few := t.Ranked[:min(n, len(t.Ranked))]
-	return slices.DeleteFunc(slices.Clone(few), func(n string) bool { return n == t.Self.Name })
+	first := t.Ranked[:min(n, len(t.Ranked))]
+	return slices.DeleteFunc(slices.Clone(first), func(n string) bool { return n == t.Self.Name })
 }
 
-// ReadsLog reports whether this process reads the log while all is well.
+// ReadsLog reports whether this process is one of the log readers of its data centre.
 func (t *Topology) ReadsLog() bool { return t.Place() < LogReaderCount }
 
-// SummaryPeers returns whom this process exchanges summaries with: only the first of a
-// data centre does, with the first of each other data centre of its region, and the
-// region's first data centre with one of each other region.
+// SummaryPeers returns the entries to which this process sends summaries. Only the first
+// entry of a data centre sends any: to the first entry of each other data centre in its
+// region, and, from the first data centre of the region, to one entry of each other
+// region.
 func (t *Topology) SummaryPeers() []string {
 	if t.Place() != 0 {
 		return nil
@@ -93,18 +96,18 @@
 			region[p.DataCentre] = p.Region
 		}
 	}
-	heads := make(map[string]string) // first data centre of each region
+	firstCentre := make(map[string]string) // first data centre of each region
 	for dc, r := range region {
-		if heads[r] == "" || dc < heads[r] {
-			heads[r] = dc
+		if firstCentre[r] == "" || dc < firstCentre[r] {
+			firstCentre[r] = dc
 		}
 	}
-	own := heads[t.Self.Region]
-	isHead := own == "" || t.Self.DataCentre < own
+	other := firstCentre[t.Self.Region]
+	isFirst := other == "" || t.Self.DataCentre < other
 	var names []string
 	for dc, list := range centres {
 		r := region[dc]
-		if r == t.Self.Region || (isHead && heads[r] == dc) {
+		if r == t.Self.Region || (isFirst && firstCentre[r] == dc) {
 			names = append(names, Rank(dc, list)[0])
 		}
 	}
@@ -112,16 +115,16 @@
 	return names
 }
 
-// Sources returns from whom this process pulls records when it does not read the
-// log: the few of its data centre, then anyone. The order is its own, so that the
-// first of a data centre does not serve all the others. The few themselves begin
-// with those that read the log: two of them that followed each other would both wait
-// for news until it is stale.
+// Sources returns the entries from which this process pulls records when it does not read
+// the log: the relays of its data centre, then all other entries. Each process has an
+// order of its own, so that the first relay does not serve all the others. The relays
+// begin with the log readers: two relays that followed each other would both wait until
+// their records are stale.
 func (t *Topology) Sources() []string {
 	sources := Rank(t.Self.Name, t.Local(RelayCount))
 	if t.Place() < RelayCount {
-		tailers := t.Local(LogReaderCount)
-		sources = append(Rank(t.Self.Name, tailers), slices.DeleteFunc(sources, func(n string) bool { return slices.Contains(tailers, n) })...)
+		logReaders := t.Local(LogReaderCount)
+		sources = append(Rank(t.Self.Name, logReaders), slices.DeleteFunc(sources, func(n string) bool { return slices.Contains(logReaders, n) })...)
 	}
 	var rest []string
 	for name := range t.Peers {
