--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,4 +1,5 @@
-// Package agent is the process beside each target: the only door to it.
+// Package agent is the process beside each target. All requests and orders to the target
+// pass through it.
 package agent
 
 import (
@@ -20,30 +21,30 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Options are what an agent needs besides its settings.
+// Options configure an agent in addition to its settings.
 type Options struct {
 	Settings    settings.Agent
 	Backend     outside.Backend
 	Logger      logr.Logger
 	Metrics     *metrics.Set
 	Incarnation uint64 // differs at each start of the process
-	// Orders is the engine's side that takes orders; nil: it takes none.
+	// Orders is the engine's interface for orders; nil: the target takes no orders.
 	Orders outside.Orderer
-	// OrderEvery is the least time between two orders; zero: no limit.
+	// OrderEvery is the minimum interval between two orders; zero: no limit.
 	OrderEvery  time.Duration
 	ReportEvery time.Duration
-	// Log tells which entries exist. Without it the agent goes by the entries that
-	// are linked to it, which is not enough after a restart: for tests alone.
+	// Log lists the entries that exist. Without it the agent knows only the entries that
+	// are connected to it. That is not enough after a restart, so nil is for tests only.
 	Log outside.Log
-	// Listener takes the place of a plain TCP listener on Settings.Listen, which
-	// works on loopback only.
+	// Listener replaces the plain TCP listener on Settings.Listen, which works on loopback
+	// only.
 	Listener net.Listener
 
-	// Rank is the engine's part in a rank group; nil: that of the engine at
+	// Rank is the rank interface of the engine in a rank group; nil: that of the engine at
 	// Settings.Backend.
 	Rank outside.Rank
 
-	// Off is for tests of the checkers.
+	// Off switches safeguards off, for tests of the checkers.
 	Off safeguard.Off
 }
 
@@ -51,40 +52,40 @@
 
 // Agent serves one target.
 type Agent struct {
-	opts     Options
-	log      logr.Logger
-	ln       net.Listener
-	leaving  atomic.Bool
-	stopping atomic.Bool // entries have been told goodbye
-	running  atomic.Int64
-	idle     chan struct{} // signalled when running falls to zero
-	ledger   *ledger
-	turns    *turns
-	started  time.Time
-	reports  atomic.Uint64 // load reports made
-	config   configState
-	orders   orders
-	witness  *witness
-	crashes  *crashWatch
-	health   *engineHealth
-	rank     *rankAgent      // nil beside plain services
-	ctx      context.Context // ends when the agent stops
-	cancel   context.CancelCauseFunc
-	stop     chan struct{}
-	duties   conc.WaitGroup
+	opts       Options
+	log        logr.Logger
+	ln         net.Listener
+	leaving    atomic.Bool
+	stopping   atomic.Bool // entries have been sent a shutdown note
+	inFlight   atomic.Int64
+	idle       chan struct{} // signalled when inFlight falls to zero
+	dedup      *dedupTable
+	queue      *backendQueue
+	started    time.Time
+	reports    atomic.Uint64 // sequence number of the latest load report
+	config     configState
+	orders     orders
+	dispatches *dispatchChecker
+	crashes    *crashDetector
+	health     *engineHealth
+	rank       *rankAgent      // nil for plain services
+	ctx        context.Context // ends when the agent stops
+	cancel     context.CancelCauseFunc
+	stop       chan struct{}
+	tasks      conc.WaitGroup
 
 	mu    sync.Mutex
 	peers map[*wire.Conn]*peerState
 }
 
-// peerState is what the agent keeps for each connected entry.
+// peerState is the state of one connected entry.
 type peerState struct {
-	worked atomic.Int64  // nanoseconds since the agent's start at the entry's latest request
-	sent   atomic.Int64  // same, at the latest report
-	last   atomic.Uint64 // digest of the latest report
+	lastRequestAt    atomic.Int64  // time of the entry's latest request, in ns since the agent's start
+	lastReportAt     atomic.Int64  // time of the latest load report to the entry, in the same unit
+	lastReportDigest atomic.Uint64 // digest of the latest load report
 }
 
-// Start begins to listen and returns at once.
+// Start starts an agent: it listens for entries and returns at once.
 func Start(o Options) (*Agent, error) {
 	ln := o.Listener
 	if ln == nil {
@@ -101,7 +102,7 @@
 		log:     o.Logger.WithName("agent").WithValues("target", o.Settings.Target),
 		ln:      ln,
 		idle:    make(chan struct{}, 1),
-		ledger:  newLedger(),
+		dedup:   newDedupTable(),
 		started: time.Now(),
 		orders:  newOrders(o.Orders, o.OrderEvery),
 		config:  newConfigState(),
@@ -109,20 +110,20 @@
 		peers:   make(map[*wire.Conn]*peerState),
 	}
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
-	a.witness = newWitness(o.Settings.Target, o.Incarnation, o.Log)
-	a.crashes = newCrashWatch(a)
+	a.dispatches = newDispatchChecker(o.Settings.Target, o.Incarnation, o.Log)
+	a.crashes = newCrashDetector(a)
 	a.health = &engineHealth{agent: a}
-	a.ledger.forgetful = o.Off.Ledger
-	a.witness.trusting = o.Off.Witness
+	a.dedup.dropClaims = o.Off.Ledger
+	a.dispatches.skipCheck = o.Off.Witness
 	if o.Off.Roster {
-		a.witness.log = nil
+		a.dispatches.log = nil
 	}
 	a.startRank()
-	a.turns = newTurns(o.Backend, o.Settings, a.sendBack)
-	a.opts.Backend = a.turns
-	a.duties.Go(a.acceptLoop)
-	a.duties.Go(a.reportLoop)
-	a.duties.Go(a.announce)
+	a.queue = newBackendQueue(o.Backend, o.Settings, a.reportToEntry)
+	a.opts.Backend = a.queue
+	a.tasks.Go(a.acceptLoop)
+	a.tasks.Go(a.reportLoop)
+	a.tasks.Go(a.maintainPresence)
 	a.log.Info("started", "listen", a.Addr(), "incarnation", o.Incarnation)
 	return a, nil
 }
@@ -157,10 +158,10 @@
 	a.mu.Lock()
 	a.peers[c] = new(peerState)
 	a.mu.Unlock()
-	a.crashes.tell(c)
+	a.crashes.replayReports(c)
 	a.report(c)
 	if a.stopping.Load() {
-		_ = c.SendNote(wire.NoteShutdown, nil) // a lost connection needs no goodbye
+		_ = c.SendNote(wire.NoteShutdown, nil) // on a lost connection there is no receiver
 	}
 	<-c.Done()
 	a.mu.Lock()
@@ -188,38 +189,38 @@
 func (a *Agent) ServeNote(c *wire.Conn, n wire.Note, payload []byte) {
 	switch n {
 	case wire.NoteAgentConfig:
-		a.heardConfig(c, payload)
+		a.handleConfig(c, payload)
 	case wire.NoteDispatchReport:
-		a.serveAttest(c, payload)
+		a.handleDispatchReport(c, payload)
 	}
 }
 
-func (a *Agent) serveAttest(c *wire.Conn, payload []byte) {
-	var at wire.DispatchReport
-	if _, err := at.UnmarshalMsg(payload); err != nil {
-		a.log.Error(err, "bad attestation")
+func (a *Agent) handleDispatchReport(c *wire.Conn, payload []byte) {
+	var report wire.DispatchReport
+	if _, err := report.UnmarshalMsg(payload); err != nil {
+		a.log.Error(err, "invalid dispatch report")
 		return
 	}
-	a.witness.attest(c.Peer().Incarnation, &at)
+	a.dispatches.recordDispatchReport(c.Peer().Incarnation, &report)
 }
 
-// Drain refuses new work from now on and tells every entry.
+// Drain refuses new work from now on and reports that to every entry.
 func (a *Agent) Drain() {
 	if a.leaving.Swap(true) {
 		return
 	}
-	a.log.Info("leaving", "running", a.running.Load())
+	a.log.Info("leaving", "running", a.inFlight.Load())
 	for _, c := range a.conns() {
 		a.report(c)
 	}
 }
 
-// Shutdown drains, waits for requests in flight until ctx ends, and stops. The
-// error says how many were cut off.
+// Shutdown drains, waits for requests in flight until ctx ends, and stops. If requests
+// were cut off, the error gives their number.
 func (a *Agent) Shutdown(ctx context.Context) error {
 	a.Drain()
 	var err error
-	for n := a.running.Load(); n > 0 && err == nil; n = a.running.Load() {
+	for n := a.inFlight.Load(); n > 0 && err == nil; n = a.inFlight.Load() {
 		select {
 		case <-a.idle:
 		case <-ctx.Done():
@@ -227,13 +228,13 @@
 		}
 	}
 	if err == nil {
-		a.sayGoodbye(ctx)
+		a.notifyShutdown(ctx)
 	}
 	a.Close()
 	return err
 }
 
-// Close stops at once, like a crash.
+// Close stops the agent at once and cuts off requests in flight, like a crash.
 func (a *Agent) Close() {
 	select {
 	case <-a.stop:
@@ -241,10 +242,10 @@
 	default:
 	}
 	close(a.stop)
-	a.cancel(result.New(result.TargetLost, "the agent stops"))
+	a.cancel(result.New(result.TargetLost, "agent is stopping"))
 	_ = a.ln.Close()
 	for _, c := range a.conns() {
 		c.Close()
 	}
-	a.duties.Wait()
+	a.tasks.Wait()
 }
--- a/agent/control.go
+++ b/agent/control.go
@@ -11,49 +11,49 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// defaultStaleGrace stands in for settings that were not read from a file.
+// defaultStaleGrace is used when the settings were not read from a file.
 const defaultStaleGrace = 10 * time.Second
 
-// keptVersions bounds the versions whose arrival is remembered; of the older ones
-// only that they are overtaken matters.
-const keptVersions = 64
+// maxVersions bounds the versions whose arrival time is remembered. For older versions it
+// only matters that they are superseded.
+const maxVersions = 64
 
-// configState is what an agent knows of the configuration: no teams, only the
-// version, the policies of its services and the fencing floors.
+// configState is the part of the configuration that an agent knows: no teams, only
+// versions, the policies of its services and the fencing floors.
 type configState struct {
 	mu       *sync.Mutex
-	heard    []heardVersion // ascending, at most keptVersions
+	versions []versionArrival // ascending, at most maxVersions
 	policies map[string]config.Policy
 	fence    *control.Fence
 }
 
-type heardVersion struct {
+// versionArrival is a configuration version and the time at which it was first received.
+type versionArrival struct {
 	version uint64
-	at      time.Time
+	heardAt time.Time
 }
 
 func newConfigState() configState {
 	return configState{mu: new(sync.Mutex), policies: make(map[string]config.Policy), fence: control.NewFence()}
 }
 
-// newest returns the newest version heard of.
-func (s *configState) newest() uint64 {
+// newestVersion returns the newest version received, 0 if there is none.
+func (s *configState) newestVersion() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.heard) == 0 {
+	if len(s.versions) == 0 {
 		return 0
 	}
-	return s.heard[len(s.heard)-1].version
+	return s.versions[len(s.versions)-1].version
 }
 
-// Fence returns the agent's memory of fencing numbers.
+// Fence returns the check of fencing numbers.
 func (a *Agent) Fence() *control.Fence { return a.config.fence }
 
-// Version returns the newest configuration version that the agent has heard of.
-func (a *Agent) Version() uint64 { return a.config.newest() }
+// Version returns the newest configuration version that the agent has received.
+func (a *Agent) Version() uint64 { return a.config.newestVersion() }
 
-// Policy returns the policy of a service that the target serves; false before an
-// entry told it.
+// Policy returns the policy of a service of the target; false before an entry has sent it.
 func (a *Agent) Policy(service string) (config.Policy, bool) {
 	a.config.mu.Lock()
 	defer a.config.mu.Unlock()
@@ -61,25 +61,25 @@
 	return p, ok
 }
 
-// heardVersion books when a version was first heard of.
-func (a *Agent) heardVersion(version uint64, now time.Time) {
+// recordVersion records when a version newer than all others was received.
+func (a *Agent) recordVersion(version uint64, now time.Time) {
 	s := &a.config
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := len(s.heard); n > 0 && version <= s.heard[n-1].version {
+	if n := len(s.versions); n > 0 && version <= s.versions[n-1].version {
 		return
 	}
-	if len(s.heard) == keptVersions {
-		s.heard = append(s.heard[:0], s.heard[1:]...)
+	if len(s.versions) == maxVersions {
+		s.versions = append(s.versions[:0], s.versions[1:]...)
 	}
-	s.heard = append(s.heard, heardVersion{version: version, at: now})
+	s.versions = append(s.versions, versionArrival{version: version, heardAt: now})
 }
 
-// overtaken reports whether work under a version comes too late. An entry that is
-// cut off from the log and its peers would otherwise keep an old policy in force
-// for as long as it reaches agents. The grace lets work pass that was stamped
+// isSuperseded reports whether work under a version arrives too long after a newer
+// version. Otherwise an entry that is cut off from the log and its peers would keep an old
+// policy in force for as long as it reaches agents. The grace admits work that was stamped
 // while the newer version spread.
-func (a *Agent) overtaken(version uint64, now time.Time) bool {
+func (a *Agent) isSuperseded(version uint64, now time.Time) bool {
 	grace := a.opts.Settings.StaleGrace
 	if grace == 0 {
 		grace = defaultStaleGrace
@@ -87,19 +87,19 @@
 	s := &a.config
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.heard {
+	for _, h := range s.versions {
 		if h.version > version {
-			return now.Sub(h.at) > grace
+			return now.Sub(h.heardAt) > grace
 		}
 	}
 	return false
 }
 
-// heardConfig takes an entry's AgentConfig.
-func (a *Agent) heardConfig(c *wire.Conn, payload []byte) {
+// handleConfig applies an AgentConfig note of an entry.
+func (a *Agent) handleConfig(c *wire.Conn, payload []byte) {
 	var msg wire.AgentConfig
 	if _, err := msg.UnmarshalMsg(payload); err != nil {
-		a.log.Error(err, "bad configuration notice", "peer", c.Peer().Name)
+		a.log.Error(err, "invalid configuration note", "peer", c.Peer().Name)
 		return
 	}
 	floors := make([]control.Floor, len(msg.Floors))
@@ -107,10 +107,10 @@
 		floors[i] = control.Floor{Resource: f.Resource, Fence: f.Fence}
 	}
 	a.config.fence.Learn(c.Peer().Name, msg.Entries, floors)
-	if msg.Version >= a.config.newest() {
+	if msg.Version >= a.config.newestVersion() {
 		a.setPolicies(&msg)
 	}
-	a.heardVersion(msg.Version, time.Now())
+	a.recordVersion(msg.Version, time.Now())
 }
 
 func (a *Agent) setPolicies(msg *wire.AgentConfig) {
@@ -118,7 +118,7 @@
 	for _, p := range msg.Policies {
 		var policy config.Policy
 		if _, err := policy.UnmarshalMsg(p.Policy); err != nil {
-			a.log.Error(err, "bad policy", "service", p.Service)
+			a.log.Error(err, "invalid policy", "service", p.Service)
 			return
 		}
 		policies[p.Service] = policy
@@ -128,7 +128,7 @@
 	a.config.policies = policies
 }
 
-// serveControl serves streams of control; false: the method is not one of them.
+// serveControl serves streams of the control methods. It returns false for other methods.
 func (a *Agent) serveControl(ctx context.Context, s *wire.Stream, m wire.Method, payload []byte) bool {
 	var err error
 	switch m {
@@ -142,7 +142,7 @@
 		return false
 	}
 	if err != nil {
-		_ = s.Refuse(err) // without a connection nobody waits for it
+		_ = s.Refuse(err) // on a lost connection there is no receiver
 	}
 	return true
 }
@@ -153,9 +153,9 @@
 		Role:        wire.RoleAgent,
 		DataCentre:  a.opts.Settings.DataCentre,
 		Incarnation: a.opts.Incarnation,
-		Version:     a.config.newest(),
+		Version:     a.config.newestVersion(),
 		Leaving:     a.leaving.Load(),
-		InFlight:    int(a.running.Load()),
+		InFlight:    int(a.inFlight.Load()),
 	}
 	if err := s.SendMessage(wire.MessageStatus, r); err != nil {
 		return err
@@ -169,7 +169,7 @@
 		return result.New(result.WireMalformed, "drain request: %w", err)
 	}
 	if role := s.Conn().Peer().Role; role != wire.RoleTool {
-		return result.New(result.WireRole, "role %q may not drain", role)
+		return result.New(result.WireRole, "role %q may not drain an agent", role)
 	}
 	if req.Undo {
 		a.leaving.Store(false)
--- a/agent/control_test.go
+++ b/agent/control_test.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-func bareAgent(engine *fake.OrderedEngine, incarnation uint64) *Agent {
+func newTestAgent(engine *fake.OrderedEngine, incarnation uint64) *Agent {
 	return &Agent{
 		opts:   Options{Incarnation: incarnation, Metrics: metrics.New()},
 		log:    logr.Discard(),
@@ -31,32 +31,29 @@
 	return result.From(err).Code
 }
 
-// The caller of an entry that is cut off from everyone sees "not run" instead of an
-// overtaken policy. In order: the agent hears of version 8 from another entry, work
-// stamped 7 passes for the grace and is refused after it, also when 9 arrives.
+// A request under version 7 passes for the grace after version 8 arrives and is refused
+// after it. Version 9 must not renew the grace.
 func TestOvertakenVersionIsRefusedAfterGrace(t *testing.T) {
 	g := NewWithT(t)
-	a := bareAgent(nil, 1)
+	a := newTestAgent(nil, 1)
 	start := time.Unix(1000, 0)
-	g.Expect(a.overtaken(7, start)).To(BeFalse(), "nothing newer was heard of")
-	a.heardVersion(8, start)
-	g.Expect(a.overtaken(7, start.Add(defaultStaleGrace))).To(BeFalse())
-	a.heardVersion(9, start.Add(defaultStaleGrace))
+	g.Expect(a.isSuperseded(7, start)).To(BeFalse(), "no newer version has arrived")
+	a.recordVersion(8, start)
+	g.Expect(a.isSuperseded(7, start.Add(defaultStaleGrace))).To(BeFalse())
+	a.recordVersion(9, start.Add(defaultStaleGrace))
 	late := start.Add(defaultStaleGrace + time.Second)
-	g.Expect(a.overtaken(7, late)).To(BeTrue(), "a newer version must not renew the grace")
-	g.Expect(a.overtaken(8, late)).To(BeFalse())
-	a.heardVersion(3, late)
+	g.Expect(a.isSuperseded(7, late)).To(BeTrue(), "a newer version must not renew the grace")
+	g.Expect(a.isSuperseded(8, late)).To(BeFalse())
+	a.recordVersion(3, late)
 	g.Expect(a.Version()).To(Equal(uint64(9)))
-	for v := range uint64(3 * keptVersions) {
-		a.heardVersion(10+v, late)
+	for v := range uint64(3 * maxVersions) {
+		a.recordVersion(10+v, late)
 	}
-	g.Expect(len(a.config.heard)).To(Equal(keptVersions))
+	g.Expect(len(a.config.versions)).To(Equal(maxVersions))
 }
 
-// An engine that ignores fencing numbers would run a paused holder's order. In
-// order: 4 orders, 5 takes over and orders, 4 wakes and orders; the agent restarts
-// and 4 tries again before and after the agent has learnt the floors. The answer of
-// an order that took effect is lost; reading back settles it.
+// Holder 4 is paused while holder 5 takes over, then sends an order, also after an agent
+// restart. The engine ignores fencing numbers, so the agent must refuse the order.
 func TestOrdersAreFencedForEnginesThatIgnoreIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -65,7 +62,7 @@
 		order := func(a *Agent, fence uint64, model string) result.Code {
 			return code(a.Order(t.Context(), &wire.Order{Resource: res, Fence: fence, AgentInc: a.opts.Incarnation, Model: model}))
 		}
-		a := bareAgent(engine, 1)
+		a := newTestAgent(engine, 1)
 		a.config.fence.Learn("entry-1", 1, nil)
 		g.Expect(order(a, 4, "old")).To(Equal(result.OK))
 		engine.LoseAnswers(1)
@@ -74,13 +71,13 @@
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceStale))
 		g.Expect(code(a.Order(t.Context(), &wire.Order{Resource: res, Fence: 6, AgentInc: 9}))).To(Equal(result.StaleAgent))
 
-		a = bareAgent(engine, 2)
+		a = newTestAgent(engine, 2)
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceUnknown))
 		a.config.fence.Learn("entry-1", 1, []control.Floor{{Resource: res, Fence: 5}})
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceStale))
-		g.Expect(engine.Fences()).To(Equal([]uint64{4, 5}), "each order took effect once, none of the old holder")
+		g.Expect(engine.Fences()).To(Equal([]uint64{4, 5}), "each order must take effect once, and none of the old holder")
 
-		a.orders.every = time.Minute
+		a.orders.minInterval = time.Minute
 		g.Expect(order(a, 5, "next")).To(Equal(result.OK))
 		g.Expect(order(a, 5, "more")).To(Equal(result.OrderLimited))
 		time.Sleep(time.Minute)
--- a/agent/crash.go
+++ b/agent/crash.go
@@ -10,225 +10,229 @@
 )
 
 const (
-	// crashGather is how long the agent waits for the other requests to fail when
-	// one has lost its engine.
-	crashGather = 50 * time.Millisecond
-	// crashRefuse is how long the agent itself refuses a request that crashed its
-	// engine alone.
-	crashRefuse = 5 * time.Minute
-	crashLimit  = 1024
+	// failureBatchWindow is how long the agent waits for other requests to fail after one
+	// has lost its engine.
+	failureBatchWindow = 50 * time.Millisecond
+	// crashRefusalPeriod is how long the agent refuses a request that crashed its engine
+	// while it ran alone.
+	crashRefusalPeriod     = 5 * time.Minute
+	maxRefusedFingerprints = 1024
 )
 
-// crashWatch knows what is running on the engine, so that the agent can say
-// after a crash what may have caused it, and runs suspects alone.
-type crashWatch struct {
+// crashDetector tracks the requests on the engine. After a crash it reports the requests
+// that may have caused it, the suspects, and it runs suspects alone.
+type crashDetector struct {
 	agent *Agent
 	slot  chan struct{} // held by the suspect that runs
 
-	mu       sync.Mutex
-	running  map[*crashRun]bool
-	isolated bool
-	empty    chan struct{} // signalled when nothing runs
-	gather   *crashGathering
-	refused  map[uint64]time.Time
-	seq      uint64
-	reports  []crashReport // the latest ones
+	mu           sync.Mutex
+	running      map[*engineRequest]bool
+	isolated     bool
+	noneRunning  chan struct{} // signalled when no request runs
+	failures     *failureBatch
+	refusedUntil map[uint64]time.Time
+	seq          uint64
+	reports      []crashReport // the latest maxCrashReports
 }
 
-// crashReport is kept for entries that come after the crash: one that does not
-// know the suspects would send them to another target.
+// crashReport is a crash kept for entries that connect after it: an entry that does not
+// know the suspects would retry them on another target.
 type crashReport struct {
 	note wire.Crash
 	at   time.Time
 }
 
-// reportsKept bounds the crash reports that an entry gets with its link.
-const reportsKept = 16
+// maxCrashReports bounds the crash reports that a newly connected entry receives.
+const maxCrashReports = 16
 
-// crashRun is one request on the engine.
-type crashRun struct {
-	watch       *crashWatch
+// engineRequest is one request on the engine.
+type engineRequest struct {
+	detector    *crashDetector
 	fingerprint uint64
 	suspect     bool
-	lost        bool
+	lostEngine  bool
 }
 
-// crashGathering collects the requests that fail together.
-type crashGathering struct {
-	members []*crashRun
+// failureBatch is the set of requests that ran when one of them lost its engine.
+type failureBatch struct {
+	members []*engineRequest
 	done    chan struct{}
 }
 
-func newCrashWatch(a *Agent) *crashWatch {
-	return &crashWatch{
-		agent:   a,
-		slot:    make(chan struct{}, 1),
-		running: make(map[*crashRun]bool),
-		empty:   make(chan struct{}, 1),
-		refused: make(map[uint64]time.Time),
+func newCrashDetector(a *Agent) *crashDetector {
+	return &crashDetector{
+		agent:        a,
+		slot:         make(chan struct{}, 1),
+		running:      make(map[*engineRequest]bool),
+		noneRunning:  make(chan struct{}, 1),
+		refusedUntil: make(map[uint64]time.Time),
 	}
 }
 
-// begin books a request as running. A suspect waits until it is alone; while it
-// is, others are refused, as they would become suspects too.
-func (w *crashWatch) begin(ctx context.Context, req *wire.Request) (*crashRun, error) {
-	run := &crashRun{watch: w, fingerprint: req.Fingerprint, suspect: req.Suspect}
+// start registers a request as running. A suspect waits until it is alone on the engine.
+// Meanwhile other requests are refused, as they would become suspects too.
+func (d *crashDetector) start(ctx context.Context, req *wire.Request) (*engineRequest, error) {
+	run := &engineRequest{detector: d, fingerprint: req.Fingerprint, suspect: req.Suspect}
 	if req.Suspect {
-		return run, w.beginAlone(ctx, req, run)
+		return run, d.startAlone(ctx, req, run)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.isolated {
-		return nil, result.New(result.TargetIsolated, "a suspected request runs alone on %s", w.agent.opts.Settings.Target)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.isolated {
+		return nil, result.New(result.TargetIsolated, "%s is running a crash suspect alone", d.agent.opts.Settings.Target)
 	}
-	w.running[run] = true
+	d.running[run] = true
 	return run, nil
 }
 
-func (w *crashWatch) beginAlone(ctx context.Context, req *wire.Request, run *crashRun) error {
+func (d *crashDetector) startAlone(ctx context.Context, req *wire.Request, run *engineRequest) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, time.Duration(req.DeadlineMs)*time.Millisecond/2,
-		result.New(result.SuspectHeld, "other requests run on %s", w.agent.opts.Settings.Target))
+		result.New(result.SuspectHeld, "other requests are running on %s", d.agent.opts.Settings.Target))
 	defer cancel()
 	select {
-	case w.slot <- struct{}{}:
+	case d.slot <- struct{}{}:
 	case <-ctx.Done():
-		return notRun(ctx)
+		return notRunError(ctx)
 	}
-	w.mu.Lock()
-	w.isolated = true
-	w.mu.Unlock()
+	d.mu.Lock()
+	d.isolated = true
+	d.mu.Unlock()
 	for {
-		w.mu.Lock()
-		refused := time.Now().Before(w.refused[run.fingerprint])
-		alone := len(w.running) == 0
+		d.mu.Lock()
+		refused := time.Now().Before(d.refusedUntil[run.fingerprint])
+		alone := len(d.running) == 0
 		if alone && !refused {
-			w.running[run] = true
+			d.running[run] = true
 		}
-		w.mu.Unlock()
+		d.mu.Unlock()
 		if refused {
-			w.release()
-			return result.New(result.CrashSuspect, "it crashed %s", w.agent.opts.Settings.Target)
+			d.releaseSlot()
+			return result.New(result.CrashSuspect, "request crashed %s before", d.agent.opts.Settings.Target)
 		}
 		if alone {
 			return nil
 		}
 		select {
-		case <-w.empty:
+		case <-d.noneRunning:
 		case <-ctx.Done():
-			w.release()
-			return notRun(ctx)
+			d.releaseSlot()
+			return notRunError(ctx)
 		}
 	}
 }
 
-// notRun turns the end of a wait into a result that says "not run".
-func notRun(ctx context.Context) error {
+// notRunError converts the end of a wait into a result that says that the request did not
+// run.
+func notRunError(ctx context.Context) error {
 	e := result.From(context.Cause(ctx))
 	if e.Run() == result.RunNot {
 		return e
 	}
-	return result.New(result.SuspectHeld, "gave up waiting to run alone: %w", e)
+	return result.New(result.SuspectHeld, "suspect did not get to run alone: %w", e)
 }
 
-func (w *crashWatch) release() {
-	w.mu.Lock()
-	w.isolated = false
-	w.mu.Unlock()
-	<-w.slot
+func (d *crashDetector) releaseSlot() {
+	d.mu.Lock()
+	d.isolated = false
+	d.mu.Unlock()
+	<-d.slot
 }
 
-// end books that the request is over.
-func (r *crashRun) end() {
-	w := r.watch
-	w.mu.Lock()
-	delete(w.running, r)
-	idle := len(w.running) == 0
-	w.mu.Unlock()
+// finish removes the request from the running ones.
+func (r *engineRequest) finish() {
+	d := r.detector
+	d.mu.Lock()
+	delete(d.running, r)
+	idle := len(d.running) == 0
+	d.mu.Unlock()
 	if r.suspect {
-		w.release()
+		d.releaseSlot()
 	}
 	if idle {
 		select {
-		case w.empty <- struct{}{}:
+		case d.noneRunning <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// engineLost books that the request lost its engine, and returns when it is
-// known whether that was a crash. The report goes out before the failed answers
-// do: an entry must know its suspects when it decides about a retry.
-func (r *crashRun) engineLost() {
-	w := r.watch
-	w.mu.Lock()
-	r.lost = true
-	g := w.gather
+// recordEngineLoss records that the request lost its engine, and returns once it is known
+// whether the engine crashed. The crash report is sent before the failed answers are,
+// because an entry needs the suspects when it decides about a retry.
+func (r *engineRequest) recordEngineLoss() {
+	d := r.detector
+	d.mu.Lock()
+	r.lostEngine = true
+	g := d.failures
 	if g == nil {
-		g = &crashGathering{done: make(chan struct{})}
-		for member := range w.running {
+		g = &failureBatch{done: make(chan struct{})}
+		for member := range d.running {
 			g.members = append(g.members, member)
 		}
-		w.gather = g
-		time.AfterFunc(crashGather, func() { w.settle(g) })
+		d.failures = g
+		time.AfterFunc(failureBatchWindow, func() { d.evaluate(g) })
 	}
-	w.mu.Unlock()
+	d.mu.Unlock()
 	<-g.done
 }
 
-// settle decides whether a gathering was a crash of the engine: at least half of
-// what ran was lost at once.
-func (w *crashWatch) settle(g *crashGathering) {
+// evaluate decides whether a batch of failures was a crash of the engine: it was if at
+// least half of the running requests were lost within the window.
+func (d *crashDetector) evaluate(g *failureBatch) {
 	defer close(g.done)
-	w.mu.Lock()
-	w.gather = nil
-	w.seq++
-	note := wire.Crash{ID: w.agent.opts.Incarnation<<16 ^ w.seq, Target: w.agent.opts.Settings.Target}
+	d.mu.Lock()
+	d.failures = nil
+	d.seq++
+	note := wire.Crash{ID: d.agent.opts.Incarnation<<16 ^ d.seq, Target: d.agent.opts.Settings.Target}
 	for _, member := range g.members {
-		if member.lost {
+		if member.lostEngine {
 			note.Suspects = append(note.Suspects, member.fingerprint)
 		}
 	}
 	crashed := 2*len(note.Suspects) >= len(g.members)
 	if crashed && len(g.members) == 1 && g.members[0].suspect {
 		note.Alone = true
-		w.refuse(g.members[0].fingerprint)
+		d.refuseFingerprint(g.members[0].fingerprint)
 	}
 	if crashed {
-		w.reports = append(w.reports[max(0, len(w.reports)-reportsKept+1):], crashReport{note: note, at: time.Now()})
+		d.reports = append(d.reports[max(0, len(d.reports)-maxCrashReports+1):], crashReport{note: note, at: time.Now()})
 	}
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if !crashed {
 		return
 	}
-	w.agent.health.lost()
-	w.agent.opts.Metrics.Count("engine_crashes_total", 1)
-	w.agent.log.Info("engine crashed", "suspects", len(note.Suspects), "alone", note.Alone)
-	for _, c := range w.agent.conns() {
-		_ = c.SendNote(wire.NoteCrash, &note) // an entry without a link has no request here
+	d.agent.health.recordDown()
+	d.agent.opts.Metrics.Count("engine_crashes_total", 1)
+	d.agent.log.Info("engine crashed", "suspects", len(note.Suspects), "alone", note.Alone)
+	for _, c := range d.agent.conns() {
+		_ = c.SendNote(wire.NoteCrash, &note) // an entry without a connection has no request here
 	}
 }
 
-// tell repeats the crashes of the last minutes to an entry that has just come.
-func (w *crashWatch) tell(c *wire.Conn) {
-	w.mu.Lock()
-	reports := w.reports
-	w.mu.Unlock()
+// replayReports sends the crashes of the last crashRefusalPeriod to an entry that has just
+// connected.
+func (d *crashDetector) replayReports(c *wire.Conn) {
+	d.mu.Lock()
+	reports := d.reports
+	d.mu.Unlock()
 	for _, r := range reports {
 		age := time.Since(r.at)
-		if age > crashRefuse {
+		if age > crashRefusalPeriod {
 			continue
 		}
 		r.note.AgeMs = max(age.Milliseconds(), 1)
-		_ = c.SendNote(wire.NoteCrash, &r.note) // a lost entry needs none
+		_ = c.SendNote(wire.NoteCrash, &r.note) // on a lost connection there is no receiver
 	}
 }
 
-func (w *crashWatch) refuse(fingerprint uint64) {
+// refuseFingerprint refuses requests with a fingerprint for crashRefusalPeriod; mu is
+// held.
+func (d *crashDetector) refuseFingerprint(fingerprint uint64) {
 	now := time.Now()
-	for f, until := range w.refused {
-		if now.After(until) || len(w.refused) >= crashLimit {
-			delete(w.refused, f)
+	for f, until := range d.refusedUntil {
+		if now.After(until) || len(d.refusedUntil) >= maxRefusedFingerprints {
+			delete(d.refusedUntil, f)
 		}
 	}
-	w.refused[fingerprint] = now.Add(crashRefuse)
+	d.refusedUntil[fingerprint] = now.Add(crashRefusalPeriod)
 }
--- /dev/null
+++ b/agent/dispatchreports.go
@@ -0,0 +1,146 @@
+package agent
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/heatherrail/heatherrail/outside"
+	"github.com/heatherrail/heatherrail/wire"
+)
+
+const (
+	// dispatchSlack is how much longer than the window an entry remembers a dispatch,
+	// because the run may begin that much later.
+	dispatchSlack = 2 * time.Minute
+	// presenceSlack covers the refresh interval of presence records and clock differences.
+	presenceSlack = 6 * time.Minute
+	// dispatchReportWait is how long a request waits for missing dispatch reports.
+	dispatchReportWait = time.Second
+	dispatchReportPoll = 10 * time.Millisecond
+)
+
+// dispatchChecker decides whether a request may run whose key is not in the deduplication
+// table.
+//
+// If the agent restarts, or the home of the key moves here with a new configuration, a
+// caller may repeat a request that has already run. Running it again would start an oven
+// twice. This is prevented as follows. Each entry records a dispatch before it sends it.
+// The agent appends its presence to the log before it reads the entries there; an entry
+// that the agent does not find therefore finds the agent and sends to no older agent. The
+// key runs only after each entry found has reported that it dispatched the key nowhere
+// else and will not do so under an older version.
+type dispatchChecker struct {
+	target      string
+	incarnation uint64
+	log         outside.Log // nil: only connected entries are known
+	now         func() time.Time
+
+	mu              sync.Mutex
+	reportedVersion map[uint64]uint64    // entry incarnation -> newest version reported
+	unresponsive    map[uint64]bool      // entries that sent no report in time
+	uncertainKeys   map[uint64]time.Time // key hash -> time of the latest report of a dispatch elsewhere
+	nextSweep       time.Time
+	homeHistory     []homeTargets // contiguous version ranges, oldest first
+	skipCheck       bool          // for tests of the checkers: run unknown keys at once
+
+	entries        map[uint64]time.Time // entry incarnation -> time of the last presence, without entries that have gone
+	entriesVersion uint64               // version known when the entry list was read
+	entriesRead    bool                 // the entry list has been read
+	announced      bool                 // this agent's presence is on the log
+
+	readToken  chan struct{} // holds a token while the log is read
+	newVersion chan struct{} // signalled when a version newer than the entry list is received
+	nextOffset uint64        // log offset to read from
+}
+
+// homeTargets holds the declared targets of the fleet over a range of versions.
+type homeTargets struct {
+	from, to uint64
+	names    []string
+	since    time.Time
+}
+
+func newDispatchChecker(target string, incarnation uint64, log outside.Log) *dispatchChecker {
+	return &dispatchChecker{
+		target:          target,
+		incarnation:     incarnation,
+		log:             log,
+		now:             time.Now,
+		reportedVersion: make(map[uint64]uint64),
+		readToken:       make(chan struct{}, 1),
+		newVersion:      make(chan struct{}, 1),
+		unresponsive:    make(map[uint64]bool),
+		uncertainKeys:   make(map[uint64]time.Time),
+		entries:         make(map[uint64]time.Time),
+	}
+}
+
+// recordDispatchReport records an entry's dispatch report.
+func (c *dispatchChecker) recordDispatchReport(entry uint64, report *wire.DispatchReport) {
+	now := c.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportedVersion[entry] = max(c.reportedVersion[entry], report.Version)
+	if report.Version > c.entriesVersion {
+		select {
+		case c.newVersion <- struct{}{}:
+		default:
+		}
+	}
+	delete(c.unresponsive, entry)
+	c.pruneUncertainKeys(now)
+	for _, k := range report.Keys {
+		c.uncertainKeys[k] = now
+	}
+	c.recordHomes(report, now)
+}
+
+const (
+	// maxDedupWindow is the longest dedup-window that a policy may have.
+	maxDedupWindow = 24 * time.Hour
+	// uncertainKeySweepInterval is the interval at which keys outside every window are
+	// dropped.
+	uncertainKeySweepInterval = time.Minute
+)
+
+// pruneUncertainKeys bounds the number of uncertain keys; mu is held.
+func (c *dispatchChecker) pruneUncertainKeys(now time.Time) {
+	if now.Before(c.nextSweep) {
+		return
+	}
+	c.nextSweep = now.Add(uncertainKeySweepInterval)
+	for k, at := range c.uncertainKeys {
+		if now.Sub(at) > maxDedupWindow+dispatchSlack {
+			delete(c.uncertainKeys, k)
+		}
+	}
+}
+
+// newestVersion returns the newest version that an entry has reported, 0 if there is none.
+func (c *dispatchChecker) newestVersion() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.homeHistory) == 0 {
+		return 0
+	}
+	return c.homeHistory[len(c.homeHistory)-1].to
+}
+
+// recordHomes extends the history of target lists. A missed version clears the history,
+// because the home may have been elsewhere meanwhile.
+func (c *dispatchChecker) recordHomes(report *wire.DispatchReport, now time.Time) {
+	next := homeTargets{from: report.Version, to: report.Version, names: report.Targets, since: now}
+	last := len(c.homeHistory) - 1
+	switch {
+	case last < 0 || report.Version > c.homeHistory[last].to+1:
+		c.homeHistory = []homeTargets{next}
+	case report.Version <= c.homeHistory[last].to:
+		return
+	case slices.Equal(c.homeHistory[last].names, report.Targets):
+		c.homeHistory[last].to = report.Version
+		return
+	default:
+		c.homeHistory = append(c.homeHistory, next)
+	}
+}
--- a/agent/health.go
+++ b/agent/health.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	probeEvery   = 200 * time.Millisecond
-	probeTimeout = time.Second
-	probePath    = "/healthz"
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = time.Second
+	probePath     = "/healthz"
 )
 
-// engineHealth tells entries when the engine is down, so that none of them has
-// to find out with a request of its own. While it is down the agent probes it.
+// engineHealth reports to entries when the engine is down, so that none of them has to
+// lose a request to notice it. While the engine is down the agent probes it.
 type engineHealth struct {
 	agent *Agent
 	down  atomic.Bool
 }
 
-func (h *engineHealth) up() bool { return !h.down.Load() }
+func (h *engineHealth) isUp() bool { return !h.down.Load() }
 
-// lost books that the engine can't be reached.
-func (h *engineHealth) lost() {
+// recordDown records that the engine is unreachable and starts to probe it.
+func (h *engineHealth) recordDown() {
 	if h.down.Swap(true) {
 		return
 	}
 	h.agent.log.Info("engine down")
-	h.tell()
-	go h.probe()
+	h.reportToAll()
+	go h.probeUntilUp()
 }
 
-func (h *engineHealth) tell() {
+func (h *engineHealth) reportToAll() {
 	for _, c := range h.agent.conns() {
 		h.agent.report(c)
 	}
 }
 
-// probe asks until the engine answers anything at all.
-func (h *engineHealth) probe() {
-	ticker := time.NewTicker(probeEvery)
+// probeUntilUp probes the engine until it answers with any status.
+func (h *engineHealth) probeUntilUp() {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
-	for !h.answers() {
+	for !h.isAnswering() {
 		select {
 		case <-ticker.C:
 		case <-h.agent.ctx.Done():
@@ -52,16 +52,16 @@
 	}
 	h.down.Store(false)
 	h.agent.log.Info("engine up")
-	h.tell()
+	h.reportToAll()
 }
 
-func (h *engineHealth) answers() bool {
+func (h *engineHealth) isAnswering() bool {
 	ctx, cancel := context.WithTimeout(h.agent.ctx, probeTimeout)
 	defer cancel()
 	reply, err := h.agent.opts.Backend.Run(ctx, &outside.Call{Method: "GET", Path: probePath})
 	if err != nil {
 		return false
 	}
-	_ = reply.Body.Close() // nothing of it is needed
+	_ = reply.Body.Close() // only the fact of an answer counts
 	return true
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -13,65 +13,65 @@
 
 // Bounds of one order.
 const (
-	orderTries   = 3
-	orderTimeout = 30 * time.Second
+	orderAttempts = 3
+	orderTimeout  = 30 * time.Second
 )
 
-// orders gives engine orders, one after another.
+// orders gives orders to the engine, one after another.
 type orders struct {
-	turn   chan struct{}   // one place: who holds it may use the engine
+	slot   chan struct{}   // capacity 1: its holder may use the engine
 	engine outside.Orderer // nil: the target takes no orders
-	// every is the least time between two orders that load something: the weight
-	// store is shared and limited. Zero: no limit.
-	every time.Duration
-	last  time.Time
+	// minInterval is the minimum interval between two orders that load weights: the
+	// weight store is shared and its bandwidth limited. Zero: no limit.
+	minInterval time.Duration
+	lastOrderAt time.Time
 }
 
-func newOrders(engine outside.Orderer, every time.Duration) orders {
-	return orders{turn: make(chan struct{}, 1), engine: engine, every: every}
+func newOrders(engine outside.Orderer, minInterval time.Duration) orders {
+	return orders{slot: make(chan struct{}, 1), engine: engine, minInterval: minInterval}
 }
 
-// Order brings the engine to a state, if the fencing number is still the newest. It
-// returns nil once the engine has been seen in that state. result.OrderUnknown means
-// that the engine could not be read back: give the same order again.
+// Order brings the engine to a state, if the fencing number is not stale. It returns nil
+// once the engine has been read in that state. result.OrderUnknown means that the engine
+// could not be read in that state; the same order may be given again.
 //
-// The fence is checked in the turn that serialises orders. Failure: a holder that
-// was paused through its lapse sends its order between check and use of a newer one.
-// Symptom: an engine that ignores fencing numbers ends in the old state. Enough,
-// because every order to the engine passes here.
+// The fencing number is checked while the slot that serialises orders is held. Otherwise a
+// holder that was paused while its lease lapsed could send its order between the check and
+// the use of a newer one, and an engine that ignores fencing numbers would end in the old
+// state. Every order to the engine passes through here.
 func (a *Agent) Order(ctx context.Context, o *wire.Order) error {
 	select {
-	case a.orders.turn <- struct{}{}:
-		defer func() { <-a.orders.turn }()
+	case a.orders.slot <- struct{}{}:
+		defer func() { <-a.orders.slot }()
 	case <-ctx.Done():
-		return result.New(result.DeadlineUnmet, "other orders are under way: %w", context.Cause(ctx))
+		return result.New(result.DeadlineUnmet, "another order is in progress: %w", context.Cause(ctx))
 	}
 	if a.orders.engine == nil {
 		return result.New(result.BadRequest, "%s takes no orders", a.opts.Settings.Target)
 	}
 	if o.AgentInc != a.opts.Incarnation {
-		return result.New(result.StaleAgent, "meant for incarnation %d, this is %d", o.AgentInc, a.opts.Incarnation)
+		return result.New(result.StaleAgent, "order is for incarnation %d, this is %d", o.AgentInc, a.opts.Incarnation)
 	}
 	if err := a.config.fence.Check(o.Resource, o.Fence); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return a.orders.reach(ctx, o)
+	return a.orders.bringToState(ctx, o)
 }
 
-// reach orders and reads back until the engine has the state. An order whose answer
-// was lost is settled by reading, so it is given again only if it had no effect.
-func (s *orders) reach(ctx context.Context, o *wire.Order) error {
+// bringToState gives the order and reads the engine back until it has the state. After a
+// lost answer the state is read first, so the order is repeated only if it had no effect.
+func (s *orders) bringToState(ctx context.Context, o *wire.Order) error {
 	want := outside.EngineState{Model: o.Model, Version: o.Version, Adapters: slices.Sorted(slices.Values(o.Adapters)), Role: o.Role}
 	var last error
-	for range orderTries {
-		have, err := s.engine.State(ctx)
-		if err == nil && have.Equal(want) {
+	for range orderAttempts {
+		state, err := s.engine.State(ctx)
+		if err == nil && state.Equal(want) {
 			return nil
 		}
 		if err == nil {
-			if err := s.allow(); err != nil {
+			if err := s.reserveInterval(); err != nil {
 				return err
 			}
 			err = s.engine.Order(ctx, o.Resource, o.Fence, want)
@@ -81,21 +81,22 @@
 		}
 		last = err
 	}
-	if have, err := s.engine.State(ctx); err == nil && have.Equal(want) {
+	if state, err := s.engine.State(ctx); err == nil && state.Equal(want) {
 		return nil
 	}
-	return result.New(result.OrderUnknown, "not seen in the ordered state after %d tries: %w", orderTries, last)
+	return result.New(result.OrderUnknown, "engine is not in the ordered state after %d attempts: %w", orderAttempts, last)
 }
 
-// allow books a place with the weight store.
-func (s *orders) allow() error {
+// reserveInterval returns result.OrderLimited if the latest order is less than minInterval
+// ago, and otherwise records an order.
+func (s *orders) reserveInterval() error {
 	now := time.Now()
-	if wait := s.every - now.Sub(s.last); s.every > 0 && !s.last.IsZero() && wait > 0 {
-		e := result.New(result.OrderLimited, "the next order may be given in %s", wait.Round(time.Millisecond))
+	if wait := s.minInterval - now.Sub(s.lastOrderAt); s.minInterval > 0 && !s.lastOrderAt.IsZero() && wait > 0 {
+		e := result.New(result.OrderLimited, "next order allowed in %s", wait.Round(time.Millisecond))
 		e.RetryAfter = wait
 		return e
 	}
-	s.last = now
+	s.lastOrderAt = now
 	return nil
 }
 
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -14,35 +14,36 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// rankAgent stands between orderers and the rank side of an engine. It is the
-// only one that gives orders to the engine, one after the other.
+// rankAgent handles orders for the rank interface of an engine. It alone gives orders to
+// the engine, one after another.
 type rankAgent struct {
 	agent  *Agent
 	engine outside.Rank
 
-	mu     sync.Mutex // held through an order, engine included
+	mu     sync.Mutex // held during an order, including the call to the engine
 	rank   expert.RankState
 	orders chan rankCall
 
-	stuckSince time.Time // zero: the rank runs; of the watch alone
+	stalledSince time.Time // zero: the rank runs; used by watchStalls only
 }
 
-// rankCall is an order on its way to the one goroutine that gives orders.
+// rankCall is an order for the single goroutine that gives orders, and the channel for its
+// result.
 type rankCall struct {
 	order *wire.RankOrder
-	done  chan rankDone
+	done  chan rankResult
 }
 
-type rankDone struct {
+type rankResult struct {
 	reply *wire.RankReply
 	err   error
 }
 
 const (
-	orderRing   = 16
-	stuckPoll   = 500 * time.Millisecond
-	stuckAfter  = time.Second // a switch in good order holds for less
-	positionTry = time.Second
+	orderQueueLength  = 16
+	stallPollInterval = 500 * time.Millisecond
+	stallThreshold    = time.Second // an undisturbed switch holds a rank for less
+	positionTimeout   = time.Second
 )
 
 func newRankAgent(a *Agent, engine outside.Rank) *rankAgent {
@@ -50,11 +51,11 @@
 		agent:  a,
 		engine: engine,
 		rank:   expert.NewRankState(a.opts.Incarnation),
-		orders: make(chan rankCall, orderRing),
+		orders: make(chan rankCall, orderQueueLength),
 	}
 }
 
-// startRank begins to take orders for the engine's part in a rank group.
+// startRank starts to serve orders for the rank of an engine in a rank group.
 func (a *Agent) startRank() {
 	engine := a.opts.Rank
 	if engine == nil && a.opts.Settings.Kind == settings.KindEngine && a.opts.Settings.Backend != "" {
@@ -64,24 +65,24 @@
 		return
 	}
 	a.rank = newRankAgent(a, engine)
-	a.duties.Go(a.rank.orderLoop)
-	a.duties.Go(a.rank.watch)
+	a.tasks.Go(a.rank.orderLoop)
+	a.tasks.Go(a.rank.watchStalls)
 }
 
-// serve answers one stream of MethodRank.
+// serve handles one stream of MethodRank.
 func (r *rankAgent) serve(ctx context.Context, s *wire.Stream, payload []byte) {
 	var o wire.RankOrder
 	if _, err := o.UnmarshalMsg(payload); err != nil {
 		r.agent.refuse(s, "", result.New(result.WireMalformed, "rank order: %w", err))
 		return
 	}
-	reply, err := r.do(ctx, &o)
+	reply, err := r.handleOrder(ctx, &o)
 	if err != nil {
 		r.agent.refuse(s, "", rankError(err))
 		return
 	}
 	if err := s.SendMessage(wire.MessageRank, reply); err != nil {
-		return // the orderer asks again over its next connection
+		return // the orderer repeats the order on its next connection
 	}
 	_ = s.Finish()
 }
@@ -100,8 +101,8 @@
 	return result.New(result.RankUnknown, "%w", err)
 }
 
-func (r *rankAgent) do(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
-	if err := r.pass(o); err != nil {
+func (r *rankAgent) handleOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
+	if err := r.checkFence(o); err != nil {
 		return nil, err
 	}
 	switch o.Op {
@@ -110,16 +111,16 @@
 	case wire.RankPrepare:
 		return r.prepare(ctx, o)
 	case wire.RankHold, wire.RankConfirm, wire.RankDecide, wire.RankWithdraw:
-		return r.queue(ctx, o)
+		return r.enqueueOrder(ctx, o)
 	}
 	return nil, result.New(result.WireUnknownKind, "rank order %d", o.Op)
 }
 
-// pass is the fence in front of engines that ignore fencing numbers. Orders that
-// begin something need the number of the group's lease. Orders that end something
-// are covered by their ballot. A rescue only brings a stuck group on with the map
-// that it has; it needs no lease, since the log that gives leases may be down.
-func (r *rankAgent) pass(o *wire.RankOrder) error {
+// checkFence checks fencing numbers for engines that ignore them. Orders that begin a
+// switch need the fencing number of the group's lease. Orders that end a switch are
+// covered by their ballot. A recovery only lets a stalled group continue with the map that
+// it has; it needs no lease, since the log that grants leases may be down.
+func (r *rankAgent) checkFence(o *wire.RankOrder) error {
 	begins := o.Op == wire.RankPrepare || o.Op == wire.RankHold
 	if !begins || o.Recovery {
 		return nil
@@ -127,15 +128,15 @@
 	return r.agent.config.fence.Check(control.GroupResource(o.Group), o.Fence)
 }
 
-// queue hands an order to the goroutine that gives them. The order goes on when
-// the orderer has given up waiting: an order whose outcome is not known must not
-// be followed by another one, or it could take effect after it.
-func (r *rankAgent) queue(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
-	call := rankCall{order: o, done: make(chan rankDone, 1)}
+// enqueueOrder passes an order to the goroutine that gives orders. The order goes on when
+// the orderer stops waiting: no other order may follow one whose outcome is unknown, or
+// the unknown one could take effect after it.
+func (r *rankAgent) enqueueOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
+	call := rankCall{order: o, done: make(chan rankResult, 1)}
 	select {
 	case r.orders <- call:
 	default:
-		return nil, result.New(result.RankBusy, "%d orders wait for the engine", orderRing)
+		return nil, result.New(result.RankBusy, "order queue of the engine is full: %d waiting", orderQueueLength)
 	}
 	select {
 	case d := <-call.done:
@@ -145,20 +146,20 @@
 	}
 }
 
-// orderLoop gives orders, one by one, for as long as the agent lives.
+// orderLoop gives orders one by one until the agent stops.
 func (r *rankAgent) orderLoop() {
 	for {
 		select {
 		case call := <-r.orders:
-			reply, err := r.order(call.order)
-			call.done <- rankDone{reply, err}
+			reply, err := r.applyOrder(call.order)
+			call.done <- rankResult{reply, err}
 		case <-r.agent.stop:
 			return
 		}
 	}
 }
 
-func (r *rankAgent) order(o *wire.RankOrder) (*wire.RankReply, error) {
+func (r *rankAgent) applyOrder(o *wire.RankOrder) (*wire.RankReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := engineOrders{r.agent.ctx, r.engine}
@@ -184,7 +185,7 @@
 }
 
 func (r *rankAgent) holdReply(h *expert.HoldReply) (*wire.RankReply, error) {
-	loaded, err := r.loaded(r.agent.ctx)
+	loaded, err := r.loadedMaps(r.agent.ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +202,7 @@
 	}, nil
 }
 
-func (r *rankAgent) loaded(ctx context.Context) ([]uint64, error) {
+func (r *rankAgent) loadedMaps(ctx context.Context) ([]uint64, error) {
 	maps, err := r.engine.Maps(ctx)
 	if err != nil {
 		return nil, err
@@ -213,7 +214,8 @@
 	return ids, nil
 }
 
-// status does not wait for orders: a stalled engine must not hide the rank.
+// status does not wait for orders, so that a stalled engine does not hide the state of the
+// rank.
 func (r *rankAgent) status(ctx context.Context, op uint8) (*wire.RankReply, error) {
 	p, err := r.engine.Position(ctx)
 	if err != nil {
@@ -274,9 +276,8 @@
 	return r.status(ctx, wire.RankStatus)
 }
 
-// engineOrders gives expert.RankState's orders to the engine. They wait for the
-// engine's answer however long it takes: if the connection breaks, the engine has
-// died and taken the order with it.
+// engineOrders passes the orders of expert.RankState to the engine. The calls have no
+// timeout: if the connection breaks, the engine has died, and the order with it.
 type engineOrders struct {
 	ctx    context.Context
 	engine outside.Rank
@@ -292,33 +293,34 @@
 
 func (e engineOrders) Lift(t expert.HoldToken) error { return e.engine.Lift(e.ctx, t) }
 
-// watch tells the entries when the rank stands still for want of a decision: its
-// orderer has died, or the engine came back and knows no map.
-func (r *rankAgent) watch() {
-	ticker := time.NewTicker(stuckPoll)
+// watchStalls notifies the entries when the rank is stalled for lack of a decision: its
+// orderer has died, or the engine has restarted without a map.
+func (r *rankAgent) watchStalls() {
+	ticker := time.NewTicker(stallPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			r.look(time.Now())
+			r.checkStall(time.Now())
 		case <-r.agent.stop:
 			return
 		}
 	}
 }
 
-func (r *rankAgent) look(now time.Time) {
-	ctx, cancel := context.WithTimeout(r.agent.ctx, positionTry)
+// checkStall sends a stall note to all entries if the rank is stalled.
+func (r *rankAgent) checkStall(now time.Time) {
+	ctx, cancel := context.WithTimeout(r.agent.ctx, positionTimeout)
 	defer cancel()
 	p, err := r.engine.Position(ctx)
-	stands := err == nil && (!p.Joined || (p.Held && p.Next >= p.HoldAt))
-	if !stands {
-		r.stuckSince = time.Time{}
-	} else if r.stuckSince.IsZero() {
-		r.stuckSince = now
+	waiting := err == nil && (!p.Joined || (p.Held && p.Next >= p.HoldAt))
+	if !waiting {
+		r.stalledSince = time.Time{}
+	} else if r.stalledSince.IsZero() {
+		r.stalledSince = now
 	}
-	stuck := stands && (!p.Joined || now.Sub(r.stuckSince) >= stuckAfter)
-	if !stuck {
+	stalled := waiting && (!p.Joined || now.Sub(r.stalledSince) >= stallThreshold)
+	if !stalled {
 		return
 	}
 	for _, c := range r.agent.conns() {
--- a/agent/rank_test.go
+++ b/agent/rank_test.go
@@ -20,7 +20,7 @@
 
 const testRanks = 3
 
-// rankBench is a group of three behind real agents, with an orderer by hand.
+// rankBench is a group of three ranks behind real agents. The test plays the orderer.
 type rankBench struct {
 	g       *WithT
 	group   *fake.LockStep
@@ -32,12 +32,12 @@
 	next    *expert.Map
 }
 
-type ignore struct{}
+type noopHandler struct{}
 
-func (ignore) ServeStream(_ context.Context, s *wire.Stream, _ wire.Method, _ []byte) {
+func (noopHandler) ServeStream(_ context.Context, s *wire.Stream, _ wire.Method, _ []byte) {
 	_ = s.Refuse(result.New(result.WireUnknownKind, "nothing is served here"))
 }
-func (ignore) ServeNote(*wire.Conn, wire.Note, []byte) {}
+func (noopHandler) ServeNote(*wire.Conn, wire.Note, []byte) {}
 
 func newRankBench(t *testing.T) *rankBench {
 	shape := expert.Shape{Ranks: testRanks, Layers: 2, Experts: 6, SlotsOfRank: 3}
@@ -74,14 +74,14 @@
 	t.Cleanup(a.Close)
 	nc, err := new(wire.Network).Dial(context.Background(), a.Addr())
 	b.g.Expect(err).NotTo(HaveOccurred())
-	c, err := wire.Client(nc, wire.Hello{Name: "orderer", Role: wire.RoleEntry, Incarnation: 9}, ignore{}, wire.Options{})
+	c, err := wire.Client(nc, wire.Hello{Name: "orderer", Role: wire.RoleEntry, Incarnation: 9}, noopHandler{}, wire.Options{})
 	b.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(c.Close)
 	b.agents[i], b.conns[i] = a, c
 }
 
 func (b *rankBench) order(i int, o *wire.RankOrder) (*wire.RankReply, error) {
-	o.Recovery = true // these orders come without a lease
+	o.Recovery = true // recovery orders need no lease
 	s, err := b.conns[i].Open(wire.MethodRank, o)
 	b.g.Expect(err).NotTo(HaveOccurred())
 	defer s.Close()
@@ -134,8 +134,9 @@
 	return err
 }
 
-// entered waits until a rank is in the step that the decision is about.
-func (b *rankBench) entered(a *expert.SwitchAttempt, i int) {
+// waitUntilEntered waits until a rank has passed the step at which the decision switches
+// maps.
+func (b *rankBench) waitUntilEntered(a *expert.SwitchAttempt, i int) {
 	d, err := a.Decide()
 	b.g.Expect(err).NotTo(HaveOccurred())
 	at := d.Schedule[len(d.Schedule)-1].From
@@ -151,42 +152,39 @@
 	}
 }
 
-func (b *rankBench) goesOnWith(m *expert.Map) {
+func (b *rankBench) expectRunsWith(m *expert.Map) {
 	from := b.group.Steps()
 	b.g.Eventually(b.group.Steps, "20s").Should(BeNumerically(">", from+30))
 	b.g.Expect(b.group.Mixed()).To(Succeed())
 	b.g.Expect(b.group.Map()).To(Equal(m.ID()))
 }
 
-// An orderer dies once all ranks hold, before it has told its decision to anyone.
-// The group stands; the next ballot finds that nobody has passed the hold and may
-// go on with the old map. A late copy of the dead orderer's decision is refused.
-func TestOrdererDiesBeforeItsDecision(t *testing.T) {
+// An orderer dies once all ranks hold, before it has sent its decision. The next ballot
+// continues with the old map, and a late copy of the dead orderer's decision is refused.
+func TestNextBallotKeepsOldMapIfDecisionWasNotSent(t *testing.T) {
 	b := newRankBench(t)
 	b.prepare()
 	dead := b.hold(1, b.next.ID())
 	b.decideAll(b.hold(2, 0))
 	b.g.Expect(result.From(b.decide(dead, 0)).Code).To(Equal(result.BallotOld))
-	b.goesOnWith(b.first)
+	b.expectRunsWith(b.first)
 }
 
-// An orderer dies after one rank has obeyed and entered the step. The others wait
-// in front of it; the next ballot wants the old map, finds the one that is ahead,
-// and the step is run with the new map by all. Only then the old one comes back.
-func TestOrdererDiesAfterOneRankObeyed(t *testing.T) {
+// An orderer dies after one rank has entered the step with the new map. The next ballot
+// wants the old map but must let all ranks run that step with the new one.
+func TestNextBallotFinishesSwitchThatOneRankEntered(t *testing.T) {
 	b := newRankBench(t)
 	b.prepare()
 	dead := b.hold(1, b.next.ID())
 	b.g.Expect(b.decide(dead, 0)).To(Succeed())
-	b.entered(dead, 0)
+	b.waitUntilEntered(dead, 0)
 	b.decideAll(b.hold(2, 0))
-	b.goesOnWith(b.next)
+	b.expectRunsWith(b.next)
 }
 
-// An agent dies while its rank is held and the next one has forgotten the ballot.
-// The decision that was made for its predecessor is refused; the rank waits, and
-// one more ballot brings it on with the map that the others use.
-func TestAgentForgetsItsPromise(t *testing.T) {
+// An agent restarts without its ballot while its rank is held. It must refuse the decision
+// made for its predecessor; one more ballot lets the rank continue with the others.
+func TestRestartedAgentRefusesDecisionOfEarlierBallot(t *testing.T) {
 	b := newRankBench(t)
 	b.prepare()
 	a := b.hold(1, b.next.ID())
@@ -194,28 +192,28 @@
 	b.startAgent(t, 2, 99)
 	b.g.Expect(b.decide(a, 0)).To(Succeed())
 	b.g.Expect(b.decide(a, 1)).To(Succeed())
-	b.entered(a, 0)
+	b.waitUntilEntered(a, 0)
 	b.g.Expect(result.From(b.decide(a, 2)).Code).To(Equal(result.BallotVoid))
 	b.decideAll(b.hold(2, 0))
-	b.goesOnWith(b.next)
+	b.expectRunsWith(b.next)
 }
 
-// The store is down while weights are asked for: the order is refused, nothing is
-// held, and the group does not lose a step.
-func TestStoreDownPausesRebalancing(t *testing.T) {
+// The weight store is down while weights are prepared. The order is refused, no rank is
+// held and the group loses no step.
+func TestPrepareFailsWithoutPauseIfStoreIsDown(t *testing.T) {
 	b := newRankBench(t)
 	b.weights.SetDown(true)
 	s := b.next.Shape
 	_, err := b.order(0, &wire.RankOrder{Op: wire.RankPrepare, Ranks: s.Ranks, Layers: s.Layers,
 		Experts: s.Experts, SlotsOfRank: s.SlotsOfRank, Slots: wire.EncodeSlots(b.next.Slot)})
 	b.g.Expect(result.From(err).Code).To(Equal(result.WeightsUnavailable))
-	b.goesOnWith(b.first)
+	b.expectRunsWith(b.first)
 	b.g.Expect(b.group.Idle()).To(BeZero())
 }
 
-// The holder of an old lease orders a hold beside the new holder. The engine would
-// obey; the agent refuses, and before it knows the floors it refuses everybody.
-func TestAgentFencesOrdersThatBeginSomething(t *testing.T) {
+// The holder of an old lease orders a hold, which the engine would obey. The agent must
+// refuse it, and must refuse every hold before it knows the fencing floors.
+func TestHoldWithStaleFencingNumberIsRefused(t *testing.T) {
 	b := newRankBench(t)
 	hold := func(fence uint64) error {
 		s, err := b.conns[0].Open(wire.MethodRank, &wire.RankOrder{Group: "g", Op: wire.RankHold, Round: 1, At: 1 << 40, Fence: fence})
@@ -231,34 +229,33 @@
 	b.g.Expect(hold(6)).To(Succeed())
 }
 
-// A rank stalls for long in the midst of a switch. The others wait for it, as
-// always in lock-step; when it wakes, the decision is there and nothing is mixed.
-func TestRankStallsDuringASwitch(t *testing.T) {
+// A rank stalls during a switch and the others wait for it. When it continues, it finds
+// the decision, and all ranks run the step with the same map.
+func TestSwitchCompletesAfterARankStalls(t *testing.T) {
 	b := newRankBench(t)
 	b.prepare()
 	b.engines[1].Stall(true)
 	a := b.hold(1, b.next.ID())
 	b.decideAll(a)
 	b.engines[1].Stall(false)
-	b.entered(a, 1)
-	b.goesOnWith(b.next)
+	b.waitUntilEntered(a, 1)
+	b.expectRunsWith(b.next)
 }
 
-// The withdrawal of a ballot overtakes its order to hold. The order must not hold
-// the rank any more: nobody would release it.
-func TestWithdrawalOvertakesTheHold(t *testing.T) {
+// The withdrawal of a ballot arrives before its hold. The hold must not stop the rank,
+// because no order would release it.
+func TestHoldAfterItsWithdrawalIsRefused(t *testing.T) {
 	b := newRankBench(t)
 	_, err := b.order(0, &wire.RankOrder{Op: wire.RankWithdraw, Round: 1})
 	b.g.Expect(err).NotTo(HaveOccurred())
 	_, err = b.order(0, &wire.RankOrder{Op: wire.RankHold, Round: 1, At: 1})
 	b.g.Expect(result.From(err).Code).To(Equal(result.BallotVoid))
-	b.goesOnWith(b.first)
+	b.expectRunsWith(b.first)
 }
 
-// One agent is gone when a switch begins. The orderer can't have all replies, so
-// it withdraws before the ranks reach the hold, and no step is lost. A late copy
-// of the order to hold must not hold them again.
-func TestSilentRankCostsNoStep(t *testing.T) {
+// An agent is gone when a switch begins, so the orderer withdraws before the ranks reach
+// the hold. No step is lost, and a late copy of the hold is refused.
+func TestWithdrawnSwitchCostsNoStep(t *testing.T) {
 	b := newRankBench(t)
 	b.agents[2].Close()
 	hold := wire.RankOrder{Op: wire.RankHold, Round: 1, At: b.group.Steps() + 1<<20}
@@ -273,6 +270,6 @@
 		b.g.Expect(err).NotTo(HaveOccurred())
 		b.g.Expect(p.Held).To(BeFalse())
 	}
-	b.goesOnWith(b.first)
+	b.expectRunsWith(b.first)
 	b.g.Expect(b.group.Idle()).To(BeZero())
 }
--- a/agent/record.go
+++ b/agent/record.go
@@ -10,29 +10,29 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// record is one request that must not run twice: its answer as far as it has
-// come, for the first caller and for repeats.
+// record is one request that must not run twice and its answer so far, for the first
+// caller and for repeats.
 type record struct {
-	body   uint64 // digest of the request body
-	window time.Duration
-
-	mu       sync.Mutex
-	changed  chan struct{} // closed and replaced at each change
-	answer   *wire.Answer
-	buf      []byte // answer bytes from base on
-	base     int    // bytes already dropped
-	read     int    // bytes that the first caller has taken
-	unread   bool   // the first caller is gone
-	ended    time.Time
-	err      error // io.EOF after a whole answer
-	answered bool  // the answer began before err
+	bodyDigest uint64 // digest of the request body
+	window     time.Duration
+
+	mu         sync.Mutex
+	changed    chan struct{} // closed and replaced at each change
+	answer     *wire.Answer
+	buf        []byte // answer bytes from offset base on
+	base       int    // number of bytes already dropped
+	consumed   int    // number of bytes that the first caller has received
+	callerGone bool   // the first caller has disconnected
+	finishedAt time.Time
+	err        error // io.EOF after a complete answer
+	answered   bool  // the answer started before err
 }
 
 func newRecord(digest uint64, window time.Duration) *record {
-	return &record{body: digest, window: window, changed: make(chan struct{})}
+	return &record{bodyDigest: digest, window: window, changed: make(chan struct{})}
 }
 
-// update changes the record and wakes all who wait for it.
+// update changes the record and wakes all waiting goroutines.
 func (r *record) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,18 +41,18 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *record) begin(a *wire.Answer) {
+func (r *record) startAnswer(a *wire.Answer) {
 	r.update(func() { r.answer, r.answered = a, true })
 }
 
-func (r *record) end(err error) {
-	r.update(func() { r.err, r.ended = err, time.Now() })
+func (r *record) finish(err error) {
+	r.update(func() { r.err, r.finishedAt = err, time.Now() })
 }
 
 func (r *record) endedAt() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ended, r.err != nil
+	return r.finishedAt, r.err != nil
 }
 
 func (r *record) size() int {
@@ -61,24 +61,24 @@
 	return len(r.buf)
 }
 
-// drop frees the answer; the key stays known.
-func (r *record) drop() {
+// dropAnswer frees the answer; the key stays known.
+func (r *record) dropAnswer() {
 	r.update(func() {
 		r.base += len(r.buf)
 		r.buf = nil
 	})
 }
 
-// write appends answer bytes. An answer larger than answerLimit is not kept: it
-// waits for its first caller, and later ones can't join.
+// write appends answer bytes. An answer larger than maxAnswerBytes is not retained:
+// writing waits for its first caller, and later callers cannot read it.
 func (r *record) write(ctx context.Context, p []byte) error {
 	for {
 		r.mu.Lock()
-		if len(r.buf)+len(p) > answerLimit {
-			r.trim()
+		if len(r.buf)+len(p) > maxAnswerBytes {
+			r.trimConsumed()
 		}
 		changed := r.changed
-		fits := len(r.buf)+len(p) <= answerLimit
+		fits := len(r.buf)+len(p) <= maxAnswerBytes
 		r.mu.Unlock()
 		if fits {
 			r.update(func() { r.buf = append(r.buf, p...) })
@@ -92,18 +92,18 @@
 	}
 }
 
-// trim drops what nobody needs any more; mu is held.
-func (r *record) trim() {
-	n := r.read - r.base
-	if r.unread {
+// trimConsumed drops the bytes that no caller needs any more; mu is held.
+func (r *record) trimConsumed() {
+	n := r.consumed - r.base
+	if r.callerGone {
 		n = len(r.buf)
 	}
 	r.buf = append([]byte(nil), r.buf[n:]...)
 	r.base += n
 }
 
-// started waits until the answer begins or the request has failed.
-func (r *record) started(ctx context.Context) (*wire.Answer, error) {
+// waitForAnswer waits until the answer starts or the request has failed.
+func (r *record) waitForAnswer(ctx context.Context) (*wire.Answer, error) {
 	for {
 		r.mu.Lock()
 		answer, err, changed := r.answer, r.err, r.changed
@@ -114,44 +114,46 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := wait(ctx, changed); err != nil {
+		if err := waitForChange(ctx, changed); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// next returns answer bytes from pos on; io.EOF after the last of a whole answer.
-func (r *record) next(ctx context.Context, pos int) ([]byte, error) {
+// nextBytes returns answer bytes from pos on, or io.EOF after the last byte of a complete
+// answer.
+func (r *record) nextBytes(ctx context.Context, pos int) ([]byte, error) {
 	for {
 		r.mu.Lock()
-		gone := pos < r.base
+		dropped := pos < r.base
 		var p []byte
-		if !gone {
+		if !dropped {
 			p = r.buf[pos-r.base:]
 		}
 		err, changed := r.err, r.changed
 		r.mu.Unlock()
 		switch {
-		case gone:
-			return nil, result.New(result.KeyInDoubt, "it ran; its answer is no longer kept")
+		case dropped:
+			return nil, result.New(result.KeyInDoubt, "request ran, but its answer is no longer kept")
 		case len(p) > 0:
 			return p, nil
 		case err != nil:
 			return nil, err
 		}
-		if err := wait(ctx, changed); err != nil {
+		if err := waitForChange(ctx, changed); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// took books what the first caller has read, so that a large answer can go on.
-func (r *record) took(pos int) { r.update(func() { r.read = pos }) }
+// recordConsumed records how far the first caller has read, so that a large answer can
+// continue.
+func (r *record) recordConsumed(pos int) { r.update(func() { r.consumed = pos }) }
 
-// leave books that the first caller is gone.
-func (r *record) leave() { r.update(func() { r.unread = true }) }
+// markCallerGone records that the first caller has disconnected.
+func (r *record) markCallerGone() { r.update(func() { r.callerGone = true }) }
 
-func wait(ctx context.Context, changed <-chan struct{}) error {
+func waitForChange(ctx context.Context, changed <-chan struct{}) error {
 	select {
 	case <-changed:
 		return nil
@@ -160,10 +162,10 @@
 	}
 }
 
-// repeatError says what a repeat may know of a failed first try.
+// repeatError returns the error that a repeat gets when the first attempt failed.
 func repeatError(err error) error {
 	if err == io.EOF || result.From(err).Run() == result.RunNot {
 		return err
 	}
-	return result.New(result.KeyInDoubt, "an earlier try failed: %w", err)
+	return result.New(result.KeyInDoubt, "an earlier attempt failed: %w", err)
 }
--- a/agent/report.go
+++ b/agent/report.go
@@ -9,14 +9,14 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// How often an entry is told of the load. One report costs some 100 bytes, and a
-// node may spend 5 KB a second on control: an entry that has sent work lately
-// hears of changes soon, the others now and then. In between, every refusal of
-// this agent's queue brings a report with it.
+// Intervals of load reports to one entry. A report costs some 100 bytes, and a node may
+// spend 5 KB/s on control. An entry that has sent a request within activeWindow therefore
+// gets changes soon, the others less often. In between, every rejection by this agent's
+// queue sends a report.
 const (
-	workedLately = time.Second
-	reportActive = 500 * time.Millisecond
-	reportIdle   = 2 * time.Second
+	activeWindow         = time.Second
+	activeReportInterval = 500 * time.Millisecond
+	idleReportInterval   = 2 * time.Second
 )
 
 func (a *Agent) reportLoop() {
@@ -26,7 +26,7 @@
 		select {
 		case <-ticker.C:
 			for _, c := range a.conns() {
-				a.reportDue(c)
+				a.reportIfDue(c)
 			}
 		case <-a.stop:
 			return
@@ -34,29 +34,29 @@
 	}
 }
 
-func (a *Agent) reportDue(c *wire.Conn) {
+func (a *Agent) reportIfDue(c *wire.Conn) {
 	p := a.peer(c)
 	if p == nil {
 		return
 	}
 	now := int64(time.Since(a.started))
-	age := time.Duration(now - p.sent.Load())
-	active := time.Duration(now-p.worked.Load()) < workedLately
-	if age >= reportIdle || (active && age >= reportActive) {
-		a.reportChange(c, p, age >= reportIdle)
+	age := time.Duration(now - p.lastReportAt.Load())
+	active := time.Duration(now-p.lastRequestAt.Load()) < activeWindow
+	if age >= idleReportInterval || (active && age >= activeReportInterval) {
+		a.reportIfChanged(c, p, age >= idleReportInterval)
 	}
 }
 
-// worked notes that an entry has sent a request.
-func (a *Agent) worked(c *wire.Conn) {
+// recordActivity records that an entry has sent a request.
+func (a *Agent) recordActivity(c *wire.Conn) {
 	if p := a.peer(c); p != nil {
-		p.worked.Store(int64(time.Since(a.started)))
+		p.lastRequestAt.Store(int64(time.Since(a.started)))
 	}
 }
 
-// sendBack tells an entry the load: it has just sent a request here that it
-// would have sent elsewhere, had it known.
-func (a *Agent) sendBack(entry string) {
+// reportToEntry reports the load to an entry whose request was rejected, because its view
+// of the load is out of date.
+func (a *Agent) reportToEntry(entry string) {
 	for _, c := range a.conns() {
 		if c.Peer().Name == entry {
 			a.report(c)
@@ -64,34 +64,34 @@
 	}
 }
 
-// report tells one entry the target's load now.
+// report sends the target's current load to one entry.
 func (a *Agent) report(c *wire.Conn) {
 	if p := a.peer(c); p != nil {
-		a.reportChange(c, p, true)
+		a.reportIfChanged(c, p, true)
 	}
 }
 
-// reportChange sends a report if it is due or says something new.
-func (a *Agent) reportChange(c *wire.Conn, p *peerState, due bool) {
-	account := a.turns.account(c.Peer().Name)
-	load := loadOf(&account)
+// reportIfChanged sends a load report if it is due or differs from the latest one.
+func (a *Agent) reportIfChanged(c *wire.Conn, p *peerState, due bool) {
+	report := a.queue.loadReport(c.Peer().Name)
+	load := wireLoad(&report)
 	load.Leaving = a.leaving.Load()
-	load.EngineUp = a.health.up()
-	digest := digestOfLoad(&load)
-	if !due && digest == p.last.Load() {
+	load.EngineUp = a.health.isUp()
+	digest := loadDigest(&load)
+	if !due && digest == p.lastReportDigest.Load() {
 		return
 	}
 	load.Seq = a.reports.Add(1)
-	p.last.Store(digest)
-	p.sent.Store(int64(time.Since(a.started)))
+	p.lastReportDigest.Store(digest)
+	p.lastReportAt.Store(int64(time.Since(a.started)))
 	// A lost connection ends the peer; the next one starts with a fresh report.
 	_ = c.SendNote(wire.NoteLoad, &load)
 }
 
-func loadOf(a *route.LoadReport) wire.Load {
+func wireLoad(a *route.LoadReport) wire.Load {
 	return wire.Load{
-		Total:             workOf(&a.Total),
-		FromReceiver:      workOf(&a.FromReceiver),
+		Total:             wireWork(&a.Total),
+		FromReceiver:      wireWork(&a.FromReceiver),
 		Queued:            a.Queued,
 		Slots:             a.Slots,
 		TokensPerSec:      float32(a.TokensPerSec),
@@ -101,14 +101,14 @@
 	}
 }
 
-func workOf(w *route.Work) wire.Work {
+func wireWork(w *route.Work) wire.Work {
 	return wire.Work{Requests: int(w.Requests), Prompt: int(w.Prompt), Decode: int(w.Decode)}
 }
 
-func digestOfLoad(l *wire.Load) uint64 {
+func loadDigest(l *wire.Load) uint64 {
 	b, err := l.MarshalMsg(nil)
 	if err != nil {
-		return 0 // SendNote will say so
+		return 0 // SendNote returns the same error
 	}
 	return xxhash.Sum64(b)
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -12,7 +12,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-const relayBuffer = 8 << 10
+const relayBufferBytes = 8 << 10
 
 // ServeStream implements wire.Handler.
 func (a *Agent) ServeStream(ctx context.Context, s *wire.Stream, m wire.Method, payload []byte) {
@@ -33,38 +33,38 @@
 		return
 	}
 	req.Sched.Entry = s.Conn().Peer().Name
-	a.worked(s.Conn())
+	a.recordActivity(s.Conn())
 	if !req.Repeatable {
-		a.serveOnce(ctx, s, &req)
+		a.serveNonRepeatable(ctx, s, &req)
 		return
 	}
 	if err := a.admit(&req); err != nil {
 		a.refuse(s, req.ID, err)
 		return
 	}
-	defer a.leave()
+	defer a.finishRequest()
 	a.run(ctx, s, &req)
 }
 
-// admit books a place for the request, or says why it does not run. The place
-// is taken before leaving is looked at, so that a drain either sees the request
-// in flight or the request sees the drain.
+// admit counts the request as in flight, or returns the reason why it does not run. The
+// request is counted before leaving is checked, so that either a drain sees the request in
+// flight or the request sees the drain.
 func (a *Agent) admit(req *wire.Request) error {
-	n := a.running.Add(1)
-	err := a.check(req, int(n))
+	n := a.inFlight.Add(1)
+	err := a.checkAdmission(req, int(n))
 	if err != nil {
-		a.leave()
+		a.finishRequest()
 	}
 	return err
 }
 
-func (a *Agent) check(req *wire.Request, running int) error {
+func (a *Agent) checkAdmission(req *wire.Request, running int) error {
 	if err := a.checkIncarnation(req); err != nil {
 		return err
 	}
 	switch {
-	case a.overtaken(req.ConfigVersion, time.Now()):
-		return result.New(result.StaleVersion, "version %d was overtaken by %d", req.ConfigVersion, a.config.newest())
+	case a.isSuperseded(req.ConfigVersion, time.Now()):
+		return result.New(result.StaleVersion, "version %d is superseded by %d", req.ConfigVersion, a.config.newestVersion())
 	case a.leaving.Load():
 		return result.New(result.TargetLeaving, "%s is leaving", a.opts.Settings.Target)
 	case running > a.opts.Settings.Queue:
@@ -75,17 +75,17 @@
 	return nil
 }
 
-// checkIncarnation refuses what was sent to an earlier process at this address:
+// checkIncarnation refuses a request that was sent to an earlier process at this address:
 // its sender may already have been told that the request is lost.
 func (a *Agent) checkIncarnation(req *wire.Request) error {
 	if req.AgentInc != a.opts.Incarnation && !a.opts.Off.Incarnation {
-		return result.New(result.StaleAgent, "meant for incarnation %d, this is %d", req.AgentInc, a.opts.Incarnation)
+		return result.New(result.StaleAgent, "request is for incarnation %d, this is %d", req.AgentInc, a.opts.Incarnation)
 	}
 	return nil
 }
 
-func (a *Agent) leave() {
-	if a.running.Add(-1) == 0 {
+func (a *Agent) finishRequest() {
+	if a.inFlight.Add(-1) == 0 {
 		select {
 		case a.idle <- struct{}{}:
 		default:
@@ -97,10 +97,10 @@
 	e := result.From(err)
 	a.opts.Metrics.Result(e.Code)
 	a.log.V(1).Info("refused", "request", id, "code", e.Code, "detail", e.Detail)
-	_ = s.Refuse(e) // without a connection nobody waits for the answer
+	_ = s.Refuse(e) // on a lost connection there is no receiver
 }
 
-// runContext bounds work by the deadline that the request carries.
+// runContext returns a context that ends at the deadline of the request.
 func (a *Agent) runContext(ctx context.Context, req *wire.Request) (context.Context, context.CancelFunc) {
 	return context.WithTimeoutCause(ctx, time.Duration(req.DeadlineMs)*time.Millisecond,
 		result.New(result.DeadlinePast, "deadline passed on %s", a.opts.Settings.Target))
@@ -109,28 +109,28 @@
 func (a *Agent) run(ctx context.Context, s *wire.Stream, req *wire.Request) {
 	ctx, cancel := a.runContext(ctx, req)
 	defer cancel()
-	run, err := a.crashes.begin(ctx, req)
+	run, err := a.crashes.start(ctx, req)
 	if err != nil {
 		a.refuse(s, req.ID, err)
 		return
 	}
-	defer run.end()
-	reply, err := a.opts.Backend.Run(ctx, call(req))
+	defer run.finish()
+	reply, err := a.opts.Backend.Run(ctx, backendCall(req))
 	if err != nil {
 		a.refuse(s, req.ID, a.runError(ctx, run, err))
 		return
 	}
 	defer func() { _ = reply.Body.Close() }()
-	if err := a.relay(ctx, s, run, reply); err != nil {
+	if err := a.relayAnswer(ctx, s, run, reply); err != nil {
 		a.log.Info("answer broken", "request", req.ID, "detail", err.Error())
-		_ = s.Abort(err) // without a connection the entry sees the loss itself
+		_ = s.Abort(err) // on a lost connection the entry notices the loss itself
 		return
 	}
 	a.opts.Metrics.Result(result.OK)
 }
 
-func call(req *wire.Request) *outside.Call {
-	c := &outside.Call{Method: req.Method, Path: req.Path, Body: req.Body, Sched: sched(req)}
+func backendCall(req *wire.Request) *outside.Call {
+	c := &outside.Call{Method: req.Method, Path: req.Path, Body: req.Body, Sched: backendSched(req)}
 	for _, h := range req.Headers {
 		c.Headers = append(c.Headers, [2]string{h.Name, h.Value})
 	}
@@ -141,13 +141,13 @@
 	return c
 }
 
-// backendError turns a failed call into a result: "not run" only if no byte of
-// it was sent.
+// backendError converts a failed backend call into a result. The result is "not run" only
+// if no byte of the call was sent.
 func backendError(ctx context.Context, err error) error {
 	var send *outside.SendError
 	if errors.As(err, &send) && !send.MayHaveRun {
 		if r := new(result.Error); errors.As(send.Err, &r) {
-			return r // of the agent's own queue
+			return r // a result of the agent's own queue
 		}
 		return result.New(result.Unreachable, "backend: %w", err)
 	}
@@ -161,24 +161,23 @@
 	return result.New(result.EngineLost, "backend: %w", err)
 }
 
-// runError is backendError for a request that may have been on the engine when
-// it crashed.
-func (a *Agent) runError(ctx context.Context, run *crashRun, err error) error {
+// runError is backendError for a request that may have been on the engine when it crashed.
+func (a *Agent) runError(ctx context.Context, run *engineRequest, err error) error {
 	err = backendError(ctx, err)
 	code := result.From(err).Code
 	switch {
 	case code == result.EngineLost:
-		run.engineLost()
-	case code == result.Unreachable && ctx.Err() == nil: // a cancelled dial says nothing
-		a.health.lost()
+		run.recordEngineLoss()
+	case code == result.Unreachable && ctx.Err() == nil: // a cancelled dial does not show that the engine is down
+		a.health.recordDown()
 	}
 	return err
 }
 
-// modelHeader is where an engine names the model version that it runs.
+// modelHeader is the header in which an engine names its model version.
 const modelHeader = "Heatherrail-Model"
 
-func (a *Agent) answer(reply *outside.Reply) wire.Answer {
+func (a *Agent) answerHeader(reply *outside.Reply) wire.Answer {
 	answer := wire.Answer{
 		Status: reply.Status,
 		Target: a.opts.Settings.Target,
@@ -190,14 +189,14 @@
 	return answer
 }
 
-// relay copies the answer into the stream; a slow reader holds back the backend
-// through the stream's credit.
-func (a *Agent) relay(ctx context.Context, s *wire.Stream, run *crashRun, reply *outside.Reply) error {
-	answer := a.answer(reply)
+// relayAnswer copies the answer into the stream. The credit of the stream applies back
+// pressure to the backend when the caller reads slowly.
+func (a *Agent) relayAnswer(ctx context.Context, s *wire.Stream, run *engineRequest, reply *outside.Reply) error {
+	answer := a.answerHeader(reply)
 	if err := s.SendMessage(wire.MessageAnswer, &answer); err != nil {
 		return fmt.Errorf("send answer: %w", err)
 	}
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, err := reply.Body.Read(buf)
 		if n > 0 {
