--- a/serving/config.go
+++ b/serving/config.go
@@ -1,6 +1,5 @@
-// Package serving holds what the programs on the users' machines serve: the
-// configuration in force, the targets, and the order in which news of both may
-// replace what is known. It has no sockets.
+// Package serving holds the configuration in force, the known targets, and the replicas that
+// keep both up to date from the store and from peers. It opens no sockets.
 package serving
 
 import (
@@ -10,16 +9,16 @@
 	"time"
 )
 
-// Kind says what a failure allows to be sent again.
+// Kind says whether a request may be sent again after a failure.
 type Kind uint8
 
 // Kinds of requests.
 const (
-	// KindOnce may run once at most.
+	// KindOnce requests run at most once.
 	KindOnce Kind = iota
-	// KindIdempotent may run more than once.
+	// KindIdempotent requests may run more than once.
 	KindIdempotent
-	// KindStream is answered event by event.
+	// KindStream requests are answered with a stream of events.
 	KindStream
 )
 
@@ -34,43 +33,45 @@
 	return "once"
 }
 
-// ServiceWeight is one service's part of a route's requests.
+// ServiceWeight is the weight of one service in a route's traffic split.
 type ServiceWeight struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests under one path are served.
+// Route describes how the requests under one path prefix are served.
 type Route struct {
 	Name              string
 	Host              string
 	Prefix            string // begins and ends with a slash
 	Kind              Kind
-	Timeout           time.Duration // longest that a request may be kept waiting
-	LatencyObjective  time.Duration // an answer within it has its whole worth
-	EventGapObjective time.Duration // longest pause between events of an answer in time
-	FirstEventTimeout time.Duration // callers leave if the first event takes longer
+	Timeout           time.Duration // longest time that a request may be kept waiting
+	LatencyObjective  time.Duration // a response within it counts in full
+	EventGapObjective time.Duration // longest gap between two events of a stream that is in time
+	FirstEventTimeout time.Duration // callers disconnect if the first event takes longer
 	Priority          int           // 0 is the most urgent
 	ServiceWeights    []ServiceWeight
-	MaxAttempts       int // targets that one request may be sent to
+	MaxAttempts       int // most targets that one request may be sent to
 	Public            bool
-	Resumable         bool // a broken stream may go on at another target
+	Resumable         bool // a broken stream may continue at another target
 }
 
-// Repeatable tells whether a request may be sent again after it may have run.
+// Repeatable reports whether a request may be sent again although an earlier attempt may have
+// run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || (r.Kind == KindStream && r.Resumable)
 }
 
-// PickService draws the service of one request; draw is in [0,1).
+// PickService returns the service of one request, chosen by weight; draw is a random number in
+// [0,1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.ServiceWeights {
 		total += s.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.ServiceWeights {
-		if left -= float64(s.Weight); left < 0 {
+		if remaining -= float64(s.Weight); remaining < 0 {
 			return s.Service
 		}
 	}
@@ -80,27 +81,27 @@
 // EngineModel is the cost model of a service's model engines.
 type EngineModel struct {
 	Slots             int
-	StepsPerPass      int           // token steps of a pass
-	BaseStepTime      time.Duration // of one token step without writers
+	StepsPerPass      int           // token steps in one pass
+	BaseStepTime      time.Duration // of one token step without running streams
 	StepTimePerStream time.Duration
-	PrefillRate       float64 // prompt tokens a second that it reads
-	MeanPromptTokens  float64 // mean tokens
-	MeanOutputTokens  float64 // mean tokens
-	LayerSets         int     // sets of layers with one map each; 0: no experts
-	Experts           int     // in a set
-	ExpertsPerRank    int     // experts of a set on one rank
-	SpareExperts      int     // new experts of a set that a rank can take at once
+	PrefillRate       float64 // prompt tokens a second
+	MeanPromptTokens  float64
+	MeanOutputTokens  float64
+	LayerSets         int // sets of layers with one expert map each; 0: the model has no experts
+	Experts           int // in a layer set
+	ExpertsPerRank    int // experts of a layer set on one rank
+	SpareExperts      int // new experts of a layer set that a rank can load at once
 	ExpertBytes       float64
-	CopyRate          float64 // bytes a second, at which a rank copies experts
-	ExpertShare       float64 // part of the work for tokens that experts do
+	CopyRate          float64 // bytes a second at which a rank copies experts
+	ExpertShare       float64 // share of the work for a token that is done by experts
 }
 
-// Service is what targets offer.
+// Service is a named service that targets provide.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int          // of one target, all callers together
-	ColdRate   float64      // requests a second that a cold target takes, all entries together; 0: any
+	MaxConns   int          // of one target, over all callers
+	ColdRate   float64      // requests a second that one cold target accepts from all entries together; 0: no limit
 	Engine     *EngineModel // nil for a plain service
 }
 
@@ -109,7 +110,7 @@
 	Name              string
 	Keys              []string
 	Priority          int
-	OverridesPriority bool // Priority goes before the route's
+	OverridesPriority bool // Priority replaces the route's
 }
 
 // Limits bound what a caller may send.
@@ -129,7 +130,7 @@
 	Limits   Limits
 }
 
-// Index answers questions about one configuration. It does not change.
+// Index looks up the routes, teams and services of one configuration. It is immutable.
 type Index struct {
 	Config
 	byHost    map[string][]*Route // longest prefix first
@@ -163,11 +164,11 @@
 	return x
 }
 
-// Route returns the route of a request, nil if there is none. The host may
+// Route returns the route with the longest prefix that matches a request, or nil. The host may
 // carry a port.
 func (x *Index) Route(host, path string) *Route {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
+		host = host[:colon]
 	}
 	for _, r := range x.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -177,27 +178,27 @@
 	return nil
 }
 
-// Team returns the team that holds a key, nil if none does.
+// Team returns the team to which a key belongs, or nil.
 func (x *Index) Team(key string) *Team { return x.byKey[key] }
 
-// EventGapObjective returns the shortest aim for the pauses in the streams of a service; 0
-// if it has none.
+// EventGapObjective returns the shortest event-gap objective of the stream routes to a
+// service, or 0 if none has one.
 func (x *Index) EventGapObjective(service string) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for i := range x.Routes {
 		r := &x.Routes[i]
-		if r.Kind != KindStream || r.EventGapObjective == 0 || (least != 0 && r.EventGapObjective >= least) {
+		if r.Kind != KindStream || r.EventGapObjective == 0 || (shortest != 0 && r.EventGapObjective >= shortest) {
 			continue
 		}
 		if slices.ContainsFunc(r.ServiceWeights, func(s ServiceWeight) bool { return s.Service == service }) {
-			least = r.EventGapObjective
+			shortest = r.EventGapObjective
 		}
 	}
-	return least
+	return shortest
 }
 
-// Service returns a service by its name, nil if there is none.
+// Service returns a service by its name, or nil.
 func (x *Index) Service(name string) *Service { return x.byService[name] }
 
-// HasService tells whether the configuration names a service.
+// HasService reports whether the configuration has a service of this name.
 func (x *Index) HasService(service string) bool { return x.byService[service] != nil }
--- a/serving/replica.go
+++ b/serving/replica.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Topic names one kind of record in the platform's store.
+// Topic is one kind of record in the platform's store.
 type Topic uint8
 
 // Topics.
@@ -25,163 +25,162 @@
 	return [...]string{"config", "targets", "entries"}[t]
 }
 
-// ErrTrimmed: the store no longer keeps the records that were asked for.
-var ErrTrimmed = errors.New("store has dropped the records asked for")
+// ErrTrimmed is returned for a read from an offset whose records the store no longer holds.
+var ErrTrimmed = errors.New("store no longer holds the requested records")
 
 // Record is the newest record of a key.
 type Record struct {
 	Key    string
-	Value  []byte // empty: the key is gone
+	Value  []byte // empty: the key has been removed
 	Offset uint64
 }
 
-// Store is what the platform keeps for us.
+// Store is the platform's store of keyed records.
 type Store interface {
-	// Newest returns the newest record of each key, and the offset from which
-	// changes are to be read.
+	// Newest returns the newest record of each key and the offset from which to read changes.
 	Newest(ctx context.Context, t Topic) ([]Record, uint64, error)
-	// Changes returns the records from an offset on, at once if there are any, and
-	// else after wait; and the offset to go on from.
+	// Changes returns the records from an offset on, and the offset from which to continue. It
+	// returns at once if there are any, and otherwise waits at most wait for one.
 	Changes(ctx context.Context, t Topic, from uint64, wait time.Duration) ([]Record, uint64, error)
 	// Put writes the record of a key.
 	Put(ctx context.Context, t Topic, key string, value []byte) error
 }
 
-// Replica is a process's copy of one topic. News may come from the store or from
-// a peer, in any order, late and doubled: a key's record is replaced by one with
-// a higher offset only, so nothing known is ever replaced by something older.
+// Replica is a process's copy of one topic. Updates come from the store or from a peer, in any
+// order, late or duplicated. A key's record is replaced only by one with a higher offset, so a
+// newer record is never replaced by an older one.
 type Replica struct {
-	same    func(key string, old, new []byte) bool
-	records map[string]Record
-	next    uint64 // all records before it are known
-	// base is the offset from which on removals are known: the newest records of all
-	// keys do not tell what was removed before they were read.
-	base      uint64
-	loaded    bool
-	permanent bool
+	equivalent func(key string, old, new []byte) bool
+	records    map[string]Record
+	nextOffset uint64 // all records before it are known
+	// removalsKnownFrom is the offset from which on all removals are known: a snapshot does
+	// not contain the removals from before it was read.
+	removalsKnownFrom uint64
+	loaded            bool
+	permanent         bool
 }
 
-// ReplicaUpdate are what one replica tells another.
+// ReplicaUpdate is an update that one replica sends to another.
 type ReplicaUpdate struct {
 	Records []Record
-	// FromOffset is the offset that the other one was to have; 0 if Full.
+	// FromOffset is the offset that the receiver must have reached; 0 if Full.
 	FromOffset uint64
-	NextOffset uint64 // all records before it are told or were known
-	// Full tells that these are the newest records of all keys that exist.
+	NextOffset uint64 // the receiver knows all records before it once the update is applied
+	// Full means that Records holds the newest records of all existing keys.
 	Full bool
 }
 
-// NewReplica returns an empty copy. same tells whether two records of a key mean
-// the same, as those do that a target writes only to show that it lives: the
-// second is then no news, and peers need not hear of it. nil: all are news.
-func NewReplica(same func(key string, old, new []byte) bool) *Replica {
-	return &Replica{same: same, records: make(map[string]Record)}
+// NewReplica returns an empty replica. equivalent reports whether two records of a key have
+// the same meaning, like those that a target writes only as heartbeats. A record that is
+// equivalent to the known one is not a change and is not sent to peers. If equivalent is nil,
+// every record is a change.
+func NewReplica(equivalent func(key string, old, new []byte) bool) *Replica {
+	return &Replica{equivalent: equivalent, records: make(map[string]Record)}
 }
 
-// NewPermanentReplica returns an empty copy of a topic whose keys are never removed.
+// NewPermanentReplica returns an empty replica of a topic whose keys are never removed.
 func NewPermanentReplica() *Replica {
 	r := NewReplica(nil)
 	r.permanent = true
 	return r
 }
 
-// IsLoaded tells whether the whole topic has been seen once.
+// IsLoaded reports whether the whole topic has been read at least once.
 func (r *Replica) IsLoaded() bool { return r.loaded }
 
-// MarkEmpty notes that the whole topic was seen and had no records.
-//
-// Failure: all entries start before the first configuration is written. Symptom: there is nothing
-// that one could tell the others, so each reads each empty topic from the store itself.
+// MarkEmpty records that the whole topic was read and held no records. Otherwise entries that
+// start before the first configuration is written could not notify each other of the empty
+// topic, and each of them would read it from the store.
 func (r *Replica) MarkEmpty() { r.loaded = true }
 
-// NextOffset returns the offset up to which all records are known.
-func (r *Replica) NextOffset() uint64 { return r.next }
+// NextOffset returns the offset before which all records are known.
+func (r *Replica) NextOffset() uint64 { return r.nextOffset }
 
-// Apply takes records up to an offset and returns those that were news.
-func (r *Replica) Apply(records []Record, next uint64) []Record {
-	var news []Record
+// Apply merges the records before an offset and returns those that are changes.
+func (r *Replica) Apply(records []Record, nextOffset uint64) []Record {
+	var changes []Record
 	for _, rec := range records {
 		if r.put(rec) {
-			news = append(news, rec)
+			changes = append(changes, rec)
 		}
 	}
-	r.next = max(r.next, next)
-	return news
+	r.nextOffset = max(r.nextOffset, nextOffset)
+	return changes
 }
 
 func (r *Replica) put(rec Record) bool {
-	old, ok := r.records[rec.Key]
-	if ok && (old.Offset >= rec.Offset || r.means(old, rec)) {
+	known, ok := r.records[rec.Key]
+	if ok && (known.Offset >= rec.Offset || r.isEquivalent(known, rec)) {
 		return false
 	}
 	r.records[rec.Key] = rec
 	return true
 }
 
-func (r *Replica) means(old, rec Record) bool {
-	return r.same != nil && len(old.Value) > 0 && len(rec.Value) > 0 && r.same(rec.Key, old.Value, rec.Value)
+func (r *Replica) isEquivalent(known, rec Record) bool {
+	return r.equivalent != nil && len(known.Value) > 0 && len(rec.Value) > 0 && r.equivalent(rec.Key, known.Value, rec.Value)
 }
 
-// ApplySnapshot takes the newest records of all keys, as of an offset; keys that are not
-// among them, and are not newer than that offset, are gone. It returns the news,
-// removals among them.
+// ApplySnapshot merges the newest records of all keys as of an offset. A key that is not among
+// them, and whose record is older than that offset, is removed. The result is the list of
+// changes, including removals.
 func (r *Replica) ApplySnapshot(records []Record, end uint64) []Record {
 	seen := make(map[string]bool, len(records))
 	for _, rec := range records {
 		seen[rec.Key] = true
 	}
-	news := r.Apply(records, end)
-	for key, old := range r.records {
-		if !seen[key] && len(old.Value) > 0 && old.Offset < end {
-			gone := Record{Key: key, Offset: old.Offset}
-			r.records[key] = gone
-			news = append(news, gone)
+	changes := r.Apply(records, end)
+	for key, known := range r.records {
+		if !seen[key] && len(known.Value) > 0 && known.Offset < end {
+			removal := Record{Key: key, Offset: known.Offset}
+			r.records[key] = removal
+			changes = append(changes, removal)
 		}
 	}
 	r.loaded = true
 	if !r.permanent {
-		r.base = max(r.base, end)
+		r.removalsKnownFrom = max(r.removalsKnownFrom, end)
 	}
-	return news
+	return changes
 }
 
-// UpdateSince returns what a peer lacks which knows all before an offset.
+// UpdateSince returns the update for a peer that knows all records before an offset.
 //
-// Failure: a target's record is removed, an entry starts and reads the newest records,
-// and a peer that has not read since asks it. Symptom: the peer takes over the
-// newcomer's offset without the removal, which nobody tells it any more, and sends to
-// the target until that is off. So a peer that lacks removals of before the base gets
-// all records that exist, and sees by them what is gone.
-func (r *Replica) UpdateSince(next uint64) ReplicaUpdate {
-	n := ReplicaUpdate{FromOffset: next, NextOffset: r.next}
-	if next >= r.next {
-		return n
+// An entry that starts after a target's record was removed reads a snapshot without that
+// removal. A peer that took over the entry's offset without the removal would never learn of
+// it, and would send requests to the target until the target is off. So a peer behind
+// removalsKnownFrom gets all existing records, and removes the keys that are missing from
+// them.
+func (r *Replica) UpdateSince(nextOffset uint64) ReplicaUpdate {
+	update := ReplicaUpdate{FromOffset: nextOffset, NextOffset: r.nextOffset}
+	if nextOffset >= r.nextOffset {
+		return update
 	}
-	if next < r.base {
-		n.FromOffset, n.Full = 0, true
+	if nextOffset < r.removalsKnownFrom {
+		update.FromOffset, update.Full = 0, true
 	}
 	for _, rec := range r.records {
-		if n.Full && len(rec.Value) > 0 || !n.Full && rec.Offset >= next {
-			n.Records = append(n.Records, rec)
+		if update.Full && len(rec.Value) > 0 || !update.Full && rec.Offset >= nextOffset {
+			update.Records = append(update.Records, rec)
 		}
 	}
-	return n
+	return update
 }
 
-// ApplyUpdate takes a peer's news. They are refused, with no news, if there is a gap between
-// what is known and what they lead on from.
-func (r *Replica) ApplyUpdate(n ReplicaUpdate) []Record {
+// ApplyUpdate merges a peer's update and returns the changes. An update that begins after the
+// known records is ignored, because records in the gap would be missed.
+func (r *Replica) ApplyUpdate(update ReplicaUpdate) []Record {
 	switch {
-	case n.Full && n.NextOffset <= r.next:
-		return nil // they are older than what is known
-	case n.Full:
-		return r.ApplySnapshot(n.Records, n.NextOffset)
-	case n.FromOffset > r.next:
+	case update.Full && update.NextOffset <= r.nextOffset:
+		return nil // the update is superseded
+	case update.Full:
+		return r.ApplySnapshot(update.Records, update.NextOffset)
+	case update.FromOffset > r.nextOffset:
 		return nil
 	}
-	news := r.Apply(n.Records, n.NextOffset)
-	if n.NextOffset > 0 {
+	changes := r.Apply(update.Records, update.NextOffset)
+	if update.NextOffset > 0 {
 		r.loaded = true
 	}
-	return news
+	return changes
 }
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A request goes by the longest prefix of its host's routes; a prefix ends with a
-// slash, so one route's name may begin another's.
-func TestTheLongestPrefixDecides(t *testing.T) {
+// The longest prefix of the host's routes decides. Prefixes end with a slash, so one route's
+// name may begin with another's.
+func TestRouteHasLongestMatchingPrefix(t *testing.T) {
 	g := NewWithT(t)
 	x := NewIndex(Config{Routes: []Route{
 		{Name: "all", Host: "h", Prefix: "/a/"},
@@ -30,8 +30,8 @@
 	g.Expect(name("x", "/a/b")).To(BeEmpty())
 }
 
-// Weights of a route that is split decide by shares; a weight of zero gets nothing.
-func TestARouteIsSplitByWeight(t *testing.T) {
+// A split route distributes requests by weight; a weight of zero gets none.
+func TestPickServiceFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	r := Route{ServiceWeights: []ServiceWeight{{"a", 3}, {"none", 0}, {"b", 1}}}
 	count := make(map[string]int)
@@ -41,10 +41,9 @@
 	g.Expect(count).To(Equal(map[string]int{"a": 750, "b": 250}))
 }
 
-// Records come from the store and from peers, late, doubled and in any order, with
-// resets in between. What a replica holds of a key never gets older, and in the end
-// it holds what the log says.
-func TestAReplicaNeverGoesBack(t *testing.T) {
+// Updates from the store and from peers arrive late, duplicated and in any order, mixed with
+// snapshots. No record may be replaced by an older one, and the result must match the log.
+func TestReplicaNeverReplacesRecordByOlderOne(t *testing.T) {
 	for seed := range uint64(40) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -63,7 +62,7 @@
 			from := rng.IntN(len(log))
 			to := from + rng.IntN(len(log)-from) + 1
 			if rng.IntN(3) == 0 {
-				r.ApplySnapshot(newestOf(log[:to]), uint64(to))
+				r.ApplySnapshot(newestRecords(log[:to]), uint64(to))
 			} else {
 				r.ApplyUpdate(ReplicaUpdate{Records: log[from:to], FromOffset: uint64(from), NextOffset: uint64(to)})
 			}
@@ -72,14 +71,14 @@
 				seen[key] = rec.Offset
 			}
 		}
-		r.ApplySnapshot(newestOf(log), uint64(len(log)))
-		for _, want := range newestOf(log) {
+		r.ApplySnapshot(newestRecords(log), uint64(len(log)))
+		for _, want := range newestRecords(log) {
 			g.Expect(r.records[want.Key].Value).To(Equal(want.Value), "seed %d key %s", seed, want.Key)
 		}
 	}
 }
 
-func newestOf(log []Record) []Record {
+func newestRecords(log []Record) []Record {
 	newest := make(map[string]Record)
 	for _, rec := range log {
 		newest[rec.Key] = rec
@@ -93,9 +92,8 @@
 	return list
 }
 
-// A peer's news that do not join what is known would leave a gap, and a target's
-// leaving could lie in it: they are refused.
-func TestNewsWithAGapAreRefused(t *testing.T) {
+// The gap could contain the removal of a target, which the replica would miss.
+func TestUpdateAfterGapIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	r := NewReplica(nil)
 	r.ApplyUpdate(ReplicaUpdate{Records: []Record{{Key: "a", Value: []byte("1"), Offset: 0}}, NextOffset: 1})
@@ -103,33 +101,31 @@
 	g.Expect(r.NextOffset()).To(Equal(uint64(1)))
 }
 
-// A target's record lapses while the store is away and comes back with the store:
-// it was never unusable. One that does not come back is gone after the wait, and
-// not before; nothing can come back while the store is still away.
-func TestLapsedTargetsAreKeptForAWhile(t *testing.T) {
+// A target whose record lapses during a store outage stays usable and may come back. If it
+// does not, it is removed after the grace time, which does not pass while the store is down.
+func TestLapsedTargetIsRemovedAfterGrace(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
 	now := time.Now()
 	s.Put(Target{ID: "back", Service: "s", Address: "a"}, 1)
 	s.Put(Target{ID: "gone", Service: "s", Address: "b"}, 2)
-	believe := now.Add(LapsedGrace)
-	g.Expect(s.Remove("back", now, believe)).To(BeFalse())
-	g.Expect(s.Remove("gone", now, believe)).To(BeFalse())
+	expireAt := now.Add(LapsedGrace)
+	g.Expect(s.Remove("back", now, expireAt)).To(BeFalse())
+	g.Expect(s.Remove("gone", now, expireAt)).To(BeFalse())
 	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(2))
 	s.Put(Target{ID: "back", Service: "s", Address: "a"}, 3)
 	g.Expect(s.ExpireLapsed(now.Add(LapsedGrace/2), false)).To(BeFalse())
 	s.ExpireLapsed(now.Add(2*LapsedGrace), true)
-	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(2), "the store is away again")
+	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(2), "the store is down again")
 	g.Expect(s.ExpireLapsed(now.Add(4*LapsedGrace), false)).To(BeTrue())
 	left := s.ByService(anyService)["s"]
 	g.Expect(left).To(HaveLen(1))
 	g.Expect(left[0].ID).To(Equal("back"))
 }
 
-// All targets lose power and come back as new runs at their addresses, while the
-// records of the old runs have not lapsed. Only the new runs take requests; a
-// request for an old one would be turned away.
-func TestALaterRunReplacesAnEarlierAtItsAddress(t *testing.T) {
+// After a power loss targets come back as new runs at their addresses while the old records
+// have not lapsed. Requests for the old runs would be rejected.
+func TestLaterRunReplacesEarlierAtSameAddress(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
 	s.Put(Target{ID: "z-old", Service: "s", Address: "a"}, 5)
@@ -144,24 +140,21 @@
 	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(1))
 }
 
-// An entry starts after a target's record was removed. It reads the newest records,
-// which do not tell of that, and answers a peer that read last before the removal. The
-// peer must learn that the target is gone: believing that it now knows everything up
-// to the newcomer's offset, it would send to the target for good.
-func TestANewcomerTellsOfRemovalsBeforeItsStart(t *testing.T) {
+// A new entry's snapshot does not contain the removal of a target. A peer that read last
+// before the removal must still learn of it, or it would send to the target for good.
+func TestNewReplicaPropagatesRemovalsBeforeItsStart(t *testing.T) {
 	g := NewWithT(t)
 	peer, newcomer := NewReplica(nil), NewReplica(nil)
 	peer.ApplySnapshot([]Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}, 7)
 	newcomer.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}, {Key: "new", Value: []byte("x"), Offset: 8}}, 9)
-	news := peer.ApplyUpdate(newcomer.UpdateSince(peer.NextOffset()))
+	changes := peer.ApplyUpdate(newcomer.UpdateSince(peer.NextOffset()))
 	g.Expect(peer.NextOffset()).To(Equal(uint64(9)))
-	g.Expect(keysOf(news)).To(ConsistOf("-gone", "+new"))
+	g.Expect(signedKeys(changes)).To(ConsistOf("-gone", "+new"))
 }
 
-// An entry finds its place in the history dropped, and reads the newest records. A
-// removal that it notices so must reach a peer that has read further than the record
-// that was removed.
-func TestARemovalFoundAfterAGapReachesPeers(t *testing.T) {
+// A reader whose offset was trimmed finds a removal by reading a snapshot. The removal must
+// reach a peer that has read further than the removed record.
+func TestRemovalFoundAfterTrimReachesPeers(t *testing.T) {
 	g := NewWithT(t)
 	reader, peer := NewReplica(nil), NewReplica(nil)
 	old := []Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}
@@ -169,14 +162,15 @@
 	peer.ApplySnapshot(old, 7)
 	peer.Apply([]Record{{Key: "late", Value: []byte("x"), Offset: 7}}, 8)
 	reader.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}}, 10)
-	news := peer.ApplyUpdate(reader.UpdateSince(peer.NextOffset()))
-	g.Expect(keysOf(news)).To(ConsistOf("-gone", "-late"))
+	changes := peer.ApplyUpdate(reader.UpdateSince(peer.NextOffset()))
+	g.Expect(signedKeys(changes)).To(ConsistOf("-gone", "-late"))
 }
 
-// keysOf names what news add and remove.
-func keysOf(news []Record) []string {
+// signedKeys returns the key of each change, with a "-" before removed keys and a "+" before
+// others.
+func signedKeys(changes []Record) []string {
 	var keys []string
-	for _, r := range news {
+	for _, r := range changes {
 		sign := "+"
 		if len(r.Value) == 0 {
 			sign = "-"
@@ -186,11 +180,9 @@
 	return keys
 }
 
-// Some replicas read the log, some start late with its newest records, and all tell
-// each other what they lack, in any order. Whoever knows all records before an offset
-// must hold just the keys that exist there: a removal that gets lost on such a way is
-// told by nobody any more.
-func TestReplicasThatTellEachOtherAgreeWithTheLog(t *testing.T) {
+// Replicas read the log, start late with a snapshot, and update each other in any order. A
+// replica that knows all records before an offset must hold exactly the keys that exist there.
+func TestReplicasThatUpdateEachOtherMatchLog(t *testing.T) {
 	for seed := range uint64(60) {
 		g := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -212,7 +204,7 @@
 				}
 			case 2:
 				if rng.IntN(4) == 0 {
-					r.ApplySnapshot(newestOf(log), uint64(len(log)))
+					r.ApplySnapshot(newestRecords(log), uint64(len(log)))
 				}
 			case 3:
 				if rng.IntN(8) == 0 {
@@ -222,13 +214,13 @@
 				r.ApplyUpdate(replicas[rng.IntN(len(replicas))].UpdateSince(r.NextOffset()))
 			}
 			for _, r := range replicas {
-				g.Expect(existing(r)).To(ConsistOf(keysAt(log[:r.NextOffset()])), "seed %d, offset %d", seed, r.NextOffset())
+				g.Expect(existingKeys(r)).To(ConsistOf(newestKeys(log[:r.NextOffset()])), "seed %d, offset %d", seed, r.NextOffset())
 			}
 		}
 	}
 }
 
-func existing(r *Replica) []string {
+func existingKeys(r *Replica) []string {
 	var keys []string
 	for key, rec := range r.records {
 		if len(rec.Value) > 0 {
@@ -238,9 +230,9 @@
 	return keys
 }
 
-func keysAt(log []Record) []string {
+func newestKeys(log []Record) []string {
 	var keys []string
-	for _, rec := range newestOf(log) {
+	for _, rec := range newestRecords(log) {
 		keys = append(keys, rec.Key)
 	}
 	return keys
@@ -248,10 +240,9 @@
 
 func anyService(string) bool { return true }
 
-// A target leaves and starts again under its id. The store carries out a write of
-// before the restart last, and a write of before the leaving. Neither may lie on top
-// of what came after it: a leaving target would get work again.
-func TestAnOlderRecordDoesNotReplaceANewerOne(t *testing.T) {
+// The store applies writes from before a target's restart, and from before it began to leave,
+// last. A stale record must not give a leaving target requests again.
+func TestStaleRecordDoesNotReplaceNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
 	s.Put(Target{ID: "i", StartedAtMS: 1, Sequence: 9, Service: "s", Address: "a", Leaving: true}, 5)
@@ -263,20 +254,20 @@
 	g.Expect(s.ByService(anyService)["s"][0].Leaving).To(BeFalse())
 }
 
-// Another writer names a target's address with a service that nobody configured. The
-// target itself is still there, though its record is the earlier one.
-func TestAnUnknownServiceHidesNoTarget(t *testing.T) {
+// Another writer's later record has a target's address and an unconfigured service. The target
+// must stay listed.
+func TestRecordOfUnconfiguredServiceHidesNoTarget(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
 	s.Put(Target{ID: "i", Service: "s", Address: "a"}, 1)
-	s.Put(Target{ID: "x", Service: "nobody's", Address: "a"}, 2)
+	s.Put(Target{ID: "x", Service: "unconfigured", Address: "a"}, 2)
 	lists := s.ByService(func(service string) bool { return service == "s" })
 	g.Expect(lists).To(HaveLen(1))
 	g.Expect(lists["s"]).To(HaveLen(1))
 }
 
-// Guards against a topic without records that counts as never read, so that nobody can be told it.
-func TestATopicWithoutRecordsMayBeKnown(t *testing.T) {
+// A topic without records must count as read, or entries could not notify each other of it.
+func TestEmptyTopicCountsAsLoaded(t *testing.T) {
 	g := NewWithT(t)
 	r := NewReplica(nil)
 	r.MarkEmpty()
--- a/serving/targets.go
+++ b/serving/targets.go
@@ -8,28 +8,29 @@
 // Target is one engine or one instance of a plain service.
 type Target struct {
 	ID            string
-	StartedAtMS   int64  // when this run began, in Unix milliseconds; 0: not told
-	Sequence      uint64 // counts the records of one run
+	StartedAtMS   int64  // start of this run in Unix milliseconds; 0: unknown
+	Sequence      uint64 // numbers the records of one run
 	Service       string
 	Address       string
 	DataCentre    string
-	Version       string // of its software
+	Version       string // software version
 	Slots         int
 	Leaving       bool
-	ColdRemaining time.Duration // how much longer it is cold, as of its record
-	ColdUntil     time.Time     // when it is not cold any more, at the latest
-	// Evacuated: an operator has ordered that its data centre gets no work.
+	ColdRemaining time.Duration // remaining cold time when the record was written
+	ColdUntil     time.Time     // latest end of the cold time
+	// Evacuated means that an operator has ordered the data centre of the target to be
+	// evacuated.
 	Evacuated bool
 }
 
-// IsAvailable tells whether the target may get work.
+// IsAvailable reports whether the target may get new requests.
 func (t *Target) IsAvailable() bool { return !t.Leaving && !t.Evacuated }
 
-// IsCold tells whether the target bears only a few requests a second.
+// IsCold reports whether the target is cold and takes only a few requests a second.
 func (t *Target) IsCold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// Run names one run of a target. A target that starts again under its id holds and
-// knows nothing of before, so what is booked of it goes by this.
+// Run identifies one run of a target. A target that restarts under its ID has lost the state
+// of its earlier run, so what is recorded about a target is keyed by its run.
 type Run struct {
 	ID          string
 	StartedAtMS int64
@@ -38,69 +39,68 @@
 // Run returns the target's run.
 func (t *Target) Run() Run { return Run{ID: t.ID, StartedAtMS: t.StartedAtMS} }
 
-// Equivalent tells whether two records of a target say the same: the number that only counts
-// them is left out.
+// Equivalent reports whether two records of a target have the same content. Sequence, which
+// only counts records, and ColdUntil are ignored.
 func (t Target) Equivalent(o Target) bool {
 	t.Sequence, o.Sequence = 0, 0
 	t.ColdUntil, o.ColdUntil = time.Time{}, time.Time{}
 	return t == o
 }
 
-// follows tells whether a record comes after another one of the same id.
-//
-// Failure: the store carries out a write of a target seconds after it was sent.
-// Symptom: a record of before the target's restart, or of before it began to leave,
-// lies on top of the newer one, and a leaving target gets work again.
-func (t *Target) follows(o *Target) bool {
+// isAtLeastAsNewAs reports whether a record is at least as new as another one of the same ID.
+// The store may apply a write seconds after it was sent. A record from before a restart, or
+// from before the target began to leave, could then replace the newer one, and a leaving
+// target would get requests again.
+func (t *Target) isAtLeastAsNewAs(o *Target) bool {
 	return t.StartedAtMS > o.StartedAtMS || t.StartedAtMS == o.StartedAtMS && t.Sequence >= o.Sequence
 }
 
-// LapsedGrace is how long the entry of a target that lapsed during an outage of
-// the store may take to come back after the outage, with a margin for the read
-// that notices. Source: the platform's statement of two seconds.
+// LapsedGrace is the time after a store outage within which a target whose record lapsed
+// during the outage must write it again. The platform states two seconds; the rest is a margin
+// for the read that notices the record.
 const LapsedGrace = 2300 * time.Millisecond
 
-// TargetSet is what is known of the targets.
+// TargetSet holds the known targets.
 //
-// Failure: the store forgets targets that can't renew their entries while it is
-// down. Symptom: after an outage of seconds no target is left, and every request
-// is refused though all engines are well. So an entry that lapses around an
-// outage stays usable for LapsedGrace after it; then what is missing is gone.
+// The store drops the records of targets that cannot renew them while it is down. Without a
+// grace time, an outage of a few seconds would leave no targets, and every request would be
+// refused although all engines are well. So a target whose record lapses around an outage
+// stays usable until LapsedGrace after the outage.
 type TargetSet struct {
-	byID   map[string]*Target
-	offset map[string]uint64    // of the record of each
-	lapsed map[string]time.Time // removed around an outage; when to believe it
+	byID    map[string]*Target
+	offsets map[string]uint64    // of each target's record
+	lapsed  map[string]time.Time // targets whose record lapsed around an outage, with the time of their removal
 }
 
 // NewTargetSet returns an empty set.
 func NewTargetSet() *TargetSet {
-	return &TargetSet{byID: make(map[string]*Target), offset: make(map[string]uint64), lapsed: make(map[string]time.Time)}
+	return &TargetSet{byID: make(map[string]*Target), offsets: make(map[string]uint64), lapsed: make(map[string]time.Time)}
 }
 
-// Put adds or replaces a target by its record at an offset; it reports whether
-// anything changed.
+// Put adds or replaces a target by its record at an offset and reports whether the target has
+// changed.
 func (s *TargetSet) Put(t Target, offset uint64) bool {
-	old := s.byID[t.ID]
-	if old != nil && !t.follows(old) {
+	known := s.byID[t.ID]
+	if known != nil && !t.isAtLeastAsNewAs(known) {
 		return false
 	}
 	delete(s.lapsed, t.ID)
-	s.offset[t.ID] = offset
-	if old != nil && old.Equivalent(t) {
+	s.offsets[t.ID] = offset
+	if known != nil && known.Equivalent(t) {
 		return false
 	}
 	s.byID[t.ID] = &t
 	return true
 }
 
-// Remove takes a target out; if believeAt is later than now it is kept until
-// then. It reports whether anything changed.
-func (s *TargetSet) Remove(id string, now, believeAt time.Time) bool {
+// Remove removes a target and reports whether the set has changed. If expireAt is later than
+// now, the target stays until then.
+func (s *TargetSet) Remove(id string, now, expireAt time.Time) bool {
 	if s.byID[id] == nil {
 		return false
 	}
-	if believeAt.After(now) {
-		s.lapsed[id] = believeAt
+	if expireAt.After(now) {
+		s.lapsed[id] = expireAt
 		return false
 	}
 	s.drop(id)
@@ -109,11 +109,11 @@
 
 func (s *TargetSet) drop(id string) {
 	delete(s.byID, id)
-	delete(s.offset, id)
+	delete(s.offsets, id)
 	delete(s.lapsed, id)
 }
 
-// CountInDataCentre returns how many targets a data centre has.
+// CountInDataCentre returns the number of targets in a data centre.
 func (s *TargetSet) CountInDataCentre(dataCentre string) int {
 	n := 0
 	for _, t := range s.byID {
@@ -124,16 +124,17 @@
 	return n
 }
 
-// ExpireLapsed removes lapsed targets that have not come back; down keeps them, since
-// nothing can come back while the store is away.
-func (s *TargetSet) ExpireLapsed(now time.Time, down bool) bool {
+// ExpireLapsed removes the lapsed targets whose grace time has passed and reports whether
+// there were any. While the store is down their grace time starts again, since no target can
+// write its record.
+func (s *TargetSet) ExpireLapsed(now time.Time, storeDown bool) bool {
 	changed := false
-	for id, at := range s.lapsed {
-		if down {
+	for id, expireAt := range s.lapsed {
+		if storeDown {
 			s.lapsed[id] = now.Add(LapsedGrace)
 			continue
 		}
-		if now.After(at) {
+		if now.After(expireAt) {
 			s.drop(id)
 			changed = true
 		}
@@ -141,26 +142,26 @@
 	return changed
 }
 
-// ByService returns the targets of services that named knows, each list ordered by
-// id. A record with another service is of another writer, and its address may be one
-// of a target.
+// ByService returns the targets of each service for which isConfigured is true, ordered by ID.
+// A record with another service comes from another writer, and its address may be that of a
+// target.
 //
-// Of two records with one address the later is true: the earlier run has ended
-// without a word, and its record takes seconds to lapse. After a loss of power
-// half of all records are such, and requests for them are turned away one after
-// the other.
-func (s *TargetSet) ByService(named func(service string) bool) map[string][]*Target {
-	holder := make(map[string]*Target, len(s.byID))
+// If two records have the same address, the later record counts: the earlier run has ended
+// without removing its record, which lapses only after seconds. After a power loss this is so
+// for half of all records, and requests for the ended runs would be rejected one after the
+// other.
+func (s *TargetSet) ByService(isConfigured func(service string) bool) map[string][]*Target {
+	byAddress := make(map[string]*Target, len(s.byID))
 	for _, t := range s.byID {
-		if !named(t.Service) {
+		if !isConfigured(t.Service) {
 			continue
 		}
-		if h := holder[t.Address]; h == nil || s.offset[h.ID] < s.offset[t.ID] {
-			holder[t.Address] = t
+		if known := byAddress[t.Address]; known == nil || s.offsets[known.ID] < s.offsets[t.ID] {
+			byAddress[t.Address] = t
 		}
 	}
 	lists := make(map[string][]*Target)
-	for _, t := range holder {
+	for _, t := range byAddress {
 		lists[t.Service] = append(lists[t.Service], t)
 	}
 	for _, list := range lists {
@@ -174,8 +175,8 @@
 	return lists
 }
 
-// MarkEvacuated returns the targets of each service with those of some data centres marked as
-// evacuated. They stay listed, since their engines still work for the rest of their group.
+// MarkEvacuated returns the targets of each service, with those in evacuated data centres
+// marked. They stay in the lists, since their engines still work for the rest of their group.
 func MarkEvacuated(byService map[string][]*Target, evacuated map[string]bool) map[string][]*Target {
 	if len(evacuated) == 0 {
 		return byService
@@ -184,9 +185,9 @@
 	for service, list := range byService {
 		for _, t := range list {
 			if evacuated[t.DataCentre] {
-				closed := *t
-				closed.Evacuated = true
-				t = &closed
+				copied := *t
+				copied.Evacuated = true
+				t = &copied
 			}
 			marked[service] = append(marked[service], t)
 		}
