--- a/peers/client.go
+++ b/peers/client.go
@@ -13,11 +13,12 @@
 	"github.com/heatherrail/heatherrail/internal/tcp"
 )
 
-// Client asks one peer. It connects when first used, and again after a failure.
+// Client sends requests to one peer. It connects at its first request, and again after a
+// failure.
 type Client struct {
 	addr string
-	mu   sync.Mutex // held for a whole question
-	nc   net.Conn
+	mu   sync.Mutex // held from a request to its response
+	conn net.Conn
 	br   *bufio.Reader
 	buf  []byte
 }
@@ -28,57 +29,57 @@
 // Addr returns the peer's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Ask sends a question and decodes the answer, both within limit. After a
-// failure the connection is closed: an answer that comes late must not be taken
-// for that to a later question, and a connection that has gone silent stays so.
-func (c *Client) Ask(ctx context.Context, kind Kind, question msgp.Marshaler, answer msgp.Unmarshaler, limit time.Duration) error {
+// Ask sends a request and decodes the response, both within timeout. After a failure it closes
+// the connection, so that a late response is not taken for that to the next request and a
+// connection that no longer responds is not used again.
+func (c *Client) Ask(ctx context.Context, kind Kind, request msgp.Marshaler, response msgp.Unmarshaler, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err := c.ask(ctx, kind, question, answer, time.Now().Add(limit))
+	err := c.exchange(ctx, kind, request, response, time.Now().Add(timeout))
 	if err != nil {
-		c.drop()
-		return fmt.Errorf("ask %s: %w", c.addr, err)
+		c.closeConn()
+		return fmt.Errorf("request to peer %s: %w", c.addr, err)
 	}
 	return nil
 }
 
-func (c *Client) ask(ctx context.Context, kind Kind, question msgp.Marshaler, answer msgp.Unmarshaler, deadline time.Time) error {
-	if c.nc != nil && !tcp.StillOpen(c.nc) {
-		c.drop()
+func (c *Client) exchange(ctx context.Context, kind Kind, request msgp.Marshaler, response msgp.Unmarshaler, deadline time.Time) error {
+	if c.conn != nil && !tcp.StillOpen(c.conn) {
+		c.closeConn()
 	}
-	if c.nc == nil {
-		nc, err := tcp.Dial(ctx, c.addr, time.Until(deadline))
+	if c.conn == nil {
+		conn, err := tcp.Dial(ctx, c.addr, time.Until(deadline))
 		if err != nil {
 			return err
 		}
-		c.nc, c.br = nc, bufio.NewReader(nc)
+		c.conn, c.br = conn, bufio.NewReader(conn)
 	}
-	if err := c.nc.SetDeadline(deadline); err != nil {
+	if err := c.conn.SetDeadline(deadline); err != nil {
 		return err
 	}
-	frame, err := appendFrame(c.buf[:0], kind, question)
+	frame, err := appendFrame(c.buf[:0], kind, request)
 	if err != nil {
 		return err
 	}
 	c.buf = frame
-	if _, err := c.nc.Write(frame); err != nil {
+	if _, err := c.conn.Write(frame); err != nil {
 		return err
 	}
-	got, payload, err := readFrame(c.br)
+	responseKind, payload, err := readFrame(c.br)
 	if err != nil {
 		return err
 	}
-	if got != kind {
-		return fmt.Errorf("%w: kind %d in place of %d", ErrFrame, got, kind)
+	if responseKind != kind {
+		return fmt.Errorf("%w: response of kind %d to a request of kind %d", ErrFrame, responseKind, kind)
 	}
-	_, err = answer.UnmarshalMsg(payload)
+	_, err = response.UnmarshalMsg(payload)
 	return err
 }
 
-func (c *Client) drop() {
-	if c.nc != nil {
-		_ = c.nc.Close()
-		c.nc = nil
+func (c *Client) closeConn() {
+	if c.conn != nil {
+		_ = c.conn.Close()
+		c.conn = nil
 	}
 }
 
@@ -86,5 +87,5 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop()
+	c.closeConn()
 }
--- a/peers/frame.go
+++ b/peers/frame.go
@@ -1,6 +1,6 @@
-// Package peers carries short questions and answers between heatherrail's own
-// processes: msgpack messages in length-prefixed frames over TCP, one question
-// at a time on a connection.
+// Package peers carries short requests and responses between heatherrail's own processes:
+// msgpack messages in length-prefixed frames over TCP, with one request at a time on a
+// connection.
 package peers
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// maxFrame bounds what a peer may make a receiver allocate; a configuration of
-// some thousand routes is the largest message.
-const maxFrame = 8 << 20
+// maxFrameBytes limits what a peer can make a receiver allocate. The largest message is a
+// configuration of some thousand routes.
+const maxFrameBytes = 8 << 20
 
-const headerSize = 4 + 1 // length of the payload, kind
+const headerSize = 4 + 1 // payload length, kind
 
-// ErrFrame: a frame can't be read.
-var ErrFrame = errors.New("frame can't be read")
+// ErrFrame is returned for a frame that cannot be decoded.
+var ErrFrame = errors.New("invalid peer frame")
 
-// appendFrame appends a frame with a message.
+// appendFrame appends a frame that holds a message.
 func appendFrame(b []byte, kind Kind, m msgp.Marshaler) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, byte(kind))
@@ -34,19 +34,19 @@
 	return b, nil
 }
 
-// readFrame reads one frame. The length is checked before anything is allocated.
+// readFrame reads one frame. It checks the length before it allocates the payload.
 func readFrame(r *bufio.Reader) (Kind, []byte, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:4])
-	if size > maxFrame {
-		return 0, nil, fmt.Errorf("%w: %d bytes", ErrFrame, size)
+	if size > maxFrameBytes {
+		return 0, nil, fmt.Errorf("%w: payload of %d bytes exceeds the limit", ErrFrame, size)
 	}
 	payload := make([]byte, size)
 	if _, err := io.ReadFull(r, payload); err != nil {
-		return 0, nil, fmt.Errorf("%w: cut short: %w", ErrFrame, err)
+		return 0, nil, fmt.Errorf("%w: truncated payload: %w", ErrFrame, err)
 	}
 	return Kind(head[4]), payload, nil
 }
--- a/peers/pack.go
+++ b/peers/pack.go
@@ -7,15 +7,15 @@
 	"io"
 )
 
-// packFrom is the size in bytes from which records are compressed. A configuration
-// of some hundred routes shrinks to a tenth, and all entries of a fleet fetch it
-// from the one that read it.
-const packFrom = 2 << 10
+// packMinBytes is the size from which records are compressed. A configuration of some hundred
+// routes shrinks to a tenth, and all entries of a fleet fetch it from the entry that read it
+// from the store.
+const packMinBytes = 2 << 10
 
 // Pack compresses the records if they are large.
-func (n *TopicUpdate) Pack() error {
-	text, err := Records(n.Records).MarshalMsg(nil)
-	if err != nil || len(text) < packFrom {
+func (u *TopicUpdate) Pack() error {
+	encoded, err := Records(u.Records).MarshalMsg(nil)
+	if err != nil || len(encoded) < packMinBytes {
 		return err
 	}
 	var b bytes.Buffer
@@ -23,29 +23,29 @@
 	if err != nil {
 		return err
 	}
-	if _, err := w.Write(text); err != nil {
+	if _, err := w.Write(encoded); err != nil {
 		return err
 	}
 	if err := w.Close(); err != nil {
 		return err
 	}
-	n.Records, n.Packed = nil, b.Bytes()
+	u.Records, u.Packed = nil, b.Bytes()
 	return nil
 }
 
-// Unpack undoes Pack.
-func (n *TopicUpdate) Unpack() error {
-	if len(n.Packed) == 0 {
+// Unpack restores the records that Pack compressed.
+func (u *TopicUpdate) Unpack() error {
+	if len(u.Packed) == 0 {
 		return nil
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(n.Packed)), maxFrame))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(u.Packed)), maxFrameBytes))
 	if err != nil {
 		return fmt.Errorf("%w: packed records: %w", ErrFrame, err)
 	}
 	var records Records
-	if _, err := records.UnmarshalMsg(text); err != nil {
+	if _, err := records.UnmarshalMsg(encoded); err != nil {
 		return fmt.Errorf("%w: packed records: %w", ErrFrame, err)
 	}
-	n.Records, n.Packed = records, nil
+	u.Records, u.Packed = records, nil
 	return nil
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -22,8 +22,8 @@
 	return ln
 }
 
-// A question is answered, also after the peer has restarted at the same address.
-func TestAQuestionIsAnsweredAfterARestart(t *testing.T) {
+// A client gets a response again after the peer has restarted at the same address.
+func TestClientReconnectsAfterPeerRestart(t *testing.T) {
 	g := NewWithT(t)
 	ln := listen(t)
 	handlers := map[Kind]Handler{KindLoads: func([]byte) (msgp.Marshaler, error) { return &Loads{Known: true, Leader: "l"}, nil }}
@@ -31,70 +31,69 @@
 	c := NewClient(ln.Addr().String())
 	defer c.Close()
 	ask := func() error {
-		var answer Loads
-		if err := c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &answer, 5*time.Second); err != nil {
+		var response Loads
+		if err := c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &response, 5*time.Second); err != nil {
 			return err
 		}
-		g.Expect(answer.Leader).To(Equal("l"))
+		g.Expect(response.Leader).To(Equal("l"))
 		return nil
 	}
 	g.Expect(ask()).To(Succeed())
 	s.Close()
-	again, err := net.Listen("tcp", ln.Addr().String())
+	restarted, err := net.Listen("tcp", ln.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	defer again.Close()
-	Serve(again, handlers, func(string, error) {})
+	defer restarted.Close()
+	Serve(restarted, handlers, func(string, error) {})
 	g.Eventually(ask, "5s").Should(Succeed())
 }
 
-// A peer answers a first question too late. The answer must not be taken for that
-// to the second: the connection is given up with the first question.
-func TestALateAnswerIsNotTakenForTheNext(t *testing.T) {
+// A peer responds to the first request after its timeout. The client must close the
+// connection, or it would take the late response for that to the second request.
+func TestLateResponseIsNotTakenForNextOne(t *testing.T) {
 	g := NewWithT(t)
 	ln := listen(t)
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	first := true
 	Serve(ln, map[Kind]Handler{KindLoads: func([]byte) (msgp.Marshaler, error) {
 		if first {
 			first = false
-			<-hold
+			<-release
 			return &Loads{Leader: "late"}, nil
 		}
 		return &Loads{Leader: "right"}, nil
 	}}, func(string, error) {})
 	c := NewClient(ln.Addr().String())
 	defer c.Close()
-	var answer Loads
-	err := c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &answer, 50*time.Millisecond)
+	var response Loads
+	err := c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &response, 50*time.Millisecond)
 	g.Expect(err).To(HaveOccurred())
-	close(hold)
-	g.Expect(c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &answer, 5*time.Second)).To(Succeed())
-	g.Expect(answer.Leader).To(Equal("right"))
+	close(release)
+	g.Expect(c.Ask(context.Background(), KindLoads, &LoadsQuery{}, &response, 5*time.Second)).To(Succeed())
+	g.Expect(response.Leader).To(Equal("right"))
 }
 
-// Four bytes from a stranger claim a gigabyte: nothing is allocated for it.
-func TestAFrameThatIsTooLongIsRefused(t *testing.T) {
+// A frame header claims a payload of a gigabyte: nothing may be allocated for it.
+func TestOversizedFrameIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	head := binary.BigEndian.AppendUint32(nil, 1<<30)
 	_, _, err := readFrame(bufio.NewReader(bytes.NewReader(append(head, 1))))
 	g.Expect(err).To(MatchError(ErrFrame))
 }
 
-// A configuration of thousands of routes is sent to each entry of a fleet. Packed
-// it must be a fraction of its size, and come out as it went in; a limit of the
-// codec that it exceeds would leave entries without it that the store turns away.
-func TestLargeNewsArePacked(t *testing.T) {
+// A large configuration shrinks and is restored unchanged. If it exceeded a limit of the
+// codec, entries that get it only from peers would lack it.
+func TestLargeUpdateIsCompressed(t *testing.T) {
 	g := NewWithT(t)
 	value := []byte(strings.Repeat(`{"name":"r-1","host":"h","path-prefix":"/x/","timeout-ms":8000},`, 20000))
-	news := TopicUpdate{Topic: 1, From: 2, Next: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
-	want := news.Records
-	g.Expect(news.Pack()).To(Succeed())
-	g.Expect(len(news.Packed)).To(BeNumerically("<", len(value)/8))
-	g.Expect(news.Unpack()).To(Succeed())
-	g.Expect(news.Records).To(Equal(want))
+	update := TopicUpdate{Topic: 1, From: 2, Next: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
+	want := update.Records
+	g.Expect(update.Pack()).To(Succeed())
+	g.Expect(len(update.Packed)).To(BeNumerically("<", len(value)/8))
+	g.Expect(update.Unpack()).To(Succeed())
+	g.Expect(update.Records).To(Equal(want))
 }
 
-// Whatever a peer sends, reading it ends with a message or an error.
+// Decoding any bytes from a peer must end with a message or an error.
 func FuzzHeartbeats(f *testing.F) {
 	h := Heartbeat{Entry: Presence{Name: "a"}, Topics: []TopicState{{Next: 1}}, Updates: []TopicUpdate{{Topic: 1, Packed: []byte{1, 2}}}}
 	frame, err := appendFrame(nil, KindHeartbeat, &h)
@@ -112,14 +111,14 @@
 			return
 		}
 		for i := range h.Updates {
-			_ = h.Updates[i].Unpack() // an error is as good as records
+			_ = h.Updates[i].Unpack() // an error is accepted
 		}
 	})
 }
 
-// A process has ended its service, but peers still hold connections to it. Nobody may be
-// answered on these: whoever is takes it for alive, and callers are sent to it.
-func TestAClosedServerAnswersNobody(t *testing.T) {
+// A process has closed its server while peers hold connections. A response on one of them
+// would make the peer take the process for alive and send callers to it.
+func TestClosedServerDoesNotRespond(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -4,79 +4,81 @@
 
 //msgp:limit arrays:8388608 maps:1024
 
-// Kind is the type of a message. Numbers are part of the protocol.
+// Kind is the type of a message. The numbers are part of the protocol.
 type Kind uint8
 
 // Kinds of messages.
 const (
-	KindHeartbeat Kind = 1 // Heartbeat, answered by a Heartbeat
-	KindCollect   Kind = 2 // Collect, answered by a RankState
-	KindOrder     Kind = 3 // RankOrder, answered by an OrderResult
-	KindLoads     Kind = 4 // LoadsQuery, answered by Loads
-	KindProbe     Kind = 5 // ProbeQuery, answered by ProbeResult
-	KindPermit    Kind = 6 // PermitQuery, answered by PermitResult
+	KindHeartbeat Kind = 1 // request Heartbeat, response Heartbeat
+	KindCollect   Kind = 2 // request Collect, response RankState
+	KindOrder     Kind = 3 // request RankOrder, response OrderResult
+	KindLoads     Kind = 4 // request LoadsQuery, response Loads
+	KindProbe     Kind = 5 // request ProbeQuery, response ProbeResult
+	KindPermit    Kind = 6 // request PermitQuery, response PermitResult
 )
 
-// Heartbeat is an entry's sign of life; an answer brings what the other one lacks.
+// Heartbeat tells a peer that an entry is alive and gossips its state. The response brings
+// what the sender lacks.
 //
 //msgp:tuple Heartbeat
 type Heartbeat struct {
 	Entry           Presence
-	Members         []Member // that the sender learnt of lately, or all that it knows if All was asked for
-	Digest          uint64   // of all that the sender knows of entries
-	All             bool     // asks for all that the other one knows of entries
+	Members         []Member // recent updates of the sender's member table, or the whole table if the other entry set All
+	Digest          uint64   // of the sender's member table
+	All             bool     // requests the whole member table of the other entry
 	Topics          []TopicState
 	Updates         []TopicUpdate
-	RequestedTopics uint8 // a bit for each topic of which the sender asks for what it lacks
+	RequestedTopics uint8 // bit set of the topics of which the sender requests the updates that it lacks
 	FailureReports  []FailureReport
 	Rates           []Rate
 }
 
-// Rate is how many requests a second a target takes from all entries together.
+// Rate is a target's limit on the requests a second from all entries together.
 //
 //msgp:tuple Rate
 type Rate struct {
 	Target      string
-	StartedAtMS int64   // of the target's run
-	PerSecond   float64 // negative: it names no rate any more
-	AgeMS       uint32  // since it said so last
+	StartedAtMS int64   // of the target's run, in Unix milliseconds
+	PerSecond   float64 // negative: the target no longer reports a limit
+	AgeMS       uint32  // since the target's latest report
 }
 
-// PermitQuery asks the entry that issues the permits of a target for one.
+// PermitQuery asks the entry that issues the permits of a target for a permit.
 //
 //msgp:tuple PermitQuery
 type PermitQuery struct {
-	Rate           Rate    // of the target, as the asker knows it
-	MaxWaitMS      uint32  // that the request may wait
-	RejectIfDenied bool    // without a permit a caller is refused
-	ColdRate       float64 // requests a second that the target takes, as it is cold; 0: it is not
+	Rate           Rate    // rate limit of the target, as the querying entry knows it
+	MaxWaitMS      uint32  // longest time that the request may wait
+	RejectIfDenied bool    // the caller's request is rejected if no permit is granted
+	ColdRate       float64 // requests a second that a cold target accepts; 0: the target is not cold
 }
 
-// PermitResult tells when a request may go to a target.
+// PermitResult is the response to a PermitQuery: when the request may be sent to the target.
 //
 //msgp:tuple PermitResult
 type PermitResult struct {
-	Owner        bool // whoever was asked issues the permits; else the rest is not told
+	Owner        bool // the queried entry issues the permits of the target; if false, the other fields are unset
 	Granted      bool
-	WaitMS       uint32 // until the permit is valid, or until one may be free
-	RetryAfterMS uint32 // for a caller that is refused
-	Rate         Rate   // as whoever issues the permits knows it
+	WaitMS       uint32 // until the permit is valid or, if denied, until one may be available
+	RetryAfterMS uint32 // retry delay for a rejected caller
+	Rate         Rate   // rate limit of the target, as the entry that issues the permits knows it
 }
 
-// FailureReport is what one entry has seen of a target that broke off connections or did not answer.
+// FailureReport is what one entry has seen of a target's failures: broken connections and
+// timeouts.
 //
 //msgp:tuple FailureReport
 type FailureReport struct {
-	Entry           string // that has seen it
+	Entry           string // entry that saw the failures
 	Target          string
-	StartedAtMS     int64  // of the target's run
-	ConnBrokenAgeMS uint32 // since the latest connection that broke off; Never: none
-	TimeoutAgeMS    uint32 // since the latest request without an answer; Never: none
-	Timeouts        uint16 // requests in a row without an answer
-	SuccessAgeMS    uint32 // since the latest whole answer; Never: none
+	StartedAtMS     int64  // of the target's run, in Unix milliseconds
+	ConnBrokenAgeMS uint32 // since the latest broken connection; Never: none
+	TimeoutAgeMS    uint32 // since the latest timeout; Never: none
+	Timeouts        uint16 // consecutive timeouts
+	SuccessAgeMS    uint32 // since the latest complete response; Never: none
 }
 
-// Never stands for the age of what has never been.
+// Never is the age of an event that has not happened.
 const Never = 1<<32 - 1
 
 // Member is what one entry knows of another.
@@ -84,57 +86,57 @@
 //msgp:tuple Member
 type Member struct {
 	Entry Presence
-	Lost  bool // it did not answer, neither whom it was asked by nor others
+	Lost  bool // it answered neither the entry that probed it nor the entries that probed it indirectly
 }
 
-// ProbeQuery asks an entry whether another one answers it.
+// ProbeQuery asks an entry to probe another one (an indirect probe).
 //
 //msgp:tuple ProbeQuery
 type ProbeQuery struct {
 	Name string
 }
 
-// ProbeResult tells whether it did.
+// ProbeResult is the result of an indirect probe.
 //
 //msgp:tuple ProbeResult
 type ProbeResult struct {
-	Known    bool // whoever was asked knows the entry
+	Known    bool // the queried entry knows the entry to be probed
 	Answered bool
 }
 
-// Presence tells how an entry is reached and whether it takes requests.
+// Presence describes how to reach an entry and whether it accepts requests.
 //
 //msgp:tuple Presence
 type Presence struct {
 	Name           string
-	Incarnation    uint64 // differs at each start of the process
-	Revision       uint64 // rises within an incarnation whenever the entry says something new of itself
+	Incarnation    uint64 // differs between starts of the process
+	Revision       uint64 // rises within an incarnation whenever the entry changes its presence
 	DataCentre     string
 	CallerAddr     string // address that callers connect to
 	PeerAddr       string // address that entries connect to
 	Ready          bool
-	StoreReachable bool // it reaches the store
+	StoreReachable bool // the entry can reach the store
 }
 
-// TopicState is how far an entry knows a topic of the store.
+// TopicState is how far an entry has read a topic of the store.
 //
 //msgp:tuple TopicState
 type TopicState struct {
 	Next  uint64 // all records before this offset are known
-	AgeMS uint32 // since some entry read them all from the store
-	Read  bool   // some entry has read the topic; it may have been empty
+	AgeMS uint32 // since an entry last read them all from the store
+	Read  bool   // an entry has read the topic, which may have been empty
 }
 
-// TopicUpdate are records of a topic that the receiver lacks.
+// TopicUpdate holds the records of a topic that the receiver lacks.
 //
 //msgp:tuple TopicUpdate
 type TopicUpdate struct {
 	Topic   uint8
-	From    uint64 // the receiver was to know all records before
+	From    uint64 // the update applies to a receiver that knows all records before this offset
 	Next    uint64
-	Full    bool // Records are all that exist, whatever the receiver knows
+	Full    bool // Records are the newest records of all existing keys, for a receiver at any offset
 	Records []Record
-	Packed  []byte // Records, msgpack in DEFLATE, where that is shorter
+	Packed  []byte // Records as msgpack compressed with DEFLATE, where that is shorter
 }
 
 // Records are the records of a topic.
@@ -153,72 +155,72 @@
 //
 //msgp:tuple Collect
 type Collect struct {
-	Counts  bool     // with the experts chosen since the last time they were asked for
-	Lists   bool     // with the experts of each rank in the map in use
-	Leader  string   // address of the agent that leads the group and asks this
-	Fence   uint64   // a pass for which the agent must arm its rank no more; 0: none
-	Epoch   uint64   // of the group, with Fence
-	Subtree []string // addresses of other agents that are asked the same by this one
-	LimitMS uint32   // within which the answer must be there, with Subtree
-	Loads   Loads    // of all ranks as of the latest round, for entries to ask for; not Known: none
+	Counts  bool     // include the expert choices since the last Collect with Counts
+	Lists   bool     // include the experts of each rank in the map in use
+	Leader  string   // address of the group's leader, which sends this
+	Fence   uint64   // pass for which the agent must no longer arm its rank; 0: none
+	Epoch   uint64   // epoch of the group, with Fence
+	Subtree []string // addresses of other agents to which this agent forwards the request
+	LimitMS uint32   // time limit for the response, with Subtree
+	Loads   Loads    // loads of all ranks in the latest round, which entries query; not Known: none
 }
 
-// RankState is the state of one rank of a group, fresh from its engine.
+// RankState is the current state of one rank of a group, read from its engine.
 //
 //msgp:tuple RankState
 type RankState struct {
-	Known              bool  // the engine answered, and is a rank of a group
-	Unreachable        bool  // the agent was asked and did not answer; told by who asked it for another
-	Fenced             bool  // the agent keeps to the fence that was asked for
-	StartedAtMS        int64 // when this run of the engine began, in Unix milliseconds; 0: not told
+	Known              bool  // the engine responded and is a rank of a group
+	Unreachable        bool  // the agent did not respond; set by the agent that forwarded the request to it
+	Fenced             bool  // the agent complies with the requested fence
+	StartedAtMS        int64 // start of this run of the engine in Unix milliseconds; 0: unknown
 	Group              string
 	Epoch              uint64
 	Rank               int
 	Ranks              int // of the whole group
 	Complete           bool
-	Step               uint64 // last pass that was begun
-	Map                uint64 // version in use
+	Step               uint64 // last pass that was started
+	Map                uint64 // version of the map in use
 	Prepared           uint64 // version that is ready to be armed
 	Armed              uint64 // version that is armed
-	Held               uint64 // pass that waits for a release; 0: none
+	Held               uint64 // pass that is held until a release; 0: none
 	Running            int
 	Waiting            int
-	ProxyArm           ProxyArm // what became of an arm that the agent gave to another engine
-	Slowdown           float64  // how many times as long as usual the engine takes
-	Unit               float64  // choices of the expert that was chosen most since the last Collect with Counts
-	Experts            uint32   // that Bands are of, set by set; 0: nothing was chosen, or it is not told
-	Bands              []byte   // of each expert how far it lies below Unit; see expert.EncodeLoads
-	Coarse             bool     // Bands hold two experts in a byte; see expert.PackCoarse
-	HighestMapReceived uint64   // highest version of a map that the agent was given in this epoch; 0: none
+	ProxyArm           ProxyArm // outcome of an arm order that the agent sent to an engine on another VM
+	Slowdown           float64  // how many times as long as usual the engine takes for a pass
+	Unit               float64  // choice count of the most chosen expert since the last Collect with Counts
+	Experts            uint32   // number of experts in Bands, over all layer sets; 0: no expert was chosen, or the counts are not included
+	Bands              []byte   // for each expert, how far its count is below Unit; see expert.EncodeLoads
+	Coarse             bool     // Bands holds two experts in a byte; see expert.PackCoarse
+	HighestMapReceived uint64   // highest map version that the agent received in this epoch; 0: none
 
-	Lists [][]uint16 // experts of this rank in the map in use, by set
+	Lists [][]uint16 // experts of this rank in the map in use, by layer set
 
-	QueuedInTime   uint32 // requests that wait at the entries that ask this agent for loads, and can be in time
-	QueuedLate     uint32 // the same of those that can't
-	EnginesUnknown bool   // the agent was not told which engines the loads are of
+	QueuedInTime   uint32 // requests queued at the entries that query this agent for loads, that can be in time
+	QueuedLate     uint32 // the same for requests that cannot be in time
+	EnginesUnknown bool   // the agent does not know which engines the loads belong to
 
-	Subtree []RankState // states of the ranks below; choices and waiting requests are added up in this one
+	Subtree []RankState // states of the ranks below; the choices and queued requests are added up in this RankState
 }
 
-// ProxyArm is an arm that an agent gave to an engine on another VM.
+// ProxyArm is an arm order that an agent sent to an engine on another VM.
 //
 //msgp:tuple ProxyArm
 type ProxyArm struct {
 	Epoch    uint64
 	Step     uint64
-	Accepted bool // false: it is not known whether it was
+	Accepted bool // false: it is unknown whether the engine accepted it
 }
 
-// OrderKind says what an order asks of a rank.
+// OrderKind is the operation that an order requests of a rank.
 type OrderKind uint8
 
 // Orders.
 const (
-	OrderPrepare OrderKind = 1 // copy the weights of a map
-	OrderArm     OrderKind = 2 // switch to a prepared map as a pass begins
-	OrderHold    OrderKind = 3 // do not begin a pass
-	OrderRelease OrderKind = 4 // end a hold
-	OrderDisarm  OrderKind = 5 // take an arm back
+	OrderPrepare OrderKind = 1 // copy the weights that a map needs
+	OrderArm     OrderKind = 2 // switch to a prepared map at the start of a pass
+	OrderHold    OrderKind = 3 // do not start a pass
+	OrderRelease OrderKind = 4 // release a held pass
+	OrderDisarm  OrderKind = 5 // cancel an arm
 )
 
 // RankOrder is an order to one rank.
@@ -227,74 +229,75 @@
 type RankOrder struct {
 	Kind       OrderKind
 	Epoch      uint64
-	Version    uint64       // of the map, where the order is about one
-	Step       uint64       // of the pass, where the order is about one
-	Map        [][][]uint16 // with OrderPrepare: experts by set and rank, or
-	Changes    []byte       // lists that differ from those of another map; see lockstep.packChanges
-	Base       uint64       // version of that map; 0: the one that engines start with
-	InitialMap InitialMap   // shape of the map that engines start with, if Changes lead on from that
+	Version    uint64       // version of the map, for orders about a map
+	Step       uint64       // pass, for orders about a pass
+	Map        [][][]uint16 // with OrderPrepare: experts by layer set and rank, unless Changes is set
+	Changes    []byte       // expert lists that differ from those of the map Base; see lockstep.packChanges
+	Base       uint64       // version of that map; 0: the initial map of the engines
+	InitialMap InitialMap   // shape of the initial map, if Base is 0
 	Engine     string       // address of the engine, if it is not the agent's own
-	Recovery   bool         // with OrderArm: from who has fenced the pass and finishes the switch
-	Subtree    []string     // addresses of other agents that the order is passed on to
-	LimitMS    uint32       // within which the answer must be there, with Subtree
+	Recovery   bool         // with OrderArm: sent by an agent that has fenced the pass and completes the switch
+	Subtree    []string     // addresses of other agents to which this agent forwards the order
+	LimitMS    uint32       // time limit for the response, with Subtree
 }
 
-// InitialMap is the shape of the map that engines start with: experts in turn.
+// InitialMap is the shape of the map with which engines start; it assigns experts to ranks in
+// turn.
 //
 //msgp:tuple InitialMap
 type InitialMap struct {
 	Sets    uint16
 	Ranks   uint16
-	Experts uint16 // of a set
+	Experts uint16 // in a layer set
 }
 
-// OrderResult tells what became of an order.
+// OrderResult is the outcome of an order.
 //
 //msgp:tuple OrderResult
 type OrderResult struct {
-	Accepted    bool          // begun, done, or already so
-	Refused     bool          // the engine refused it, and it has no effect
-	UnknownBase bool          // the agent does not know the map that the changes lead on from
-	Subtree     []OrderResult // what became of it at the agents that it was passed on to
+	Accepted    bool          // the order was started or completed, or had been before
+	Refused     bool          // the engine refused the order, which has no effect
+	UnknownBase bool          // the agent does not know the map Base of the order
+	Subtree     []OrderResult // outcomes at the agents to which the order was forwarded
 }
 
-// LoadsQuery asks an agent for what it last knew of all ranks of its group.
+// LoadsQuery asks an agent for the latest known loads of all ranks of its group.
 //
 //msgp:tuple LoadsQuery
 type LoadsQuery struct {
-	Roster       uint64 // of the engines that the asker knows; 0: none
+	Roster       uint64 // identifies the list of engines that the querying entry knows; 0: none
 	Entry        string // that asks
-	QueuedInTime uint16 // requests that wait there and can be in time
-	QueuedLate   uint16 // requests that wait there and can't
+	QueuedInTime uint16 // requests queued at the entry that can be in time
+	QueuedLate   uint16 // requests queued at the entry that cannot be in time
 }
 
-// Loads are the loads of the ranks of a group.
+// Loads holds the loads of the ranks of a group.
 //
 //msgp:tuple Loads
 type Loads struct {
 	Known         bool
-	Leader        string // who knows them, if this agent does not
-	AskOthers     bool   // any other agent of the group tells them as well, and is to be asked
+	Leader        string // address of the agent to query for the loads, if not this one
+	AskOthers     bool   // every other agent of the group can provide the loads and should be queried instead
 	Complete      bool
 	AgeMS         uint32
-	PassMS        float32  // time of the latest passes
-	Imbalance     float32  // how many times as long as even loads the ranks take for their experts
-	PeakImbalance float32  // the most of it lately
-	Roster        uint64   // names the list of engines
-	Engines       []string // addresses by rank; left out if the asker knows them
-	QueuedInTime  uint16   // requests that wait at all entries and can be in time
-	QueuedLate    uint16   // requests that wait at all entries and can't
-	Running       []byte   // requests by rank; 255: so many or more
-	Waiting       []byte   // the same of requests that wait there
+	PassMS        float32  // mean time of the latest passes
+	Imbalance     float32  // how many times as long the ranks take for their experts as with even loads
+	PeakImbalance float32  // recent maximum of Imbalance
+	Roster        uint64   // identifies the list of engines
+	Engines       []string // addresses by rank; omitted if the querying entry knows them
+	QueuedInTime  uint16   // requests queued at all entries that can be in time
+	QueuedLate    uint16   // requests queued at all entries that cannot be in time
+	Running       []byte   // running requests by rank; 255: that many or more
+	Waiting       []byte   // waiting requests by rank; 255: that many or more
 	Slow          []SlowRank
-	Group         string // told, as Ranks, also if the loads are not Known
-	Ranks         uint16 // of the whole group, those that have no engine among them
+	Group         string // set, like Ranks, also if the loads are not Known
+	Ranks         uint16 // number of ranks in the group, including those without an engine
 }
 
-// SlowRank is a rank that takes longer than usual.
+// SlowRank is a rank that is slower than usual.
 //
 //msgp:tuple SlowRank
 type SlowRank struct {
 	Rank     uint16
-	Slowdown float32 // how many times as long
+	Slowdown float32 // how many times as long as usual the rank takes
 }
--- a/peers/server.go
+++ b/peers/server.go
@@ -10,63 +10,64 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Handler answers a question of one kind; the payload is its own to keep.
+// Handler returns the response to a request of one kind. It may keep the payload.
 type Handler func(payload []byte) (msgp.Marshaler, error)
 
-// Server answers peers.
+// Server responds to requests of peers.
 type Server struct {
 	ln       net.Listener
 	handlers map[Kind]Handler
-	failed   func(remote string, err error)
+	onError  func(remote string, err error)
 
 	mu     sync.Mutex
-	open   map[net.Conn]struct{}
+	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// idleLimit ends connections of peers that have gone without a sign; each asks
-// several times a second.
-const idleLimit = 15 * time.Second
+// idleTimeout closes the connections of peers that have sent nothing for so long; a live peer
+// sends several requests a second.
+const idleTimeout = 15 * time.Second
 
-// Serve answers peers that connect to ln until Close; failed hears of
-// connections that end otherwise than between two questions.
-func Serve(ln net.Listener, handlers map[Kind]Handler, failed func(remote string, err error)) *Server {
-	s := &Server{ln: ln, handlers: handlers, failed: failed, open: make(map[net.Conn]struct{})}
+// Serve responds to peers that connect to ln until Close. onError is called for connections
+// that end other than between two requests.
+func Serve(ln net.Listener, handlers map[Kind]Handler, onError func(remote string, err error)) *Server {
+	s := &Server{ln: ln, handlers: handlers, onError: onError, conns: make(map[net.Conn]struct{})}
 	go s.accept()
 	return s
 }
 
-// Close stops listening and closes open connections: what a process that has ended would
-// answer on them would make others believe that it lives.
+// Close stops listening and closes the open connections. A response on one of them would make
+// a peer believe that the process is still alive.
 func (s *Server) Close() {
 	_ = s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for nc := range s.open {
+	for nc := range s.conns {
 		_ = nc.Close()
 	}
 }
 
-// enter keeps an open connection; false if the server is closed.
-func (s *Server) enter(nc net.Conn) bool {
+// addConn registers an open connection; it returns false if the server is closed.
+func (s *Server) addConn(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
-	s.open[nc] = struct{}{}
+	s.conns[nc] = struct{}{}
 	return true
 }
 
-func (s *Server) leave(nc net.Conn) {
+func (s *Server) removeConn(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, nc)
+	delete(s.conns, nc)
 }
 
-// acceptPause is waited after a failed accept, as when descriptors run out.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for example when file descriptors run
+// out.
+const acceptRetryDelay = 50 * time.Millisecond
 
 func (s *Server) accept() {
 	for {
@@ -75,8 +76,8 @@
 			return
 		}
 		if err != nil {
-			s.failed("", err)
-			time.Sleep(acceptPause)
+			s.onError("", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go s.serve(nc)
@@ -85,32 +86,32 @@
 
 func (s *Server) serve(nc net.Conn) {
 	defer nc.Close()
-	if !s.enter(nc) {
+	if !s.addConn(nc) {
 		return
 	}
-	defer s.leave(nc)
+	defer s.removeConn(nc)
 	br := bufio.NewReader(nc)
 	var buf []byte
 	for {
-		if err := nc.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
+		if err := nc.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		if _, err := br.Peek(1); err != nil {
-			return // the peer is done with this connection
+			return // the peer has closed the connection, or was idle for too long
 		}
-		frame, err := s.answer(br, buf[:0])
+		frame, err := s.respond(br, buf[:0])
 		if err == nil {
 			buf = frame
 			_, err = nc.Write(frame)
 		}
 		if err != nil {
-			s.failed(nc.RemoteAddr().String(), err)
+			s.onError(nc.RemoteAddr().String(), err)
 			return
 		}
 	}
 }
 
-func (s *Server) answer(br *bufio.Reader, buf []byte) ([]byte, error) {
+func (s *Server) respond(br *bufio.Reader, buf []byte) ([]byte, error) {
 	kind, payload, err := readFrame(br)
 	if err != nil {
 		return nil, err
@@ -119,9 +120,9 @@
 	if handler == nil {
 		return nil, ErrFrame
 	}
-	m, err := handler(payload)
+	response, err := handler(payload)
 	if err != nil {
 		return nil, err
 	}
-	return appendFrame(buf, kind, m)
+	return appendFrame(buf, kind, response)
 }
