--- a/upstream/response.go
+++ b/upstream/response.go
@@ -13,73 +13,74 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Response is an answer. Its body must be closed; closing it before its end
-// closes the connection, so that the target stops its work.
+// Response is a response whose head has been read. Its body must be closed. Closing it before
+// the end of the body closes the connection, so that the target stops its work.
 type Response struct {
 	Status int
 	Header fasthttp.ResponseHeader
 
-	body     io.Reader
-	reusable bool
-	keep     time.Duration
-	ended    bool
-	pool     *Pool
-	conn     *conn
-	stop     func() bool
+	body      io.Reader
+	reusable  bool
+	keepAlive time.Duration
+	atEOF     bool
+	pool      *Pool
+	conn      *conn
+	stopAbort func() bool
 }
 
-// framing of HTTP, as the library numbers it.
+// Values of fasthttp's ContentLength for bodies without a length.
 const (
 	lengthChunked = -1
 	lengthNone    = -2
 )
 
-// frame finds out how the body ends.
-func (r *Response) frame(c *conn, isHead bool) {
-	n := r.Header.ContentLength()
+// setBody sets up the reader of the body by the framing of the response.
+func (r *Response) setBody(c *conn, isHead bool) {
+	length := r.Header.ContentLength()
 	r.reusable = !r.Header.ConnectionClose()
-	r.keep = keepFor(string(r.Header.Peek(fasthttp.HeaderKeepAlive)))
+	r.keepAlive = keepAliveTime(string(r.Header.Peek(fasthttp.HeaderKeepAlive)))
 	switch {
 	case isHead || r.Status == fasthttp.StatusNoContent || r.Status == fasthttp.StatusNotModified:
 		r.body = bytes.NewReader(nil)
-	case n == lengthChunked:
+	case length == lengthChunked:
 		r.body = &chunkedBody{chunks: httputil.NewChunkedReader(c.br), conn: c}
-	case n == lengthNone:
-		// The answer ends with its connection; a reset on the way is an error of
-		// the read and shows that it is not whole.
+	case length == lengthNone:
+		// The body ends when the connection is closed; a connection reset is a read error and
+		// shows that the body is incomplete.
 		r.body, r.reusable = c.br, false
 	default:
-		r.body = &sizedBody{conn: c, left: n}
+		r.body = &fixedLengthBody{conn: c, remaining: length}
 	}
 }
 
-// keepFor returns how long a connection may be kept after an answer.
-func keepFor(header string) time.Duration {
+// keepAliveTime returns how long a connection may stay idle after a response with this
+// Keep-Alive header.
+func keepAliveTime(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
-		if s, err := strconv.Atoi(value); err == nil {
-			return max(time.Duration(s)*time.Second-idleMargin, 0)
+		if seconds, err := strconv.Atoi(value); err == nil {
+			return max(time.Duration(seconds)*time.Second-idleTimeMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTime
 }
 
-type sizedBody struct {
-	conn *conn
-	left int
+type fixedLengthBody struct {
+	conn      *conn
+	remaining int
 }
 
 // Read implements io.Reader.
-func (b *sizedBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *fixedLengthBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := b.conn.br.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	if err == io.EOF && b.left > 0 {
+	n, err := b.conn.br.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	if err == io.EOF && b.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -88,78 +89,78 @@
 type chunkedBody struct {
 	chunks io.Reader
 	conn   *conn
-	ended  bool
+	atEOF  bool
 }
 
-// trailerMax bounds the lines after the last chunk.
-const trailerMax = 64
+// maxTrailerLines limits the lines after the last chunk.
+const maxTrailerLines = 64
 
-var errTrailer = errors.New("trailer of a chunked answer does not end")
+var errTrailerTooLong = errors.New("trailer of a chunked response exceeds the limit of lines")
 
 // Read implements io.Reader.
 func (b *chunkedBody) Read(p []byte) (int, error) {
-	if b.ended {
+	if b.atEOF {
 		return 0, io.EOF
 	}
 	n, err := b.chunks.Read(p)
 	if err != io.EOF {
 		return n, err
 	}
-	for range trailerMax {
+	for range maxTrailerLines {
 		line, err := b.conn.br.ReadSlice('\n')
 		if err != nil {
 			return n, fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, err)
 		}
 		if len(bytes.TrimSpace(line)) == 0 {
-			b.ended = true
+			b.atEOF = true
 			return n, io.EOF
 		}
 	}
-	return n, errTrailer
+	return n, errTrailerTooLong
 }
 
-// Read implements io.Reader. It ends with io.EOF only if the answer was whole.
+// Read implements io.Reader. It returns io.EOF only at the end of a complete body.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
-		r.ended = true
+		r.atEOF = true
 	}
 	return n, err
 }
 
-// Close keeps the connection for another request if the answer was whole and
-// nothing follows it.
+// Close returns the connection to the pool if the response was read to its end and nothing
+// follows it.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	c := r.conn
 	r.conn = nil
-	running := r.stop()
-	if !r.ended {
+	running := r.stopAbort()
+	if !r.atEOF {
 		c.abort()
 		return
 	}
-	if !running || !r.reusable || r.keep == 0 || c.br.Buffered() > 0 {
+	if !running || !r.reusable || r.keepAlive == 0 || c.br.Buffered() > 0 {
 		_ = c.nc.Close()
 		return
 	}
-	r.pool.give(c, r.keep)
+	r.pool.release(c, r.keepAlive)
 }
 
-// foreignMax bounds an answer to another request that is passed over.
-const foreignMax = 1 << 20
+// maxSkippedBytes limits the body of a skipped response to another request.
+const maxSkippedBytes = 1 << 20
 
-func (r *Response) skip(c *conn) error {
+func (r *Response) discardBody(c *conn) error {
 	if !r.reusable {
-		return errors.New("nothing can follow it")
+		return errors.New("connection is not reusable after it")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(r.body, foreignMax))
+	skipped, err := io.Copy(io.Discard, io.LimitReader(r.body, maxSkippedBytes))
 	if err != nil {
 		return err
 	}
-	if n == foreignMax {
-		return errors.New("it is too long to be passed over")
+	if skipped == maxSkippedBytes {
+		return errors.New("its body exceeds the limit for skipped responses")
 	}
 	return nil
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to one target over HTTP/1.1, each once, on
-// connections of its own, and tells what a failure says about execution.
+// Package upstream sends requests to one target over HTTP/1.1. It keeps a pool of connections,
+// never repeats a request, and reports whether a failed request may have run.
 package upstream
 
 import (
@@ -19,24 +19,24 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Request is one request, sent as it stands.
+// Request is one request, sent unchanged.
 type Request struct {
 	Method            string
-	URI               string // as the caller sent it
+	URI               string // as sent by the caller
 	Host              string
 	Fields            []Field
 	Body              []byte
-	SendContentLength bool // Body is to be announced even if it is empty
-	// EchoHeader and EchoValue name the field by which the answer to this request is
-	// known, and its value.
+	SendContentLength bool // send Content-Length even if Body is empty
+	// EchoHeader and EchoValue are the name and the value of the header field that identifies
+	// the response to this request.
 	EchoHeader string
 	EchoValue  string
 }
 
-// SendError is a request without a usable answer.
+// SendError is the failure of a request that has no usable response.
 type SendError struct {
-	MayHaveRun    bool // the target may have begun to work on it
-	NewConnection bool // on a connection that was opened for it, or that could not be opened
+	MayHaveRun    bool // the target may have started to process the request
+	NewConnection bool // the connection was opened for this request, or could not be opened
 	Err           error
 }
 
@@ -48,20 +48,20 @@
 
 // Limits of connections.
 const (
-	dialTimeout = 600 * time.Millisecond // a few times the longest way between data centres
-	readBuffer  = 4 << 10
-	idleDefault = 4 * time.Second        // for targets that don't say how long they keep a connection
-	idleMargin  = 500 * time.Millisecond // before the time that they say
-	maxIdle     = 64
+	dialTimeout     = 600 * time.Millisecond // a few times the longest delay between data centres
+	readBufferBytes = 4 << 10
+	defaultIdleTime = 4 * time.Second        // for targets that send no Keep-Alive timeout
+	idleTimeMargin  = 500 * time.Millisecond // margin before the timeout that the target announces
+	maxIdleConns    = 64
 )
 
-// Pool keeps connections to one target.
+// Pool holds the idle connections to one target.
 type Pool struct {
 	addr   string
 	mu     sync.Mutex
-	idle   []*conn // the latest used last
+	idle   []*conn // most recently used last
 	closed bool
-	dialed int64
+	dials  int64
 }
 
 // NewPool returns a pool for the target at an address.
@@ -73,77 +73,78 @@
 	expires time.Time
 }
 
-// DialCount returns how many connections were opened.
+// DialCount returns the number of connections that were opened or attempted.
 func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialed
+	return p.dials
 }
 
-// IdleCount returns how many connections are open and wait for a request.
+// IdleCount returns the number of open connections that are idle.
 func (p *Pool) IdleCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
 }
 
-// Send sends a request and returns the head of its answer. Cancelling ctx closes
-// the connection, so that the target stops its work; the answer's body ends with
-// an error then. A failure is a *SendError.
+// Send sends a request and returns the head of its response. Cancelling ctx closes the
+// connection, so that the target stops its work, and the response's body ends with an error. A
+// failure is a *SendError.
 func (p *Pool) Send(ctx context.Context, req *Request) (*Response, error) {
-	c, fresh, err := p.take(ctx)
+	c, opened, err := p.acquire(ctx)
 	if err != nil {
 		return nil, &SendError{NewConnection: true, Err: fmt.Errorf("connect to %s: %w", p.addr, err)}
 	}
 	if ctx.Err() != nil {
-		p.give(c, idleDefault)
+		p.release(c, defaultIdleTime)
 		return nil, &SendError{Err: context.Cause(ctx)}
 	}
-	stop := context.AfterFunc(ctx, c.abort)
+	stopAbort := context.AfterFunc(ctx, c.abort)
 	r, err := c.exchange(req)
 	if err != nil {
-		stop()
+		stopAbort()
 		c.abort()
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &SendError{MayHaveRun: true, NewConnection: fresh, Err: err}
+		return nil, &SendError{MayHaveRun: true, NewConnection: opened, Err: err}
 	}
-	r.pool, r.conn, r.stop = p, c, stop
+	r.pool, r.conn, r.stopAbort = p, c, stopAbort
 	return r, nil
 }
 
-// abort resets the connection. What is still on its way to the target is thrown
-// away by that: after a close it would arrive when a frozen or cut off VM is back,
-// and the target would begin to work on a request whose caller has long left.
+// abort resets the connection. The reset discards data that is still on its way to the target.
+// After an ordinary close that data would arrive when a frozen or disconnected VM is back, and
+// the target would process a request whose caller has long left.
 func (c *conn) abort() {
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // else it is a usual close
+		_ = tcp.SetLinger(0) // if it fails, the connection is closed without a reset
 	}
 	_ = c.nc.Close()
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 2<<10); return &b }}
+var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 2<<10); return &b }}
 
-// bodyAside is the size from which a body is written by itself and not copied.
-const bodyAside = 16 << 10
+// separateBodyBytes is the size from which a body is written separately and not copied behind
+// the head.
+const separateBodyBytes = 16 << 10
 
-// exchange writes a request and reads the head of its answer.
+// exchange writes a request and reads the head of its response.
 func (c *conn) exchange(req *Request) (*Response, error) {
-	buf := buffers.Get().(*[]byte)
+	buf := headBuffers.Get().(*[]byte)
 	head := appendHead((*buf)[:0], req)
-	if len(req.Body) <= bodyAside {
+	if len(req.Body) <= separateBodyBytes {
 		head = append(head, req.Body...)
 	}
 	_, writeErr := c.nc.Write(head)
 	*buf = head[:0]
-	buffers.Put(buf)
-	if writeErr == nil && len(req.Body) > bodyAside {
+	headBuffers.Put(buf)
+	if writeErr == nil && len(req.Body) > separateBodyBytes {
 		_, writeErr = c.nc.Write(req.Body)
 	}
-	// A target may refuse a long request before it is in, and close; the refusal
-	// is then there to be read although the rest could not be written.
-	r, err := c.readAnswer(req)
+	// A target may reject a long request and close the connection before the whole body has
+	// arrived. The rejection can then be read although the rest could not be written.
+	r, err := c.readResponse(req)
 	if err != nil && writeErr != nil {
 		return nil, fmt.Errorf("write request: %w", writeErr)
 	}
@@ -174,17 +175,17 @@
 	return append(b, "\r\n"...)
 }
 
-// skipMax bounds the answers to other requests that are passed over.
-const skipMax = 2
+// maxSkippedResponses limits the responses to other requests that are skipped.
+const maxSkippedResponses = 2
 
-var errForeign = errors.New("the answer belongs to another request")
+var errOtherRequest = errors.New("response belongs to another request")
 
-// readAnswer reads the head of the answer to this request. A target that spoils
-// its answers may send a second one to an earlier request late, where this one's
-// is due; it is known by its id and passed over.
-func (c *conn) readAnswer(req *Request) (*Response, error) {
-	for range skipMax + 1 {
-		r, err := c.readHead(req)
+// readResponse reads the head of the response to this request. A faulty target may send a
+// second response to an earlier request where the response to this one is expected; it is
+// recognised by its request ID and skipped.
+func (c *conn) readResponse(req *Request) (*Response, error) {
+	for range maxSkippedResponses + 1 {
+		r, err := c.readResponseHead(req)
 		if err != nil {
 			return nil, err
 		}
@@ -192,35 +193,35 @@
 		if echo == req.EchoValue || (echo == "" && r.Status/100 != 2) {
 			return r, nil
 		}
-		if err := r.skip(c); err != nil {
-			return nil, fmt.Errorf("%w: %w", errForeign, err)
+		if err := r.discardBody(c); err != nil {
+			return nil, fmt.Errorf("%w: %w", errOtherRequest, err)
 		}
 	}
-	return nil, errForeign
+	return nil, errOtherRequest
 }
 
-func (c *conn) readHead(req *Request) (*Response, error) {
+func (c *conn) readResponseHead(req *Request) (*Response, error) {
 	r := &Response{}
 	for {
 		if err := r.Header.Read(c.br); err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		r.Status = r.Header.StatusCode()
 		if r.Status >= 200 {
 			break
 		}
 	}
-	r.frame(c, req.Method == fasthttp.MethodHead)
+	r.setBody(c, req.Method == fasthttp.MethodHead)
 	return r, nil
 }
 
-// take returns a live connection. A kept one is looked at first: a target that
-// has closed it meanwhile, or has sent something nobody asked for, would make
-// the request look sent, or get another request's answer. fresh tells that it was opened
-// just now.
-func (p *Pool) take(ctx context.Context) (c *conn, fresh bool, err error) {
+// acquire returns a usable connection and whether it was opened just now. An idle connection
+// is checked first. If the target has closed it, the request would seem to have been sent; if
+// the target has sent unrequested data on it, the request would get the response to another
+// one.
+func (p *Pool) acquire(ctx context.Context) (c *conn, opened bool, err error) {
 	for {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			break
 		}
@@ -230,16 +231,16 @@
 		_ = c.nc.Close()
 	}
 	p.mu.Lock()
-	p.dialed++
+	p.dials++
 	p.mu.Unlock()
 	nc, err := tcp.Dial(ctx, p.addr, dialTimeout)
 	if err != nil {
 		return nil, true, err
 	}
-	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer)}, true, nil
+	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferBytes)}, true, nil
 }
 
-func (p *Pool) pop() *conn {
+func (p *Pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) == 0 {
@@ -252,39 +253,39 @@
 	return c
 }
 
-func (p *Pool) give(c *conn, keep time.Duration) {
-	c.expires = time.Now().Add(keep)
+func (p *Pool) release(c *conn, idleTime time.Duration) {
+	c.expires = time.Now().Add(idleTime)
 	p.mu.Lock()
-	kept := !p.closed && len(p.idle) < maxIdle
-	if kept {
+	pooled := !p.closed && len(p.idle) < maxIdleConns
+	if pooled {
 		p.idle = append(p.idle, c)
 	}
 	p.mu.Unlock()
-	if !kept {
+	if !pooled {
 		_ = c.nc.Close()
 	}
 }
 
-// CloseExpired closes connections that the target may close soon.
+// CloseExpired closes idle connections that the target may close soon.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
-	var keep []*conn
-	var old []*conn
+	var valid []*conn
+	var expired []*conn
 	for _, c := range p.idle {
 		if now.Before(c.expires) {
-			keep = append(keep, c)
+			valid = append(valid, c)
 		} else {
-			old = append(old, c)
+			expired = append(expired, c)
 		}
 	}
-	p.idle = keep
+	p.idle = valid
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.nc.Close()
 	}
 }
 
-// Close closes the kept connections; those in use close after their answer.
+// Close closes the idle connections; those in use are closed after their response.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,18 +15,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// scripted is a target that writes what a test says for each request.
-type scripted struct {
+// scriptedTarget is a target whose responses are written by a test.
+type scriptedTarget struct {
 	addr  string
 	conns chan net.Conn
 }
 
-func serve(t *testing.T, answer func(nc net.Conn, br *bufio.Reader, n int) bool) *scripted {
+func serve(t *testing.T, respond func(nc net.Conn, br *bufio.Reader, n int) bool) *scriptedTarget {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = ln.Close() })
-	s := &scripted{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
+	s := &scriptedTarget{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -37,7 +37,7 @@
 			go func() {
 				defer nc.Close()
 				br := bufio.NewReader(nc)
-				for n := 0; answer(nc, br, n); n++ {
+				for n := 0; respond(nc, br, n); n++ {
 				}
 			}()
 		}
@@ -45,8 +45,8 @@
 	return s
 }
 
-// request reads one request; false at the end of the connection.
-func request(br *bufio.Reader) bool {
+// readRequest reads one request and returns false at the end of the connection.
+func readRequest(br *bufio.Reader) bool {
 	r, err := http.ReadRequest(br)
 	if err != nil {
 		return false
@@ -55,7 +55,7 @@
 	return err == nil
 }
 
-func whole(id, body string) string {
+func okResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -70,9 +70,9 @@
 	return string(body), err
 }
 
-// A target answers a first request twice. The second answer lies where that to the
-// next request is due; whoever took it would hand one caller another's answer.
-func TestASecondAnswerIsNotTakenForTheNext(t *testing.T) {
+// A target sends two responses to the first request. The second one arrives where the response
+// to the next request is expected and must not be given to its caller.
+func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
 		r, err := http.ReadRequest(br)
@@ -80,10 +80,10 @@
 			return false
 		}
 		if r.Header.Get("Id") == "r1" {
-			_, _ = io.WriteString(nc, whole("r1", "one")+whole("r1", "one again"))
+			_, _ = io.WriteString(nc, okResponse("r1", "one")+okResponse("r1", "one again"))
 			return true
 		}
-		_, _ = io.WriteString(nc, whole("r2", "two"))
+		_, _ = io.WriteString(nc, okResponse("r2", "two"))
 		return true
 	})
 	p := NewPool(s.addr)
@@ -92,37 +92,37 @@
 	g.Expect(send(p, "r2")).To(Equal("two"))
 }
 
-// The same, but the second answer comes only when the next request is on its way:
-// it is known by its id and passed over.
-func TestALateSecondAnswerIsPassedOver(t *testing.T) {
+// The second response to the first request arrives only while the next request is in flight.
+// It must be recognised by its request ID and skipped.
+func TestLateSecondResponseIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, n int) bool {
-		if !request(br) {
+		if !readRequest(br) {
 			return false
 		}
 		if n == 0 {
-			_, _ = io.WriteString(nc, whole("r1", "one"))
+			_, _ = io.WriteString(nc, okResponse("r1", "one"))
 			return true
 		}
-		_, _ = io.WriteString(nc, whole("r1", "one again")+whole("r2", "two"))
+		_, _ = io.WriteString(nc, okResponse("r1", "one again")+okResponse("r2", "two"))
 		return true
 	})
 	p := NewPool(s.addr)
 	defer p.Close()
 	g.Expect(send(p, "r1")).To(Equal("one"))
 	g.Expect(send(p, "r2")).To(Equal("two"))
-	g.Expect(p.DialCount()).To(Equal(int64(1)), "the connection was kept")
+	g.Expect(p.DialCount()).To(Equal(int64(1)), "the connection was reused")
 }
 
-// A target closes a kept connection. The next request must go out on a new one: on
-// the old one it would be lost, and look as if it had been sent.
-func TestAKeptConnectionThatWasClosedIsNotUsed(t *testing.T) {
+// A target closes an idle connection. The next request must use a new one: on the old one it
+// would be lost and would seem to have been sent.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
-		if !request(br) {
+		if !readRequest(br) {
 			return false
 		}
-		_, _ = io.WriteString(nc, whole("r", "x"))
+		_, _ = io.WriteString(nc, okResponse("r", "x"))
 		return true
 	})
 	p := NewPool(s.addr)
@@ -136,21 +136,20 @@
 	g.Expect(p.DialCount()).To(BeNumerically(">=", int64(2)))
 }
 
-// Answers that break off must end with an error, however they are framed; the
-// connection is not used again.
-func TestBrokenAnswersEndWithAnError(t *testing.T) {
+// A truncated or malformed response must end with an error, however its body is framed.
+func TestBrokenResponsesReturnError(t *testing.T) {
 	cases := map[string]string{
-		"length":       "HTTP/1.1 200 OK\r\nId: r\r\nContent-Length: 10\r\n\r\npart",
-		"chunk":        "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n8\r\npart",
-		"last chunk":   "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
-		"trailer":      "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n0\r\n",
-		"size of junk": "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\npart\r\n",
+		"length":             "HTTP/1.1 200 OK\r\nId: r\r\nContent-Length: 10\r\n\r\npart",
+		"chunk":              "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n8\r\npart",
+		"last chunk":         "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
+		"trailer":            "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n0\r\n",
+		"invalid chunk size": "HTTP/1.1 200 OK\r\nId: r\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\npart\r\n",
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
-				if request(br) {
+				if readRequest(br) {
 					_, _ = io.WriteString(nc, text)
 				}
 				return false
@@ -163,16 +162,16 @@
 	}
 }
 
-// A target refuses a long request before it is in, and closes. The refusal says
-// that it did not run; it must be read although the rest could not be written.
-func TestARefusalBeforeTheBodyIsInIsRead(t *testing.T) {
+// A target rejects a long request before the whole body has arrived, and closes the
+// connection. The rejection must be read although the rest could not be written.
+func TestRejectionBeforeBodyIsSentIsRead(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
 		if _, err := http.ReadRequest(br); err != nil {
 			return false
 		}
 		_, _ = io.WriteString(nc, "HTTP/1.1 503 Busy\r\nId: r\r\nContent-Length: 0\r\n\r\n")
-		_, _ = io.Copy(io.Discard, br) // reads on, as targets do that keep the connection
+		_, _ = io.Copy(io.Discard, br) // keeps reading, as targets with keep-alive do
 		return false
 	})
 	p := NewPool(s.addr)
@@ -184,9 +183,9 @@
 	g.Expect(r.Status).To(Equal(503))
 }
 
-// Nothing listens at the address: nothing was sent, and the failure says so. After
-// a request has gone out the same failure must not say that.
-func TestAFailureTellsWhetherAnythingWasSent(t *testing.T) {
+// A failed connection attempt must be reported as not run, and a connection closed after the
+// request was sent as possibly run.
+func TestSendErrorReportsWhetherRequestMayHaveRun(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -198,7 +197,7 @@
 	g.Expect(failed.MayHaveRun).To(BeFalse())
 
 	s := serve(t, func(_ net.Conn, br *bufio.Reader, _ int) bool {
-		request(br)
+		readRequest(br)
 		return false
 	})
 	_, err = send(NewPool(s.addr), "r")
@@ -206,37 +205,37 @@
 	g.Expect(failed.MayHaveRun).To(BeTrue())
 }
 
-// The caller has left before anything went out: nothing may be sent any more.
-func TestNothingIsSentForACallerThatHasLeft(t *testing.T) {
+// The caller has disconnected before anything was sent: nothing may be sent any more.
+func TestNothingIsSentAfterCallerDisconnects(t *testing.T) {
 	g := NewWithT(t)
-	got := make(chan struct{}, 4)
+	received := make(chan struct{}, 4)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
-		if !request(br) {
+		if !readRequest(br) {
 			return false
 		}
-		got <- struct{}{}
-		_, _ = io.WriteString(nc, whole("r", "x"))
+		received <- struct{}{}
+		_, _ = io.WriteString(nc, okResponse("r", "x"))
 		return true
 	})
 	p := NewPool(s.addr)
 	defer p.Close()
 	g.Expect(send(p, "r")).To(Equal("x"))
-	<-got
+	<-received
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := p.Send(ctx, &Request{Method: "GET", URI: "/x", Host: "h", EchoHeader: "Id", EchoValue: "r"})
 	var failed *SendError
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
 	g.Expect(failed.MayHaveRun).To(BeFalse())
-	g.Expect(send(p, "r")).To(Equal("x"), "the connection is as good as before")
-	<-got
-	g.Expect(got).To(BeEmpty())
+	g.Expect(send(p, "r")).To(Equal("x"), "the connection is still usable")
+	<-received
+	g.Expect(received).To(BeEmpty())
 }
 
-// The time for which a target keeps a connection is taken from its answer.
-func TestKeepAliveTime(t *testing.T) {
+// The idle time of a connection follows the target's Keep-Alive header.
+func TestKeepAliveTimeFollowsHeader(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(keepFor("timeout=5, max=100")).To(Equal(4500 * time.Millisecond))
-	g.Expect(keepFor("max=3")).To(Equal(idleDefault))
-	g.Expect(keepFor("timeout=0")).To(BeZero())
+	g.Expect(keepAliveTime("timeout=5, max=100")).To(Equal(4500 * time.Millisecond))
+	g.Expect(keepAliveTime("max=3")).To(Equal(defaultIdleTime))
+	g.Expect(keepAliveTime("timeout=0")).To(BeZero())
 }
