--- a/callers/conn.go
+++ b/callers/conn.go
@@ -1,5 +1,5 @@
-// Package callers holds the connections of callers, so that one who leaves is
-// noticed while a request runs.
+// Package callers accepts callers' connections, detects callers that disconnect during a
+// request, and limits the connections of one address.
 package callers
 
 import (
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// Listener hands out connections that can be watched for a caller that
-// leaves. fasthttp reads a connection only between requests, so by itself it
-// would notice a closed one at the next write, which may be a long prefill away.
-// It also bounds the connections of one address: a caller that opens them and
-// stays silent must not take the places of all others.
+// Listener accepts connections on which a disconnect of the caller can be detected during a
+// request. fasthttp reads a connection only between requests, so by itself it would notice a
+// closed connection only at the next write, which may be a long prefill away. Listener also
+// limits the connections of one address, so that a caller that opens idle connections cannot
+// use up the connections of all others.
 type Listener struct {
 	net.Listener
-	perAddress int
-	refused    func(remote net.Addr)
+	maxPerAddress int
+	onReject      func(remote net.Addr)
 
-	mu    sync.Mutex
-	count map[netip.Addr]int
+	mu          sync.Mutex
+	connections map[netip.Addr]int
 }
 
-// NewListener returns a listener that takes at most half of maxCallers connections
-// from one address; refused hears of the others.
-func NewListener(ln net.Listener, maxCallers int, refused func(net.Addr)) *Listener {
+// NewListener returns a listener that accepts at most half of maxCallers connections from one
+// address; onReject is called for each rejected one.
+func NewListener(ln net.Listener, maxCallers int, onReject func(net.Addr)) *Listener {
 	return &Listener{
-		Listener:   ln,
-		perAddress: max(1, maxCallers/addressShare),
-		refused:    refused,
-		count:      make(map[netip.Addr]int),
+		Listener:      ln,
+		maxPerAddress: max(1, maxCallers/addressShareDivisor),
+		onReject:      onReject,
+		connections:   make(map[netip.Addr]int),
 	}
 }
 
-// addressShare: one address may hold half of all places. Many callers of a team
-// can stand behind one address, so a smaller share would refuse honest ones.
-const addressShare = 2
+// addressShareDivisor limits one address to half of all connections. Many callers of a team
+// can share one address, so a lower limit would reject legitimate callers.
+const addressShareDivisor = 2
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -47,11 +47,11 @@
 			return nil, err
 		}
 		addr := remoteAddr(nc)
-		if l.take(addr) {
-			return &Conn{Conn: nc, release: func() { l.leave(addr) }}, nil
+		if l.addConn(addr) {
+			return &Conn{Conn: nc, onClose: func() { l.removeConn(addr) }}, nil
 		}
-		_ = nc.Close() // not worth a goroutine that might have to wait for it
-		l.refused(nc.RemoteAddr())
+		_ = nc.Close() // closed without a response: writing one could block and would need a goroutine
+		l.onReject(nc.RemoteAddr())
 	}
 }
 
@@ -62,168 +62,167 @@
 	return netip.Addr{}
 }
 
-func (l *Listener) take(addr netip.Addr) bool {
+func (l *Listener) addConn(addr netip.Addr) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.count[addr] >= l.perAddress {
+	if l.connections[addr] >= l.maxPerAddress {
 		return false
 	}
-	l.count[addr]++
+	l.connections[addr]++
 	return true
 }
 
-func (l *Listener) leave(addr netip.Addr) {
+func (l *Listener) removeConn(addr netip.Addr) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.count[addr]--; l.count[addr] == 0 {
-		delete(l.count, addr)
+	if l.connections[addr]--; l.connections[addr] == 0 {
+		delete(l.connections, addr)
 	}
 }
 
-// Conn is a caller's connection. While a request runs, one byte is read
-// ahead; it is kept for the server's next read.
+// Conn is a caller's connection. While a request runs, one byte is read ahead and kept for the
+// server's next read.
 type Conn struct {
 	net.Conn
-	release func()
-	closing sync.Once
+	onClose   func()
+	closeOnce sync.Once
 
-	mu      sync.Mutex
-	ahead   [1]byte
-	hasByte bool
-	failed  error
+	mu           sync.Mutex
+	readAhead    [1]byte
+	hasReadAhead bool
+	readErr      error
 
-	// Only the goroutine that answers uses these.
-	corked bool
-	out    *[]byte // what was gathered, nil if nothing
+	// The fields below are used only by the goroutine that writes the response.
+	corked  bool
+	pending *[]byte // data that is not yet written; nil if there is none
 }
 
-// gatherMax bounds what is gathered for one system call.
-const gatherMax = 16 << 10
+// maxPendingBytes limits the data that is collected for one system call.
+const maxPendingBytes = 16 << 10
 
-var gatherPool = sync.Pool{New: func() any { b := make([]byte, 0, gatherMax); return &b }}
+var pendingPool = sync.Pool{New: func() any { b := make([]byte, 0, maxPendingBytes); return &b }}
 
-// Cork makes Write gather until Flush. The HTTP library flushes after each piece
-// of a body, which would cost a system call each while more is waiting already.
+// Cork makes Write collect data until Flush. The HTTP library flushes after each piece of a
+// body, which would cost one system call each although more data is already available.
 func (c *Conn) Cork() { c.corked = true }
 
-// Uncork ends the gathering.
+// Uncork stops collecting data and flushes.
 func (c *Conn) Uncork() error {
 	c.corked = false
 	return c.Flush()
 }
 
-// Flush writes what was gathered.
+// Flush writes the collected data.
 func (c *Conn) Flush() error {
-	if c.out == nil {
+	if c.pending == nil {
 		return nil
 	}
-	out := c.out
-	c.out = nil
-	_, err := c.writeNow(*out)
-	*out = (*out)[:0]
-	gatherPool.Put(out)
+	pending := c.pending
+	c.pending = nil
+	_, err := c.writeNow(*pending)
+	*pending = (*pending)[:0]
+	pendingPool.Put(pending)
 	return err
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.hasByte && len(p) > 0 {
-		p[0] = c.ahead[0]
-		c.hasByte = false
+	if c.hasReadAhead && len(p) > 0 {
+		p[0] = c.readAhead[0]
+		c.hasReadAhead = false
 		c.mu.Unlock()
 		return 1, nil
 	}
-	failed := c.failed
+	readErr := c.readErr
 	c.mu.Unlock()
-	if failed != nil {
-		return 0, failed
+	if readErr != nil {
+		return 0, readErr
 	}
 	return c.Conn.Read(p)
 }
 
-// callerStall is how long a caller may not read at all. Without a bound, a
-// caller that stops reading would keep its connection, and what the answer
-// holds, for good.
-const callerStall = 30 * time.Second
+// writeTimeout limits how long a caller may read nothing. Without it, a caller that stops
+// reading would hold its connection and the memory of the response indefinitely.
+const writeTimeout = 30 * time.Second
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	if !c.corked || len(p) > gatherMax {
+	if !c.corked || len(p) > maxPendingBytes {
 		if err := c.Flush(); err != nil {
 			return 0, err
 		}
 		return c.writeNow(p)
 	}
-	if c.out != nil && len(*c.out)+len(p) > gatherMax {
+	if c.pending != nil && len(*c.pending)+len(p) > maxPendingBytes {
 		if err := c.Flush(); err != nil {
 			return 0, err
 		}
 	}
-	if c.out == nil {
-		c.out = gatherPool.Get().(*[]byte)
+	if c.pending == nil {
+		c.pending = pendingPool.Get().(*[]byte)
 	}
-	*c.out = append(*c.out, p...)
+	*c.pending = append(*c.pending, p...)
 	return len(p), nil
 }
 
 func (c *Conn) writeNow(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(callerStall)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// Bounds of a lingering close.
+// Limits of a lingering close.
 const (
 	lingerTime  = time.Second
 	lingerBytes = 64 << 20
 )
 
-// Close implements net.Conn. A caller that still sends when its request is
-// refused, for example a body that is too large, would have its connection reset
-// and lose the refusal; so what it sends is read for a moment and dropped.
+// Close implements net.Conn. A caller that is still sending when its request is rejected, for
+// example for a body that is too large, would have its connection reset and lose the
+// rejection. So Close reads and discards incoming data for up to lingerTime.
 func (c *Conn) Close() error {
-	c.closing.Do(func() {
+	c.closeOnce.Do(func() {
 		tcp, ok := c.Conn.(*net.TCPConn)
 		if !ok || tcp.CloseWrite() != nil {
-			c.end()
+			c.closeNow()
 			return
 		}
 		go func() {
-			defer c.end()
+			defer c.closeNow()
 			if tcp.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-				_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // any end will do
+				_, _ = io.CopyN(io.Discard, tcp, lingerBytes) // the result does not matter
 			}
 		}()
 	})
 	return nil
 }
 
-func (c *Conn) end() {
-	_ = c.Conn.Close() // nothing is left to be said
-	c.release()
+func (c *Conn) closeNow() {
+	_ = c.Conn.Close() // an error at this point has no consequence
+	c.onClose()
 }
 
 // aLongTimeAgo is a deadline that ends a pending read at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// WatchDisconnect calls gone if the caller closes the connection before stop is called.
-// stop waits until the watcher no longer touches the connection.
-func (c *Conn) WatchDisconnect(gone func()) (stop func()) {
+// WatchDisconnect calls onDisconnect if the caller closes the connection before stop is
+// called. stop returns once the watching goroutine no longer uses the connection.
+func (c *Conn) WatchDisconnect(onDisconnect func()) (stop func()) {
 	done := make(chan struct{})
-	// A deadline left over from reading the request must not end the watch.
+	// A deadline left from reading the request must not end the watch.
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
-		gone()
+		onDisconnect()
 		return func() {}
 	}
-	var stopping sync.Once
+	var stopOnce sync.Once
 	stopped := make(chan struct{})
 	go func() {
 		defer close(done)
-		n, err := c.Conn.Read(c.ahead[:])
+		n, err := c.Conn.Read(c.readAhead[:])
 		c.mu.Lock()
-		c.hasByte = n > 0
+		c.hasReadAhead = n > 0
 		c.mu.Unlock()
 		select {
 		case <-stopped:
@@ -232,15 +231,15 @@
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.failed = err
+			c.readErr = err
 			c.mu.Unlock()
-			gone()
+			onDisconnect()
 		}
 	}()
 	return func() {
-		stopping.Do(func() {
+		stopOnce.Do(func() {
 			close(stopped)
-			_ = c.Conn.SetReadDeadline(aLongTimeAgo) // a closed connection has no pending read
+			_ = c.Conn.SetReadDeadline(aLongTimeAgo) // it fails only on a closed connection, which has no pending read
 			<-done
 			_ = c.Conn.SetReadDeadline(time.Time{})
 		})
--- a/callers/conn_test.go
+++ b/callers/conn_test.go
@@ -8,16 +8,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// One address opens connections and sends nothing. It gets half of all places
-// at most, callers from elsewhere are still served, and a place that it gives
-// back can be taken again.
-func TestOneAddressCannotTakeAllPlaces(t *testing.T) {
+// One address opens idle connections. It gets at most half of all connections, other addresses
+// are still served, and a connection that it closes can be replaced.
+func TestOneAddressCannotUseAllConnections(t *testing.T) {
 	g := NewWithT(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = inner.Close() }()
-	refused := make(chan net.Addr, 16)
-	ln := NewListener(inner, 8, func(a net.Addr) { refused <- a })
+	rejected := make(chan net.Addr, 16)
+	ln := NewListener(inner, 8, func(a net.Addr) { rejected <- a })
 	accepted := make(chan net.Conn, 16)
 	go func() {
 		for {
@@ -35,18 +34,18 @@
 		t.Cleanup(func() { _ = nc.Close() })
 		return nc
 	}
-	var held []net.Conn
+	var open []net.Conn
 	for range 4 {
 		dial("127.0.0.1")
-		held = append(held, <-accepted)
+		open = append(open, <-accepted)
 	}
-	greedy := dial("127.0.0.1")
-	<-refused
-	_, err = greedy.Read(make([]byte, 1))
+	excess := dial("127.0.0.1")
+	<-rejected
+	_, err = excess.Read(make([]byte, 1))
 	g.Expect(err).To(MatchError(io.EOF))
 	dial("127.0.0.2")
 	<-accepted
-	held[0].(*Conn).end()
+	open[0].(*Conn).closeNow()
 	dial("127.0.0.1")
 	<-accepted
 }
