--- a/peers/schema.go
+++ b/peers/schema.go
@@ -17,7 +17,7 @@
 	KindPermit    Kind = 6 // request PermitQuery, response PermitResult
 )
 
-// Heartbeat tells a peer that an entry is alive and gossips its state. The response brings
+// Heartbeat shows a peer that an entry is alive and gossips its state. The response contains
 // what the sender lacks.
 //
 //msgp:tuple Heartbeat
