--- a/config/delta.go
+++ b/config/delta.go
@@ -30,18 +30,19 @@
 func (t Team) name() string    { return t.Name }
 func (p Policy) name() string  { return p.Name }
 
-// title names a section as files do, for example "team a".
+// title returns the section's heading as it stands in files, for example "team a".
 func title[T section](s T) string { return s.kind() + " " + s.name() }
 
-// message is the pointer to a section, which encodes itself.
+// message is a pointer to a section that can be encoded.
 type message[T section] interface {
 	*T
 	marshaler
 }
 
-// Digest returns the digest of a configuration: the sum of its sections' hashes.
-// A sum can be kept up to date from a delta alone, so a change costs what it
-// changes and not a pass over all teams; equal content has one digest.
+// Digest returns the digest of a configuration: the sum of the hashes of its
+// sections. Equal content has an equal digest. A sum can be updated from a delta
+// alone, so the cost of a change is that of the changed sections and not a pass
+// over all teams.
 func Digest(c *Config) uint64 {
 	return listDigest(c.Fleets) + listDigest(c.Targets) + listDigest(c.Groups) +
 		listDigest(c.Services) + listDigest(c.Teams) + listDigest(c.Policies)
@@ -56,18 +57,20 @@
 	return sum
 }
 
-// sectionDigest hashes one section; the kind keeps sections with equal fields apart.
+// sectionDigest hashes one section. The hash includes the kind, so sections of
+// different kinds with equal fields differ.
 func sectionDigest[T section, P message[T]](s *T, buf *[]byte) uint64 {
 	b := append((*buf)[:0], (*s).kind()...)
 	b, err := P(s).MarshalMsg(b)
 	if err != nil {
-		return 0 // plain structs always encode
+		return 0 // encoding a plain struct cannot fail
 	}
 	*buf = b
 	return xxhash.Sum64(b)
 }
 
-// NewDelta returns what turns old (nil: nothing) into c.
+// NewDelta returns the delta that turns old into c. A nil old is an empty
+// configuration.
 func NewDelta(old, c *Config) Delta {
 	if old == nil {
 		return Delta{Whole: true, Put: *c}
@@ -83,11 +86,11 @@
 }
 
 func listDelta[T section, P message[T]](d *Delta, old, list []T) []T {
-	before := byName(old)
+	before := indexByName(old)
 	var put []T
 	for i := range list {
 		name := list[i].name()
-		if was, ok := before[name]; !ok || !same[T, P](was, &list[i]) {
+		if oldSection, ok := before[name]; !ok || !sameEncoding[T, P](oldSection, &list[i]) {
 			put = append(put, list[i])
 		}
 		delete(before, name)
@@ -100,14 +103,15 @@
 	return put
 }
 
-// same compares encodings: an empty list and none are the same content.
-func same[T section, P message[T]](a, b *T) bool {
+// sameEncoding reports whether two sections have equal encodings. An empty list
+// and a nil list encode alike.
+func sameEncoding[T section, P message[T]](a, b *T) bool {
 	x, errA := P(a).MarshalMsg(nil)
 	y, errB := P(b).MarshalMsg(nil)
 	return errA == nil && errB == nil && bytes.Equal(x, y)
 }
 
-func byName[T section](list []T) map[string]*T {
+func indexByName[T section](list []T) map[string]*T {
 	m := make(map[string]*T, len(list))
 	for i := range list {
 		m[list[i].name()] = &list[i]
@@ -122,8 +126,9 @@
 		len(p.Services)+len(p.Teams)+len(p.Policies) == 0
 }
 
-// Apply returns base (nil: nothing) with the delta, and its digest. Lists that the
-// delta does not touch are shared with the base.
+// Apply returns base with the delta applied, and the digest of the result. digest
+// is that of base; a nil base is an empty configuration. Lists that the delta does
+// not change are shared with base.
 func (d *Delta) Apply(base *Config, digest uint64) (*Config, uint64) {
 	if base == nil || d.Whole {
 		base, digest = new(Config), 0
@@ -139,19 +144,20 @@
 	return c, digest
 }
 
-// mergeList walks over the base once, without a new string for each of
-// 38,000 teams: only what the delta names is looked up.
+// mergeList applies the delta to one list of sections in a single pass over base.
+// It builds no title string for each section of base, because a base can hold
+// 38,000 teams.
 func mergeList[T section, P message[T]](base, put []T, remove []string, digest *uint64) []T {
-	gone := removedNames[T](remove)
-	if len(put) == 0 && len(gone) == 0 {
+	removed := removedNames[T](remove)
+	if len(put) == 0 && len(removed) == 0 {
 		return base
 	}
-	replaced := byName(put)
+	replaced := indexByName(put)
 	var buf []byte
 	list := make([]T, 0, len(base)+len(put))
 	for i := range base {
 		name := base[i].name()
-		if gone[name] || replaced[name] != nil {
+		if removed[name] || replaced[name] != nil {
 			*digest -= sectionDigest[T, P](&base[i], &buf)
 			continue
 		}
@@ -165,12 +171,12 @@
 	return list
 }
 
-// removedNames returns the names of one kind among titles.
+// removedNames returns the names of the sections of kind T among titles.
 func removedNames[T section](titles []string) map[string]bool {
-	var none T
+	var zero T
 	names := make(map[string]bool)
 	for _, t := range titles {
-		if name, ok := strings.CutPrefix(t, none.kind()+" "); ok {
+		if name, ok := strings.CutPrefix(t, zero.kind()+" "); ok {
 			names[name] = true
 		}
 	}
--- a/config/diff.go
+++ b/config/diff.go
@@ -8,14 +8,13 @@
 	"strings"
 )
 
-// Op says what became of a section.
+// Op is how a section differs between two configurations.
 type Op string
 
-// Ops of a difference.
 const (
-	OpAdd    Op = "+"
-	OpRemove Op = "-"
-	OpChange Op = "~"
+	OpAdd    Op = "+" // section added
+	OpRemove Op = "-" // section removed
+	OpChange Op = "~" // section changed
 )
 
 // Difference is one section that differs between two configurations.
@@ -25,12 +24,13 @@
 	Keys  []KeyDifference // for OpChange and OpAdd
 }
 
-// KeyDifference is one key of it; Old is empty in an added section.
+// KeyDifference is one key whose value differs. Old is empty in an added section.
 type KeyDifference struct {
 	Key, Old, New string
 }
 
-// Diff returns what differs, in the order of kinds and names. old may be nil.
+// Diff returns the sections that differ, ordered by kind and name. A nil old is an
+// empty configuration.
 func Diff(old, c *Config) []Difference {
 	if old == nil {
 		old = new(Config)
@@ -45,7 +45,7 @@
 }
 
 func diffList[T section, P message[T]](out []Difference, old, list []T) []Difference {
-	before, after := byName(old), byName(list)
+	before, after := indexByName(old), indexByName(list)
 	var names []string
 	for name := range before {
 		names = append(names, name)
@@ -54,32 +54,33 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	var none T
+	var zero T
 	for _, name := range slices.Compact(names) {
-		was, is, title := before[name], after[name], none.kind()+" "+name
+		oldSection, newSection, title := before[name], after[name], zero.kind()+" "+name
 		switch {
-		case is == nil:
+		case newSection == nil:
 			out = append(out, Difference{Op: OpRemove, Title: title})
-		case was == nil:
-			out = append(out, Difference{Op: OpAdd, Title: title, Keys: keys(reflect.Value{}, reflect.ValueOf(*is))})
-		case !same[T, P](was, is):
-			out = append(out, Difference{Op: OpChange, Title: title, Keys: keys(reflect.ValueOf(*was), reflect.ValueOf(*is))})
+		case oldSection == nil:
+			out = append(out, Difference{Op: OpAdd, Title: title, Keys: diffKeys(reflect.Value{}, reflect.ValueOf(*newSection))})
+		case !sameEncoding[T, P](oldSection, newSection):
+			out = append(out, Difference{Op: OpChange, Title: title, Keys: diffKeys(reflect.ValueOf(*oldSection), reflect.ValueOf(*newSection))})
 		}
 	}
 	return out
 }
 
-// keys returns the keys that differ, by the names that files use.
-func keys(old, v reflect.Value) []KeyDifference {
+// diffKeys returns the keys that differ, under their names in files. An invalid
+// old value is an empty section.
+func diffKeys(old, v reflect.Value) []KeyDifference {
 	var out []KeyDifference
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Tag.Get("ini")
 		if name == "" {
 			continue
 		}
-		d := KeyDifference{Key: name, New: show(name, v.Field(i))}
+		d := KeyDifference{Key: name, New: formatValue(name, v.Field(i))}
 		if old.IsValid() {
-			d.Old = show(name, old.Field(i))
+			d.Old = formatValue(name, old.Field(i))
 		}
 		if d.Old != d.New {
 			out = append(out, d)
@@ -88,11 +89,11 @@
 	return out
 }
 
-// shownHash is how many digits of a key's hash are printed: enough to tell two
-// apart, too few to be of use elsewhere.
-const shownHash = 12
+// hashPrefixLen is the number of hex digits of a key's hash that are printed:
+// enough to distinguish two keys, too few to recover the hash.
+const hashPrefixLen = 12
 
-func show(key string, v reflect.Value) string {
+func formatValue(key string, v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case []string:
 		if key != "key-hash" {
@@ -100,7 +101,7 @@
 		}
 		short := make([]string, len(x))
 		for i, h := range x {
-			short[i] = h[:min(shownHash, len(h))]
+			short[i] = h[:min(hashPrefixLen, len(h))]
 		}
 		return strings.Join(short, ", ")
 	case bool:
@@ -113,7 +114,7 @@
 	}
 }
 
-// WriteDiff prints differences, one section and then its keys.
+// WriteDiff prints each differing section followed by its differing keys.
 func WriteDiff(w io.Writer, ds []Difference) error {
 	for _, d := range ds {
 		if _, err := fmt.Fprintf(w, "%s [%s]\n", d.Op, d.Title); err != nil {
@@ -132,29 +133,30 @@
 	return nil
 }
 
-// ServicesLosingTargets returns the services that teams use and that lose their last target.
+// ServicesLosingTargets returns the services of c that a team uses and whose fleet
+// has no target in c though it had one in old.
 func ServicesLosingTargets(old, c *Config) []string {
 	if old == nil {
 		return nil
 	}
-	had, has := targetCounts(old), targetCounts(c)
-	used := make(map[string]bool)
+	oldCounts, newCounts := targetCounts(old), targetCounts(c)
+	inUse := make(map[string]bool)
 	for i := range c.Teams {
 		for _, s := range c.Teams[i].Services {
-			used[s] = true
+			inUse[s] = true
 		}
 	}
-	fleetBefore := make(map[string]string)
+	oldFleet := make(map[string]string)
 	for _, s := range old.Services {
-		fleetBefore[s.Name] = s.Fleet
+		oldFleet[s.Name] = s.Fleet
 	}
-	var emptied []string
+	var losing []string
 	for _, s := range c.Services {
-		if used[s.Name] && had[fleetBefore[s.Name]] > 0 && has[s.Fleet] == 0 {
-			emptied = append(emptied, s.Name)
+		if inUse[s.Name] && oldCounts[oldFleet[s.Name]] > 0 && newCounts[s.Fleet] == 0 {
+			losing = append(losing, s.Name)
 		}
 	}
-	return emptied
+	return losing
 }
 
 func targetCounts(c *Config) map[string]int {
--- a/config/fold.go
+++ b/config/fold.go
@@ -6,61 +6,65 @@
 	"slices"
 )
 
-// ErrGap: a record is missing before the one that was given to Apply.
+// ErrGap is returned by Apply and Skip for a record that is not the next one: a
+// record before it is missing.
 var ErrGap = errors.New("log record out of order")
 
-// Extension folds records of other kinds and is saved with the configuration.
-// Every process must use the same extensions.
+// Extension folds log records of another kind into a state of its own, which is
+// saved with the configuration. All processes must use the same extensions.
 type Extension interface {
-	// Kind names the records it folds.
+	// Kind returns the kind of the records that the extension folds.
 	Kind() string
-	// Fold takes one record's body. An error stops the whole fold.
+	// Fold applies the body of one record. An error stops the whole fold.
 	Fold(offset uint64, body []byte) error
-	// Save returns the one encoding of its state; Restore takes it back.
+	// Save returns the encoding of the state. Equal states must have equal
+	// encodings. Restore replaces the state by a saved one.
 	Save() ([]byte, error)
 	Restore(saved []byte) error
 }
 
-// keptOutcomes is how many changes are remembered by id. A day at the coming size
-// has 920; a resumed apply asks within minutes. Beyond it a repeated record is
-// still harmless: its base has been overtaken.
-const keptOutcomes = 1024
+// maxOutcomes bounds the change outcomes kept by id. A day at the planned size has
+// 920 changes, and a resumed apply queries the outcome within minutes. A repeated
+// record whose outcome was evicted is still harmless, because its base version has
+// been superseded.
+const maxOutcomes = 1024
 
-// Fold turns log records, in the log's order, into versions. Every reader reaches
-// the same state, whether it began at the first record, at a snapshot on the log or
-// with a peer's saved state.
+// Fold applies log records in log order and produces the configuration versions.
+// All readers reach the same state, whether a reader starts from the first record,
+// from a snapshot on the log or from the saved state of a peer.
 type Fold struct {
-	next       uint64
-	seeking    bool   // records before seekFrom are lost: a snapshot is needed
-	seekFrom   uint64 // first offset that the log still keeps
-	current    *Snapshot
-	outcomes   []SavedOutcome
-	pending    partSet
-	snapshots  partSet // only while seeking
-	snapshotAt uint64  // Upto of the latest snapshot seen on the log
-	extensions []Extension
-	stopped    error
+	next             uint64
+	awaitingSnapshot bool   // records before firstKept are lost, so a snapshot is needed
+	firstKept        uint64 // first offset that the log still holds
+	current          *Snapshot
+	outcomes         []SavedOutcome
+	pendingParts     partBuffer
+	snapshotParts    partBuffer // filled only while awaitingSnapshot
+	snapshotOffset   uint64     // Upto of the latest snapshot seen on the log
+	extensions       []Extension
+	stopErr          error
 }
 
-// NewFold returns the state before the first record of all.
+// NewFold returns a fold that starts at offset 0 of the log.
 func NewFold(extensions ...Extension) *Fold {
 	return &Fold{extensions: extensions}
 }
 
-// Current returns the version in force, nil before the first change.
+// Current returns the version in force, or nil before the first accepted change.
 func (f *Fold) Current() *Snapshot { return f.current }
 
-// Next returns the offset of the record that Apply wants.
+// Next returns the offset of the next record to apply.
 func (f *Fold) Next() uint64 { return f.next }
 
-// SnapshotOffset returns up to which offset the latest snapshot on the log reaches.
-func (f *Fold) SnapshotOffset() uint64 { return f.snapshotAt }
+// SnapshotOffset returns the offset of the first record that the latest snapshot on
+// the log does not include.
+func (f *Fold) SnapshotOffset() uint64 { return f.snapshotOffset }
 
-// NeedsSnapshot reports that records were lost and a snapshot is needed. What was known
-// before stays in force.
-func (f *Fold) NeedsSnapshot() bool { return f.seeking }
+// NeedsSnapshot reports whether records were lost, so that the fold needs a
+// snapshot. Until then the last known version stays in force.
+func (f *Fold) NeedsSnapshot() bool { return f.awaitingSnapshot }
 
-// Outcome returns what became of a change.
+// Outcome returns the outcome of a change, and whether it is known.
 func (f *Fold) Outcome(id string) (Outcome, bool) {
 	i := slices.IndexFunc(f.outcomes, func(o SavedOutcome) bool { return o.ID == id })
 	if i < 0 {
@@ -69,25 +73,25 @@
 	return f.outcomes[i].Outcome, true
 }
 
-// SkipTo says that the log has dropped everything before first. The fold then
-// waits for a snapshot on the log, or for Restore.
+// SkipTo records that the log has trimmed all records before first. If the fold
+// had not applied them, it then needs a snapshot from the log or a Restore.
 func (f *Fold) SkipTo(first uint64) {
-	if first <= f.next && !f.seeking {
+	if first <= f.next && !f.awaitingSnapshot {
 		return
 	}
-	f.seeking, f.seekFrom = true, first
+	f.awaitingSnapshot, f.firstKept = true, first
 	f.next = max(f.next, first)
-	f.snapshots = partSet{}
+	f.snapshotParts = partBuffer{}
 }
 
-// Apply folds the record at an offset. One that was folded before is ignored;
-// ErrGap asks for the record at Next. Any other error stops the fold for good: a
-// reader that skipped a record it does not understand would go on with another
-// state than its peers. After a snapshot Next may lie before offset.
+// Apply folds the record at offset. A record that was already folded is ignored.
+// Apply returns ErrGap if the record at Next must come first. Any other error stops
+// the fold permanently: a reader that skipped a record it cannot decode would
+// diverge from its peers. Applying a snapshot can move Next back before offset.
 func (f *Fold) Apply(offset uint64, raw []byte) error {
 	switch {
-	case f.stopped != nil:
-		return f.stopped
+	case f.stopErr != nil:
+		return f.stopErr
 	case offset < f.next:
 		return nil
 	case offset > f.next:
@@ -95,18 +99,18 @@
 	}
 	f.next = offset + 1
 	if err := f.apply(offset, raw); err != nil {
-		f.stopped = fmt.Errorf("configuration fold stopped at offset %d: %w", offset, err)
-		return f.stopped
+		f.stopErr = fmt.Errorf("configuration fold stopped at offset %d: %w", offset, err)
+		return f.stopErr
 	}
 	return nil
 }
 
-// Skip steps over the record at an offset, which a peer has folded and found to
-// change nothing.
+// Skip advances over the record at offset without folding it. A peer has already
+// folded it and found that it changes nothing.
 func (f *Fold) Skip(offset uint64) error {
 	switch {
-	case f.stopped != nil:
-		return f.stopped
+	case f.stopErr != nil:
+		return f.stopErr
 	case offset > f.next:
 		return ErrGap
 	case offset == f.next:
@@ -124,27 +128,27 @@
 		return fmt.Errorf("record of schema %d, this build knows %d", rec.Schema, RecordSchema)
 	}
 	if rec.Kind == RecordPresence {
-		return nil // read by agents, see Presence
+		return nil // read by agents; see Presence
 	}
 	if rec.Kind == RecordSnapshotPart || rec.Kind == RecordSnapshotCommit {
-		return f.snapshot(offset, &rec)
+		return f.foldSnapshotRecord(offset, &rec)
 	}
-	if f.seeking {
+	if f.awaitingSnapshot {
 		return nil
 	}
-	f.pending.expire(offset)
+	f.pendingParts.expire(offset)
 	switch rec.Kind {
 	case RecordChange:
-		return f.whole(rec.Body)
+		return f.foldChange(rec.Body)
 	case RecordPart:
 		var part Part
 		if _, err := part.UnmarshalMsg(rec.Body); err != nil {
 			return fmt.Errorf("part: %w", err)
 		}
-		f.pending.add(offset, part)
+		f.pendingParts.add(offset, part)
 		return nil
 	case RecordCommit:
-		return f.commit(rec.Body)
+		return f.foldCommit(rec.Body)
 	}
 	for _, x := range f.extensions {
 		if x.Kind() == rec.Kind {
@@ -154,47 +158,48 @@
 	return fmt.Errorf("record of unknown kind %q", rec.Kind)
 }
 
-func (f *Fold) whole(body []byte) error {
+func (f *Fold) foldChange(body []byte) error {
 	var ch Change
 	if _, err := ch.UnmarshalMsg(body); err != nil {
 		return fmt.Errorf("change: %w", err)
 	}
-	f.decide(ch.ID, func() Outcome { return f.change(&ch) })
+	f.decideOnce(ch.ID, func() Outcome { return f.applyChange(&ch) })
 	return nil
 }
 
-func (f *Fold) commit(body []byte) error {
+func (f *Fold) foldCommit(body []byte) error {
 	var c Commit
 	if _, err := c.UnmarshalMsg(body); err != nil {
 		return fmt.Errorf("commit: %w", err)
 	}
-	joined := f.pending.take(c.ID, c.Parts, c.Digest)
-	f.decide(c.ID, func() Outcome {
+	joined := f.pendingParts.take(c.ID, c.Parts, c.Digest)
+	f.decideOnce(c.ID, func() Outcome {
 		var ch Change
 		if joined == nil {
-			return f.refuse("parts are missing")
+			return f.rejection("parts are missing")
 		}
 		if _, err := ch.UnmarshalMsg(joined); err != nil || ch.ID != c.ID {
-			return f.refuse("change in parts can't be decoded")
+			return f.rejection("change in parts can't be decoded")
 		}
-		return f.change(&ch)
+		return f.applyChange(&ch)
 	})
 	return nil
 }
 
-// decide settles a change once: a repeated id keeps its first outcome.
-func (f *Fold) decide(id string, change func() Outcome) {
-	if _, seen := f.Outcome(id); seen {
+// decideOnce records the outcome of a change unless the id already has one.
+func (f *Fold) decideOnce(id string, decide func() Outcome) {
+	if _, known := f.Outcome(id); known {
 		return
 	}
-	o := change()
-	if len(f.outcomes) == keptOutcomes {
+	o := decide()
+	if len(f.outcomes) == maxOutcomes {
 		f.outcomes = slices.Delete(f.outcomes, 0, 1)
 	}
 	f.outcomes = append(f.outcomes, SavedOutcome{ID: id, Outcome: o})
 }
 
-func (f *Fold) refuse(format string, args ...any) Outcome {
+// rejection returns the outcome of a change that is refused for the given reason.
+func (f *Fold) rejection(format string, args ...any) Outcome {
 	o := Outcome{Reason: fmt.Sprintf(format, args...)}
 	if f.current != nil {
 		o.Version, o.Winner = f.current.Version, f.current.ID
@@ -202,34 +207,35 @@
 	return o
 }
 
-func (f *Fold) change(ch *Change) Outcome {
+// applyChange makes ch the version in force if its base and digest match.
+func (f *Fold) applyChange(ch *Change) Outcome {
 	var version, digest uint64
 	var base *Config
 	if f.current != nil {
 		version, digest, base = f.current.Version, f.current.Digest, f.current.Config
 	}
 	if ch.Base == VoidBase {
-		return f.refuse("%s", ReasonVoided)
+		return f.rejection("%s", ReasonVoided)
 	}
 	if ch.Base != version {
-		return f.refuse("base is version %d, in force is %d", ch.Base, version)
+		return f.rejection("base is version %d, in force is %d", ch.Base, version)
 	}
 	c, digest := ch.Delta.Apply(base, digest)
 	if digest != ch.Digest {
-		return f.refuse("digest of the result differs")
+		return f.rejection("digest of the result differs")
 	}
 	f.current = f.current.successor(version+1, ch.ID, digest, c)
 	return Outcome{Accepted: true, Version: f.current.Version}
 }
 
-// StopError returns why the fold stopped, nil while it runs.
-func (f *Fold) StopError() error { return f.stopped }
+// StopError returns the error that stopped the fold, or nil while it runs.
+func (f *Fold) StopError() error { return f.stopErr }
 
-// OldestOutcome returns the id of the oldest change that is remembered, and whether
-// older ones may have been forgotten.
+// OldestOutcome returns the id of the oldest change whose outcome is kept. full
+// reports whether older outcomes may have been evicted.
 func (f *Fold) OldestOutcome() (id string, full bool) {
 	if len(f.outcomes) == 0 {
 		return "", false
 	}
-	return f.outcomes[0].ID, len(f.outcomes) == keptOutcomes
+	return f.outcomes[0].ID, len(f.outcomes) == maxOutcomes
 }
--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -11,7 +11,7 @@
 
 func teamHash(i int) string { return HashKey(fmt.Sprint("key-", i)) }
 
-// teams returns a configuration of n teams; the seed changes their weights.
+// teams returns a configuration of n teams whose weights depend on seed.
 func teams(n, seed int) *Config {
 	c := &Config{
 		Fleets:   []Fleet{{Name: "f", Kind: "plain"}},
@@ -26,7 +26,8 @@
 	return c
 }
 
-// counter is an extension that shows a record folded twice or not at all.
+// counter is an extension that counts its records, to detect a record that is folded
+// twice or not at all.
 type counter struct{ n byte }
 
 func (c *counter) Kind() string               { return "count" }
@@ -46,8 +47,9 @@
 	return &Change{ID: id, Base: base, Digest: Digest(c), Delta: NewDelta(old, c)}
 }
 
-// history is a random log: changes on right and wrong bases, doubled records,
-// changes in parts with and without commit, and snapshots of earlier states.
+// history returns a random log: changes on correct and wrong bases, duplicate
+// records, changes in parts with and without commit, and snapshots of earlier
+// states.
 func history(t *rapid.T) [][]byte {
 	var log [][]byte
 	reader := NewFold(new(counter))
@@ -58,7 +60,7 @@
 			}
 		}
 	}
-	var held []byte // a saved state that waits to be published
+	var held []byte // a saved state that is not yet on the log
 	var upto uint64
 	for i := range rapid.IntRange(1, 25).Draw(t, "steps") {
 		read()
@@ -72,13 +74,13 @@
 		switch rapid.IntRange(0, 7).Draw(t, "kind") {
 		case 0, 1:
 			log = append(log, mustRecords(changeTo(id, version, old, next))...)
-		case 2: // overtaken or future base
+		case 2: // superseded or future base
 			log = append(log, mustRecords(changeTo(id, version+uint64(rapid.IntRange(1, 2).Draw(t, "ahead")), old, next))...)
-		case 3: // a doubled record
+		case 3: // a duplicate record
 			if len(log) > 0 {
 				log = append(log, log[rapid.IntRange(0, len(log)-1).Draw(t, "double")])
 			}
-		case 4: // in parts, some lost or doubled
+		case 4: // in parts, some lost or duplicated
 			log = append(log, parts(t, changeTo(id, version, old, next))...)
 		case 7:
 			raw, _ := NewRecord("count", &Part{})
@@ -119,8 +121,8 @@
 	return out
 }
 
-// feed folds the log as a real reader meets it: in pages that overlap what it has,
-// from the offset that the log still keeps.
+// feed folds the log as a reader receives it: in pages that overlap records already
+// folded, from the first offset that the log still holds.
 func feed(t *rapid.T, f *Fold, log [][]byte, first uint64) {
 	version := uint64(0)
 	for f.Next() < uint64(len(log)) {
@@ -134,7 +136,7 @@
 			}
 			if s := f.Current(); s != nil {
 				if s.Version < version {
-					t.Fatalf("version fell from %d to %d", version, s.Version)
+					t.Fatalf("version decreased from %d to %d", version, s.Version)
 				}
 				version = s.Version
 			}
@@ -142,47 +144,49 @@
 	}
 }
 
-func TestFoldReachesOneState(t *testing.T) {
+// Guards against readers that diverge because they started at different offsets,
+// from a snapshot or from the saved state of a peer.
+func TestReadersFromAnyOffsetReachTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
-		whole := NewFold(new(counter))
-		feed(t, whole, log, 0)
-		want, err := whole.Save()
+		fromStart := NewFold(new(counter))
+		feed(t, fromStart, log, 0)
+		want, err := fromStart.Save()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := whole.Current(); s != nil && s.Digest != Digest(s.Config) {
-			t.Fatal("digest was not kept up to date")
+		if s := fromStart.Current(); s != nil && s.Digest != Digest(s.Config) {
+			t.Fatal("incremental digest differs from Digest of the configuration")
 		}
 		first := uint64(rapid.IntRange(0, len(log)).Draw(t, "first"))
-		late := NewFold(new(counter))
-		if rapid.Bool().Draw(t, "slow") { // a reader that fell behind the trimming
+		reader := NewFold(new(counter))
+		if rapid.Bool().Draw(t, "slow") { // a reader whose next records were trimmed
 			for o := uint64(0); o < first/2; o++ {
-				if err := late.Apply(o, log[o]); err != nil {
+				if err := reader.Apply(o, log[o]); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		late.SkipTo(first)
-		feed(t, late, log, first)
-		if late.NeedsSnapshot() {
-			if err := late.Restore(want); err != nil { // no snapshot was left: a peer helps
+		reader.SkipTo(first)
+		feed(t, reader, log, first)
+		if reader.NeedsSnapshot() {
+			if err := reader.Restore(want); err != nil { // no snapshot on the log: restore from a peer
 				t.Fatal(err)
 			}
 		}
-		got, err := late.Save()
+		got, err := reader.Save()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if string(got) != string(want) {
-			t.Fatalf("reader from %d of %d reached another state", first, len(log))
+			t.Fatalf("reader from offset %d of %d records reached a different state", first, len(log))
 		}
 	})
 }
 
-// The caller sees: an old policy comes back. In order: a reader has version 2, a
-// peer that was paused since version 1 sends its state. It must be passed over.
-func TestRestoreNeverGoesBack(t *testing.T) {
+// A peer that was paused since version 1 sends its state to a reader at version 2.
+// Adopting it would bring an old policy back into force.
+func TestRestoreIgnoresOlderState(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
 	g.Expect(f.Apply(0, mustRecords(changeTo("a", 0, nil, teams(2, 0)))[0])).To(Succeed())
@@ -196,9 +200,8 @@
 	g.Expect(f.Current().Version).To(Equal(uint64(2)))
 }
 
-// The operator sees: one node stops with an error while its peers go on. In order:
-// a newer build puts a record of schema 2, or of a new kind, on the log. A reader
-// that passed it over would hold another state than its peers from there on.
+// A newer build writes a record of schema 2, or of a new kind, to the log. A reader
+// that skipped it would diverge from its peers, so the fold must stop instead.
 func TestUnknownRecordStopsTheFold(t *testing.T) {
 	newer := Record{Schema: RecordSchema + 1, Kind: RecordChange}
 	newerRaw, _ := newer.MarshalMsg(nil)
@@ -212,27 +215,26 @@
 			g.Expect(f.Apply(1, change)).NotTo(Succeed())
 			g.Expect(f.Current()).To(BeNil())
 			_, err := f.Save()
-			g.Expect(err).To(HaveOccurred(), "a stopped reader must not hand its state on")
+			g.Expect(err).To(HaveOccurred(), "a stopped fold must not save its state")
 		})
 	}
 }
 
-// The operator was told that a change did not happen. In order: its append is
-// delayed, the resumption settles the id, the delayed record arrives while its base
-// is still in force. It must change nothing, or the answer was a guess.
-func TestSettledChangeNeverTakesEffect(t *testing.T) {
+// The append of a change is delayed, and a resumed apply voids its id and reports
+// that it did not happen. The delayed record arrives while its base is in force.
+func TestVoidedChangeNeverTakesEffect(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
 	late := mustRecords(changeTo("a", 0, nil, teams(1, 0)))[0]
-	settle := mustRecords(&Change{ID: "a", Base: VoidBase})[0]
-	g.Expect(f.Apply(0, settle)).To(Succeed())
+	void := mustRecords(&Change{ID: "a", Base: VoidBase})[0]
+	g.Expect(f.Apply(0, void)).To(Succeed())
 	g.Expect(f.Apply(1, late)).To(Succeed())
 	g.Expect(f.Current()).To(BeNil())
 	out, _ := f.Outcome("a")
 	g.Expect(out.Reason).To(Equal(ReasonVoided))
 }
 
-func TestLargeChangeGoesInParts(t *testing.T) {
+func TestLargeChangeIsSplitIntoParts(t *testing.T) {
 	g := NewWithT(t)
 	big := teams(5000, 0)
 	records := mustRecords(changeTo("big", 0, nil, big))
@@ -240,25 +242,25 @@
 	f := NewFold()
 	for i, raw := range records {
 		g.Expect(len(raw)).To(BeNumerically("<=", MaxRecordBytes+256))
-		g.Expect(f.Current()).To(BeNil(), "parts without their commit mean nothing")
+		g.Expect(f.Current()).To(BeNil(), "parts without their commit have no effect")
 		g.Expect(f.Apply(uint64(i), raw)).To(Succeed())
 	}
 	g.Expect(f.Current().Config.Teams).To(HaveLen(5000))
 	small := mustRecords(changeTo("small", 1, big, teams(5001, 0)))
 	g.Expect(small).To(HaveLen(1))
-	g.Expect(len(small[0])).To(BeNumerically("<", 1024), "a change is as large as its difference")
+	g.Expect(len(small[0])).To(BeNumerically("<", 1024), "the size of a change must depend on its difference alone")
 	g.Expect(f.Apply(uint64(len(records)), small[0])).To(Succeed())
 	g.Expect(f.Current().TeamByKey("key-5000").Name).To(Equal("team-05000"))
 }
 
-func TestOutcomesAreBounded(t *testing.T) {
+func TestOldestOutcomesAreEvicted(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	for i := range uint64(keptOutcomes + 10) {
+	for i := range uint64(maxOutcomes + 10) {
 		raw := mustRecords(&Change{ID: fmt.Sprint("c", i), Base: 99})[0]
 		g.Expect(f.Apply(i, raw)).To(Succeed())
 	}
-	g.Expect(f.outcomes).To(HaveLen(keptOutcomes))
+	g.Expect(f.outcomes).To(HaveLen(maxOutcomes))
 	_, known := f.Outcome("c0")
 	g.Expect(known).To(BeFalse())
 	_, known = f.Outcome("c20")
@@ -285,7 +287,7 @@
 			x, errX := one.Save()
 			y, errY := two.Save()
 			if (errX == nil) != (errY == nil) || string(x) != string(y) {
-				t.Fatal("two readers differ")
+				t.Fatal("two folds of the same records differ")
 			}
 		}
 	})
--- a/config/load.go
+++ b/config/load.go
@@ -11,8 +11,9 @@
 	"github.com/heatherrail/heatherrail/internal/ini"
 )
 
-// LoadDir reads and checks all *.ini files of a directory. The error lists every
-// fault as file:line (ini.Errors), or says why the directory can't be read.
+// LoadDir reads and validates all *.ini files of a directory. The error is an
+// ini.Errors with the file and line of every fault, or the error of reading the
+// directory.
 func LoadDir(dir string) (*Config, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.ini"))
 	if err != nil {
@@ -32,9 +33,10 @@
 	return Load(files)
 }
 
-// Load checks files, given as name to text, and returns one configuration.
+// Load parses and validates files, a map from file name to text, and returns one
+// configuration.
 func Load(files map[string]string) (*Config, error) {
-	l := loader{config: new(Config), seen: make(map[string]*ini.Section)}
+	l := loader{config: new(Config), sections: make(map[string]*ini.Section)}
 	names := make([]string, 0, len(files))
 	for name := range files {
 		names = append(names, name)
@@ -44,12 +46,12 @@
 		sections, errs := ini.Parse(name, files[name])
 		l.errs = append(l.errs, errs...)
 		for i := range sections {
-			l.section(&sections[i])
+			l.loadSection(&sections[i])
 		}
 	}
 	l.config.addDefaults()
 	l.config.sort()
-	l.cross()
+	l.checkReferences()
 	if err := l.errs.Err(); err != nil {
 		return nil, err
 	}
@@ -57,9 +59,9 @@
 }
 
 type loader struct {
-	config *Config
-	seen   map[string]*ini.Section // by title
-	errs   ini.Errors
+	config   *Config
+	sections map[string]*ini.Section // by title
+	errs     ini.Errors
 }
 
 func (l *loader) fail(sec *ini.Section, key, format string, args ...any) {
@@ -72,16 +74,16 @@
 	l.errs = append(l.errs, &ini.Error{File: sec.File, Line: line, Where: where, What: fmt.Sprintf(format, args...)})
 }
 
-func (l *loader) section(sec *ini.Section) {
+func (l *loader) loadSection(sec *ini.Section) {
 	if sec.Name == "" {
 		l.fail(sec, "", "has no name, write [%s NAME]", sec.Kind)
 		return
 	}
-	if first, ok := l.seen[sec.Title()]; ok {
+	if first, ok := l.sections[sec.Title()]; ok {
 		l.fail(sec, "", "given twice, first at %s:%d", first.File, first.Line)
 		return
 	}
-	l.seen[sec.Title()] = sec
+	l.sections[sec.Title()] = sec
 	c := l.config
 	switch sec.Kind {
 	case "fleet":
@@ -111,16 +113,16 @@
 	l.errs = append(l.errs, ini.Decode(sec, dst)...)
 }
 
-// DefaultPolicy is the name of the policy that services use when they name none.
+// DefaultPolicy is the name of the policy of services that name none.
 const DefaultPolicy = "default"
 
-// addDefaults gives the default policy to configurations that don't write one.
+// addDefaults adds the default policy if the configuration has none.
 func (c *Config) addDefaults() {
 	if slices.ContainsFunc(c.Policies, func(p Policy) bool { return p.Name == DefaultPolicy }) {
 		return
 	}
 	p := Policy{Name: DefaultPolicy}
-	// An empty section has no keys that could be wrong.
+	// An empty section has no keys, so decoding it cannot fail.
 	_ = ini.Decode(&ini.Section{Kind: "policy", Name: DefaultPolicy}, &p)
 	c.Policies = append(c.Policies, p)
 }
@@ -134,48 +136,49 @@
 	slices.SortFunc(c.Policies, func(a, b Policy) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// cross checks what one section says about another.
-func (l *loader) cross() {
+// checkReferences reports references to sections that do not exist, and then the
+// other faults that depend on several sections.
+func (l *loader) checkReferences() {
 	for _, t := range l.config.Targets {
-		l.needs("target", t.Name, "fleet", "fleet", t.Fleet)
+		l.checkReference("target", t.Name, "fleet", "fleet", t.Fleet)
 	}
 	for _, s := range l.config.Services {
-		l.needs("service", s.Name, "fleet", "fleet", s.Fleet)
+		l.checkReference("service", s.Name, "fleet", "fleet", s.Fleet)
 		if s.Policy != DefaultPolicy {
-			l.needs("service", s.Name, "policy", "policy", s.Policy)
+			l.checkReference("service", s.Name, "policy", "policy", s.Policy)
 		}
 	}
 	for _, g := range l.config.Groups {
-		l.needs("group", g.Name, "fleet", "fleet", g.Fleet)
+		l.checkReference("group", g.Name, "fleet", "fleet", g.Fleet)
 		for _, rank := range g.Ranks {
-			l.needs("group", g.Name, "ranks", "target", rank)
+			l.checkReference("group", g.Name, "ranks", "target", rank)
 		}
 	}
 	for _, t := range l.config.Teams {
 		for _, s := range t.Services {
-			l.needs("team", t.Name, "services", "service", s)
+			l.checkReference("team", t.Name, "services", "service", s)
 		}
-		l.keyHashes(t)
+		l.checkKeyHashes(t)
 	}
-	l.sense()
+	l.checkSemantics()
 }
 
-// needs reports a reference to a section that does not exist.
-func (l *loader) needs(kind, name, key, wantKind, want string) {
-	sec := l.seen[kind+" "+name]
+// checkReference reports an error if the section that key refers to does not exist.
+func (l *loader) checkReference(kind, name, key, wantKind, want string) {
+	sec := l.sections[kind+" "+name]
 	if sec == nil || want == "" {
 		return
 	}
-	if _, ok := l.seen[wantKind+" "+want]; !ok {
+	if _, ok := l.sections[wantKind+" "+want]; !ok {
 		l.fail(sec, key, "there is no [%s %s]", wantKind, want)
 	}
 }
 
-func (l *loader) keyHashes(t Team) {
-	sec := l.seen["team "+t.Name]
+func (l *loader) checkKeyHashes(t Team) {
+	sec := l.sections["team "+t.Name]
 	for _, h := range t.KeyHashes {
-		if len(h) != hashHexLen || strings.Trim(h, "0123456789abcdef") != "" {
-			l.fail(sec, "key-hash", "want the sha256 of a key as %d lower-case hex digits", hashHexLen)
+		if len(h) != keyHashHexLen || strings.Trim(h, "0123456789abcdef") != "" {
+			l.fail(sec, "key-hash", "want the sha256 of a key as %d lower-case hex digits", keyHashHexLen)
 		}
 	}
 }
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -25,19 +25,19 @@
 key-hash = 0000000000000000000000000000000000000000000000000000000000000000
 `
 
-func TestLoadNamesEveryFault(t *testing.T) {
+func TestLoadReportsFileLineAndKeyOfFaults(t *testing.T) {
 	group := "[group g]\nfleet = e\nexperts = 2\nslots = 2\nranks = "
 	cases := map[string]struct{ text, want string }{
-		"good":                 {"", ""},
-		"unknown fleet":        {"[service x]\nfleet = nowhere\n", "x.ini:2: service x.fleet: there is no [fleet nowhere]"},
-		"unknown key":          {"[fleet x]\nkind = plain\nsize = 3\n", "x.ini:3: fleet x.size: unknown key"},
-		"given twice":          {"[fleet e]\nkind = plain\n", "x.ini:1: fleet e: given twice, first at good.ini:1"},
-		"rank of other fleet":  {group + "e1, p1\n", "x.ini:5: group g.ranks: target p1 belongs to fleet p"},
-		"rank twice":           {group + "e1, e1\n", "x.ini:5: group g.ranks: target e1 is already a rank of group g"},
-		"too few slots":        {"[group g]\nfleet = e\nexperts = 3\nslots = 2\nranks = e1\n", "x.ini:4: group g.slots: 2 slots can't hold 3 experts"},
-		"window below a dead-": {"[policy x]\ndeadline = 1h\n", "x.ini:1: policy x.dedup-window: 10m0s is shorter than the deadline, 1h0m0s"},
-		"shared key":           {"[team u]\nservices = s\nkey-hash = " + strings.Repeat("0", 64) + "\n", "x.ini:3: team u.key-hash: team t has the same key"},
-		"key in the clear":     {"[team u]\nservices = s\nkey-hash = secret\n", "x.ini:3: team u.key-hash: want the sha256"},
+		"good":                {"", ""},
+		"unknown fleet":       {"[service x]\nfleet = nowhere\n", "x.ini:2: service x.fleet: there is no [fleet nowhere]"},
+		"unknown key":         {"[fleet x]\nkind = plain\nsize = 3\n", "x.ini:3: fleet x.size: unknown key"},
+		"duplicate section":   {"[fleet e]\nkind = plain\n", "x.ini:1: fleet e: given twice, first at good.ini:1"},
+		"rank of other fleet": {group + "e1, p1\n", "x.ini:5: group g.ranks: target p1 belongs to fleet p"},
+		"rank twice":          {group + "e1, e1\n", "x.ini:5: group g.ranks: target e1 is already a rank of group g"},
+		"too few slots":       {"[group g]\nfleet = e\nexperts = 3\nslots = 2\nranks = e1\n", "x.ini:4: group g.slots: 2 slots can't hold 3 experts"},
+		"short dedup window":  {"[policy x]\ndeadline = 1h\n", "x.ini:1: policy x.dedup-window: 10m0s is shorter than the deadline, 1h0m0s"},
+		"shared key":          {"[team u]\nservices = s\nkey-hash = " + strings.Repeat("0", 64) + "\n", "x.ini:3: team u.key-hash: team t has the same key"},
+		"plain-text key":      {"[team u]\nservices = s\nkey-hash = secret\n", "x.ini:3: team u.key-hash: want the sha256"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestDiffAndEmptied(t *testing.T) {
+func TestDiffDeltaAndServicesLosingTargets(t *testing.T) {
 	g := NewWithT(t)
 	old, err := Load(map[string]string{"f.ini": goodFiles})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/config/parts.go
+++ b/config/parts.go
@@ -6,27 +6,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds on changes and snapshots whose commit was not seen yet. They go by the
-// log's offsets, so all readers drop the same ones at the same place.
+// Limits on changes and snapshots in parts whose commit record has not arrived yet.
+// Expiry is counted in log offsets, so all readers drop the same sets at the same
+// offset.
 const (
-	maxPending   = 2    // 24 MB at most
-	pendingLife  = 4096 // records after the first part
-	maxPartIndex = MaxParts - 1
+	maxPendingSets    = 2    // sets; 24 MB at most
+	pendingTTLRecords = 4096 // log records after the first part
+	maxPartIndex      = MaxParts - 1
 )
 
-// partSet gathers parts by id.
-type partSet struct {
+// partBuffer collects the parts of changes or snapshots by id.
+type partBuffer struct {
 	sets []SavedParts // oldest first
 }
 
-// add keeps a part; a repeated one is ignored. The oldest set makes room for a new one.
-func (p *partSet) add(offset uint64, part Part) {
+// add stores a part. It ignores a duplicate part and evicts the oldest set to make
+// room for a new one.
+func (p *partBuffer) add(offset uint64, part Part) {
 	if part.Index < 0 || part.Index > maxPartIndex || len(part.Data) > MaxRecordBytes {
 		return
 	}
 	i := p.find(part.ID)
 	if i < 0 {
-		if len(p.sets) == maxPending {
+		if len(p.sets) == maxPendingSets {
 			p.sets = slices.Delete(p.sets, 0, 1)
 		}
 		p.sets = append(p.sets, SavedParts{ID: part.ID, Begin: offset})
@@ -39,13 +41,13 @@
 	}
 }
 
-func (p *partSet) find(id string) int {
+func (p *partBuffer) find(id string) int {
 	return slices.IndexFunc(p.sets, func(s SavedParts) bool { return s.ID == id })
 }
 
-// take removes a set and returns its bytes, nil unless all n parts are there and
-// match the digest.
-func (p *partSet) take(id string, n int, digest uint64) []byte {
+// take removes a set and returns its joined bytes. It returns nil unless all n parts
+// are present and match the digest.
+func (p *partBuffer) take(id string, n int, digest uint64) []byte {
 	i := p.find(id)
 	if i < 0 {
 		return nil
@@ -65,7 +67,8 @@
 	return body
 }
 
-// expire drops sets that began too long before offset.
-func (p *partSet) expire(offset uint64) {
-	p.sets = slices.DeleteFunc(p.sets, func(s SavedParts) bool { return offset-s.Begin > pendingLife })
+// expire drops the sets whose first part is more than pendingTTLRecords before
+// offset.
+func (p *partBuffer) expire(offset uint64) {
+	p.sets = slices.DeleteFunc(p.sets, func(s SavedParts) bool { return offset-s.Begin > pendingTTLRecords })
 }
--- a/config/presence.go
+++ b/config/presence.go
@@ -10,19 +10,19 @@
 // RecordPresence holds a Presence. It changes no configuration.
 const RecordPresence = "presence"
 
-// Presence says that a process exists which takes part in requests that must not
-// run twice. Agents read it to know which entries to ask about a key; entries, to
-// know that a target has a newer agent than the one they reach.
+// Presence announces on the log a process that handles non-repeatable requests.
+// Agents read it to learn which entries they must query about an idempotency key.
+// Entries read it to learn that a target has a newer agent than the connected one.
 type Presence struct {
 	Role        string       `msg:"r"` // PresenceEntry or PresenceAgent
-	Name        string       `msg:"n"` // of the entry or the target
+	Name        string       `msg:"n"` // name of the entry or of the target
 	Incarnation uint64       `msg:"i"`
-	AtMs        int64        `msg:"a"` // Unix milliseconds by the process's clock
-	Gone        bool         `msg:"g"` // an entry that dispatches nothing more
-	Dispatched  []Dispatched `msg:"d"` // with Gone: what it dispatched within the window
+	AtMs        int64        `msg:"a"` // Unix milliseconds, by the clock of the process
+	Gone        bool         `msg:"g"` // the entry has stopped dispatching
+	Dispatched  []Dispatched `msg:"d"` // with Gone: the keys that the entry dispatched within the deduplication window
 }
 
-// Dispatched is one key that an entry sent to an agent.
+// Dispatched is one idempotency key that an entry dispatched to an agent.
 //
 //msgp:tuple Dispatched
 type Dispatched struct {
@@ -51,11 +51,11 @@
 	return raw, nil
 }
 
-// At returns when the presence was written, by its writer's clock.
+// At returns the time at which the presence was written, by the clock of its writer.
 func (p *Presence) At() time.Time { return time.UnixMilli(p.AtMs) }
 
-// ReadPresence returns the presence that a log record holds, nil if it holds
-// something else.
+// ReadPresence returns the presence in a log record, or nil if the record is of
+// another kind.
 func ReadPresence(raw []byte) (*Presence, error) {
 	var rec Record
 	if _, err := rec.UnmarshalMsg(raw); err != nil {
--- a/config/record.go
+++ b/config/record.go
@@ -15,74 +15,76 @@
 // RecordSchema is the newest record schema that this build understands.
 const RecordSchema = 1
 
-// Kinds of records. An Extension brings kinds of its own.
+// Kinds of records. Extensions add further kinds.
 const (
 	RecordChange         = "change"          // Change
-	RecordPart           = "part"            // Part of a Change that is too large for a record
+	RecordPart           = "part"            // Part of a Change that is too large for one record
 	RecordCommit         = "commit"          // Commit of a Change in parts
 	RecordSnapshotPart   = "snapshot-part"   // Part of a saved State
 	RecordSnapshotCommit = "snapshot-commit" // SnapshotCommit
 )
 
-// Bounds of what is on the log, in bytes and counts.
+// Size limits of records on the log.
 const (
-	MaxRecordBytes = 128 << 10 // body of one record
-	MaxParts       = 96        // of one change or snapshot: 12 MB, twice what 38,000 new teams take
+	MaxRecordBytes = 128 << 10 // bytes of the body of one record
+	MaxParts       = 96        // parts of one change or snapshot: 12 MB, twice the size of 38,000 new teams
 )
 
-// VoidBase is a base that no version ever has. A change on it settles its id: if
-// the change of that id is not on the log yet, it never takes effect.
+// VoidBase is a base version that no version ever has. A change with this base
+// voids its id: if the real change of that id is not on the log yet, it never takes
+// effect.
 const VoidBase = math.MaxUint64
 
-// ReasonVoided is the outcome's reason then.
+// ReasonVoided is the Outcome.Reason of a voided change.
 const ReasonVoided = "it had not reached the log, and never takes effect now"
 
-// Record is what the log holds.
+// Record is one record of the log.
 type Record struct {
 	Schema uint32 `msg:"s"`
 	Kind   string `msg:"k"`
 	Body   []byte `msg:"b"`
 }
 
-// Change replaces a base version by another one.
+// Change turns a base version into the next version.
 type Change struct {
 	ID     string `msg:"id"`
-	Base   uint64 `msg:"b"` // version that it builds on
-	Digest uint64 `msg:"d"` // of the whole result, see Digest
+	Base   uint64 `msg:"b"` // version to which the delta applies
+	Digest uint64 `msg:"d"` // digest of the resulting configuration; see Digest
 	Delta  Delta  `msg:"c"`
 }
 
-// Delta is what a change does to its base: its size is that of the difference.
+// Delta is the difference between two configurations. Its size grows with the
+// difference, not with the configuration.
 type Delta struct {
-	Whole  bool     `msg:"w"` // the base's sections don't stay
+	Whole  bool     `msg:"w"` // the sections of the base are dropped
 	Put    Config   `msg:"p"` // sections added or replaced
 	Remove []string `msg:"r"` // titles of removed sections, for example "team a"
 }
 
-// Part is a piece of something too large for a record. Without its commit it
-// means nothing.
+// Part is one piece of a message too large for one record. Parts have no effect
+// without their commit record.
 type Part struct {
 	ID    string `msg:"id"`
 	Index int    `msg:"i"`
 	Data  []byte `msg:"d"`
 }
 
-// Commit makes the parts of a change take effect, at the commit's place.
+// Commit makes a change in parts take effect, at the offset of the commit.
 type Commit struct {
 	ID     string `msg:"id"`
 	Parts  int    `msg:"n"`
-	Digest uint64 `msg:"d"` // xxhash64 of all parts joined
+	Digest uint64 `msg:"d"` // xxhash64 of the joined parts
 }
 
-// SnapshotCommit makes the parts of a saved state usable as a start.
+// SnapshotCommit completes the parts of a saved state, from which a reader can start.
 type SnapshotCommit struct {
 	ID     string `msg:"id"`
 	Parts  int    `msg:"n"`
 	Digest uint64 `msg:"d"`
-	Upto   uint64 `msg:"u"` // offset of the first record that the state does not hold
+	Upto   uint64 `msg:"u"` // offset of the first record not included in the state
 }
 
-// State is all that a fold knows after the records before Next.
+// State is the whole state of a fold after the records before Next.
 type State struct {
 	Next       uint64         `msg:"n"`
 	Version    uint64         `msg:"v"`
@@ -94,17 +96,17 @@
 	Extensions []SavedBytes   `msg:"x"` // in the order of the extensions
 }
 
-// SavedOutcome is what became of one change.
+// SavedOutcome is the outcome of one change, with its id.
 type SavedOutcome struct {
 	ID      string  `msg:"i"`
 	Outcome Outcome `msg:"o"`
 }
 
-// SavedParts is a change in parts whose commit was not seen yet.
+// SavedParts is a change in parts whose commit record has not been folded yet.
 type SavedParts struct {
 	ID    string `msg:"i"`
 	Begin uint64 `msg:"b"` // offset of the first part
-	Parts []Part `msg:"p"` // by index
+	Parts []Part `msg:"p"` // sorted by index
 }
 
 // SavedBytes is the state of an extension.
@@ -113,15 +115,15 @@
 	Data []byte `msg:"d"`
 }
 
-// Outcome is what the fold made of a change.
+// Outcome is the result of folding a change.
 type Outcome struct {
 	Accepted bool   `msg:"a"`
-	Version  uint64 `msg:"v"` // in force after the change
-	Winner   string `msg:"w"` // id of the change in force, when refused
+	Version  uint64 `msg:"v"` // version in force after the change
+	Winner   string `msg:"w"` // if refused: id of the change in force
 	Reason   string `msg:"r"`
 }
 
-// marshaler is a message of the schema.
+// marshaler is a message that msgp can encode.
 type marshaler interface {
 	MarshalMsg([]byte) ([]byte, error)
 }
@@ -140,13 +142,14 @@
 	return raw, nil
 }
 
-// NewChange encodes a change that replaces the whole configuration. It must fit
-// into one record; ChangeRecords splits larger ones.
+// NewChange encodes a change that replaces the whole configuration as one record.
+// Use ChangeRecords for a change larger than MaxRecordBytes.
 func NewChange(id string, base uint64, c *Config) ([]byte, error) {
 	return NewRecord(RecordChange, &Change{ID: id, Base: base, Digest: Digest(c), Delta: Delta{Whole: true, Put: *c}})
 }
 
-// ChangeRecords encodes a change as one record, or as parts and their commit.
+// ChangeRecords encodes a change as one record, or as parts and a commit if it is
+// larger than MaxRecordBytes.
 func ChangeRecords(ch *Change) ([][]byte, error) {
 	body, err := ch.MarshalMsg(nil)
 	if err != nil {
@@ -164,7 +167,8 @@
 	return append(records, commit), err
 }
 
-// SnapshotRecords encodes a saved state as parts and their commit.
+// SnapshotRecords encodes a saved state as parts and a commit. upto is the offset of
+// the first record not included in the state.
 func SnapshotRecords(id string, saved []byte, upto uint64) ([][]byte, error) {
 	records, n, err := split(RecordSnapshotPart, id, saved)
 	if err != nil {
--- a/config/schema.go
+++ b/config/schema.go
@@ -1,5 +1,6 @@
-// Package config turns operators' INI files into one typed configuration, and
-// log records into the sequence of accepted versions. It does no I/O of its own.
+// Package config loads the INI files of operators into one typed configuration and
+// folds log records into the sequence of accepted versions. Except for LoadDir it
+// does no I/O.
 package config
 
 //go:generate go tool -modfile=../tools/go.mod msgp -tests=false -io=false -o schema_gen.go
@@ -8,8 +9,8 @@
 
 import "time"
 
-// Config is the whole dynamic configuration. Lists are sorted by name, so equal
-// content has one encoding and one digest.
+// Config is the whole dynamic configuration. All lists are sorted by name, so equal
+// content has equal encodings and digests.
 type Config struct {
 	Fleets   []Fleet   `msg:"fleets"`
 	Targets  []Target  `msg:"targets"`
@@ -26,14 +27,15 @@
 	Fenced bool   `msg:"f" ini:"fenced-orders" default:"no" doc:"yes: the engines themselves refuse orders with an old fencing number"`
 }
 
-// Target is one place where work can run. Its address comes from the VM list.
+// Target is one back end: an engine or a plain service. Its address comes from the
+// VM list.
 type Target struct {
 	Name       string `msg:"n"`
 	Fleet      string `msg:"f" ini:"fleet" required:"true" doc:"name of the target's fleet"`
 	DataCentre string `msg:"d" ini:"data-centre" required:"true" doc:"data centre of the target"`
 }
 
-// Group is a rank group: targets that run in lock-step on one expert map.
+// Group is a rank group: targets that run in lock-step under one expert map.
 type Group struct {
 	Name    string   `msg:"n"`
 	Fleet   string   `msg:"f" ini:"fleet" required:"true" doc:"fleet that the ranks belong to"`
@@ -49,7 +51,7 @@
 	GainLife  time.Duration `msg:"g" ini:"gain-life" default:"30m" min:"1m" max:"24h" doc:"how long the gain of a move is expected to last"`
 }
 
-// Service is what callers ask for by name.
+// Service is a named service that callers address.
 type Service struct {
 	Name   string `msg:"n"`
 	Fleet  string `msg:"f" ini:"fleet" required:"true" doc:"fleet that serves it"`
@@ -57,7 +59,7 @@
 	Policy string `msg:"p" ini:"policy" default:"default" doc:"routing policy"`
 }
 
-// Team is a group of callers with keys, shares and limits of its own.
+// Team is a group of callers with its own keys, weight and limits.
 type Team struct {
 	Name      string   `msg:"n"`
 	KeyHashes []string `msg:"k" ini:"key-hash" required:"true" doc:"sha256 of each valid key in hex; two during a rotation"`
@@ -68,7 +70,8 @@
 	InFlight  int      `msg:"c" ini:"in-flight" default:"0" min:"0" doc:"limit of requests at once over all entries; 0: none"`
 }
 
-// Policy says how requests of a service are placed, retried and protected.
+// Policy sets deadline, retries, deduplication and placement for the requests of a
+// service.
 type Policy struct {
 	Name        string        `msg:"n"`
 	Deadline    time.Duration `msg:"d" ini:"deadline" default:"60s" min:"10ms" max:"1h" doc:"for requests that bring none"`
--- a/config/sense.go
+++ b/config/sense.go
@@ -1,51 +1,53 @@
 package config
 
-// sense checks what is well-formed but can't be meant.
-func (l *loader) sense() {
-	fleets := make(map[string]string, len(l.config.Targets))
+// checkSemantics reports values that are well-formed but contradict each other.
+func (l *loader) checkSemantics() {
+	fleetOfTarget := make(map[string]string, len(l.config.Targets))
 	for _, t := range l.config.Targets {
-		fleets[t.Name] = t.Fleet
+		fleetOfTarget[t.Name] = t.Fleet
 	}
-	groupOf := make(map[string]string)
+	groupOfTarget := make(map[string]string)
 	for _, g := range l.config.Groups {
-		l.group(&g, fleets, groupOf)
+		l.checkGroup(&g, fleetOfTarget, groupOfTarget)
 	}
 	for _, p := range l.config.Policies {
-		// A repeat that comes while the first try still runs must find it remembered.
-		if sec := l.seen["policy "+p.Name]; sec != nil && p.DedupWindow < p.Deadline {
+		// A repeated request that arrives while the first attempt still runs must find
+		// its key in the deduplication table.
+		if sec := l.sections["policy "+p.Name]; sec != nil && p.DedupWindow < p.Deadline {
 			l.fail(sec, "dedup-window", "%s is shorter than the deadline, %s", p.DedupWindow, p.Deadline)
 		}
 	}
-	l.sharedKeys()
+	l.checkDuplicateKeys()
 }
 
-// group checks one rank group; fleets and groupOf are by target.
-func (l *loader) group(g *Group, fleets, groupOf map[string]string) {
-	sec := l.seen["group "+g.Name]
+// checkGroup checks one rank group. Both maps are keyed by target; checkGroup adds
+// the ranks of g to groupOfTarget.
+func (l *loader) checkGroup(g *Group, fleetOfTarget, groupOfTarget map[string]string) {
+	sec := l.sections["group "+g.Name]
 	for _, rank := range g.Ranks {
-		if fleet, known := fleets[rank]; known && fleet != g.Fleet {
+		if fleet, known := fleetOfTarget[rank]; known && fleet != g.Fleet {
 			l.fail(sec, "ranks", "target %s belongs to fleet %s", rank, fleet)
 		}
-		if other, taken := groupOf[rank]; taken {
+		if other, taken := groupOfTarget[rank]; taken {
 			l.fail(sec, "ranks", "target %s is already a rank of group %s", rank, other)
 		}
-		groupOf[rank] = g.Name
+		groupOfTarget[rank] = g.Name
 	}
 	if g.Slots < g.Experts {
 		l.fail(sec, "slots", "%d slots can't hold %d experts", g.Slots, g.Experts)
 	}
 }
 
-// sharedKeys refuses a key that two teams hold: its requests would count for, and be
-// answered as, whichever comes last.
-func (l *loader) sharedKeys() {
-	holder := make(map[string]string, len(l.config.Teams))
+// checkDuplicateKeys reports a key that two teams share. Its requests would be
+// attributed to the team that is indexed last.
+func (l *loader) checkDuplicateKeys() {
+	teamByHash := make(map[string]string, len(l.config.Teams))
 	for _, t := range l.config.Teams {
 		for _, h := range t.KeyHashes {
-			if other, taken := holder[h]; taken {
-				l.fail(l.seen["team "+t.Name], "key-hash", "team %s has the same key", other)
+			if other, taken := teamByHash[h]; taken {
+				l.fail(l.sections["team "+t.Name], "key-hash", "team %s has the same key", other)
 			}
-			holder[h] = t.Name
+			teamByHash[h] = t.Name
 		}
 	}
 }
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-const hashHexLen = sha256.Size * 2
+const keyHashHexLen = sha256.Size * 2
 
-// HashKey returns what the files hold in place of a team's key.
+// HashKey returns the SHA-256 of a team's key in hex, as key-hash holds it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Snapshot is one accepted version, with the look-ups that requests need. It
-// never changes after it was made.
+// Snapshot is one accepted version with indexes for look-ups by requests. It is
+// immutable.
 type Snapshot struct {
 	Version uint64
-	ID      string // of the change that made it
+	ID      string // id of the change that produced the version
 	Digest  uint64
 	Config  *Config
 
@@ -32,31 +32,32 @@
 	fleetOf  map[string]string // by target
 }
 
-// NewSnapshot indexes a configuration.
+// NewSnapshot returns a snapshot of c with its indexes.
 func NewSnapshot(version uint64, id string, digest uint64, c *Config) *Snapshot {
 	s := &Snapshot{Version: version, ID: id, Digest: digest, Config: c}
 	s.indexAll()
 	return s
 }
 
-// successor indexes the next version. What did not change is shared: at 38,000
-// teams the index of keys is the largest part, and most changes leave it alone.
+// successor returns the snapshot of the next version. It shares the key index with s
+// if the teams did not change: with 38,000 teams that index is the largest, and most
+// changes do not affect it.
 func (s *Snapshot) successor(version uint64, id string, digest uint64, c *Config) *Snapshot {
-	if s == nil || !sameTeams(s.Config.Teams, c.Teams) {
+	if s == nil || !sharesTeams(s.Config.Teams, c.Teams) {
 		return NewSnapshot(version, id, digest, c)
 	}
 	next := &Snapshot{Version: version, ID: id, Digest: digest, Config: c, byKey: s.byKey}
-	next.indexSmall()
+	next.indexExceptTeams()
 	return next
 }
 
-// sameTeams reports whether two versions share one list.
-func sameTeams(a, b []Team) bool {
+// sharesTeams reports whether a and b are the same slice.
+func sharesTeams(a, b []Team) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
 func (s *Snapshot) indexAll() {
-	s.indexSmall()
+	s.indexExceptTeams()
 	s.byKey = make(map[string]*Team, len(s.Config.Teams))
 	for i := range s.Config.Teams {
 		for _, h := range s.Config.Teams[i].KeyHashes {
@@ -65,7 +66,7 @@
 	}
 }
 
-func (s *Snapshot) indexSmall() {
+func (s *Snapshot) indexExceptTeams() {
 	c := s.Config
 	s.services = make(map[string]*Service, len(c.Services))
 	s.policies = make(map[string]*Policy, len(c.Policies))
@@ -87,19 +88,19 @@
 	}
 }
 
-// Service returns a service by name, nil if there is none.
+// Service returns a service by name, or nil if there is none.
 func (s *Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Policy returns the policy of a service; checked files always have it.
+// Policy returns the policy of a service. Load guarantees that it exists.
 func (s *Snapshot) Policy(svc *Service) *Policy { return s.policies[svc.Policy] }
 
 // Fleet returns the fleet of a service.
 func (s *Snapshot) Fleet(svc *Service) *Fleet { return s.fleets[svc.Fleet] }
 
-// Targets returns the declared targets of a fleet in the order of their names.
+// Targets returns the declared targets of a fleet, sorted by name.
 func (s *Snapshot) Targets(fleet string) []Target { return s.byFleet[fleet] }
 
-// Team returns a team by name, nil if there is none.
+// Team returns a team by name, or nil if there is none.
 func (s *Snapshot) Team(name string) *Team {
 	at, ok := slices.BinarySearchFunc(s.Config.Teams, name, func(t Team, name string) int { return cmp.Compare(t.Name, name) })
 	if !ok {
@@ -108,7 +109,7 @@
 	return &s.Config.Teams[at]
 }
 
-// Weight returns a team's share under contention.
+// Weight returns a team's share under contention, 1 for an unknown team.
 func (s *Snapshot) Weight(team string) int {
 	if t := s.Team(team); t != nil {
 		return t.Weight
@@ -116,12 +117,12 @@
 	return 1
 }
 
-// FleetOfTarget returns the fleet of a declared target, empty for any other name.
+// FleetOfTarget returns the fleet of a declared target, or "" for any other name.
 func (s *Snapshot) FleetOfTarget(target string) string { return s.fleetOf[target] }
 
-// TeamByKey returns the team that a key belongs to. The look-up is by the key's
-// hash, so its timing tells nothing about the key; the comparison of the stored
-// hash is in constant time all the same.
+// TeamByKey returns the team that owns a key, or nil. The map look-up uses the hash
+// of the key, so its timing reveals nothing about the key. The stored hash is
+// compared in constant time nevertheless.
 func (s *Snapshot) TeamByKey(key string) *Team {
 	hash := HashKey(key)
 	team := s.byKey[hash]
--- a/config/state.go
+++ b/config/state.go
@@ -7,21 +7,22 @@
 	"io"
 )
 
-// maxState bounds what a saved state may unpack to, in bytes.
-const maxState = 256 << 20
+// maxStateBytes limits the decompressed size of a saved state.
+const maxStateBytes = 256 << 20
 
-// snapshot handles a record of a saved state. Readers that know the state pass it
-// over; one that lost records starts from it and reads on from its Upto.
-func (f *Fold) snapshot(offset uint64, rec *Record) error {
+// foldSnapshotRecord handles a part or the commit of a snapshot. A reader that lost
+// records restores the snapshot and continues from its Upto. Other readers ignore
+// the snapshot.
+func (f *Fold) foldSnapshotRecord(offset uint64, rec *Record) error {
 	if rec.Kind == RecordSnapshotPart {
-		if !f.seeking {
+		if !f.awaitingSnapshot {
 			return nil
 		}
 		var part Part
 		if _, err := part.UnmarshalMsg(rec.Body); err != nil {
 			return fmt.Errorf("snapshot part: %w", err)
 		}
-		f.snapshots.add(offset, part)
+		f.snapshotParts.add(offset, part)
 		return nil
 	}
 	var c SnapshotCommit
@@ -31,26 +32,28 @@
 	if c.Upto > offset {
 		return fmt.Errorf("snapshot claims records up to %d, it stands at %d", c.Upto, offset)
 	}
-	f.snapshotAt = max(f.snapshotAt, c.Upto)
-	if !f.seeking {
+	f.snapshotOffset = max(f.snapshotOffset, c.Upto)
+	if !f.awaitingSnapshot {
 		return nil
 	}
-	saved := f.snapshots.take(c.ID, c.Parts, c.Digest)
-	if saved == nil || c.Upto < f.seekFrom {
-		return nil // parts were trimmed, or records after Upto were: wait for the next one
+	saved := f.snapshotParts.take(c.ID, c.Parts, c.Digest)
+	if saved == nil || c.Upto < f.firstKept {
+		return nil // parts, or records after Upto, were trimmed: wait for the next snapshot
 	}
 	return f.restore(saved)
 }
 
-// Save returns the one encoding of the state, compressed: hashes in hex halve.
+// Save returns the encoded and compressed state; equal states give equal bytes.
+// Compression halves key hashes in hex. Save fails while the fold needs a snapshot
+// and after it has stopped.
 func (f *Fold) Save() ([]byte, error) {
-	if f.seeking {
-		return nil, fmt.Errorf("no state to save: records are missing")
+	if f.awaitingSnapshot {
+		return nil, fmt.Errorf("no state to save: log records are missing, waiting for a snapshot")
 	}
-	if f.stopped != nil {
-		return nil, f.stopped
+	if f.stopErr != nil {
+		return nil, f.stopErr
 	}
-	st := State{Next: f.next, Outcomes: f.outcomes, Pending: f.pending.sets}
+	st := State{Next: f.next, Outcomes: f.outcomes, Pending: f.pendingParts.sets}
 	if s := f.current; s != nil {
 		st.Version, st.ID, st.Digest, st.Config = s.Version, s.ID, s.Digest, *s.Config
 	}
@@ -68,11 +71,11 @@
 	return compress(raw)
 }
 
-// Restore takes a peer's saved state if it is ahead of this one. It never goes
-// back, neither in the log's order nor in versions.
+// Restore adopts the saved state of a peer if it is ahead of this one. It never
+// goes back, neither in log offset nor in version.
 func (f *Fold) Restore(saved []byte) error {
-	if f.stopped != nil {
-		return f.stopped
+	if f.stopErr != nil {
+		return f.stopErr
 	}
 	return f.restore(saved)
 }
@@ -86,7 +89,7 @@
 	if _, err := st.UnmarshalMsg(raw); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	if !f.ahead(&st) {
+	if !f.isAhead(&st) {
 		return nil
 	}
 	if len(st.Extensions) != len(f.extensions) {
@@ -101,23 +104,24 @@
 		}
 	}
 	if st.Version > 0 && (f.current == nil || f.current.Version < st.Version) {
-		intern(&st.Config)
+		shareServiceLists(&st.Config)
 		f.current = NewSnapshot(st.Version, st.ID, st.Digest, &st.Config)
 	}
 	f.next, f.outcomes = st.Next, st.Outcomes
-	f.pending = partSet{sets: st.Pending}
-	f.seeking, f.snapshots = false, partSet{}
+	f.pendingParts = partBuffer{sets: st.Pending}
+	f.awaitingSnapshot, f.snapshotParts = false, partBuffer{}
 	return nil
 }
 
-// ahead reports whether a saved state has more than this fold. While seeking, the
-// own position says nothing, but versions still only grow.
-func (f *Fold) ahead(st *State) bool {
+// isAhead reports whether a saved state is newer than this fold. While the fold
+// awaits a snapshot, its own offset is meaningless, but the version must still not
+// decrease.
+func (f *Fold) isAhead(st *State) bool {
 	if f.current != nil && st.Version < f.current.Version {
 		return false
 	}
-	if f.seeking {
-		return st.Next >= f.seekFrom
+	if f.awaitingSnapshot {
+		return st.Next >= f.firstKept
 	}
 	return st.Next > f.next
 }
@@ -139,19 +143,20 @@
 
 func decompress(saved []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(saved))
-	raw, err := io.ReadAll(io.LimitReader(r, maxState+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxStateBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("unpack state: %w", err)
+		return nil, fmt.Errorf("decompress state: %w", err)
 	}
-	if len(raw) > maxState {
-		return nil, fmt.Errorf("state unpacks to more than %d bytes", maxState)
+	if len(raw) > maxStateBytes {
+		return nil, fmt.Errorf("saved state exceeds %d bytes decompressed", maxStateBytes)
 	}
 	return raw, nil
 }
 
-// intern lets teams with equal lists of services share one: most of 38,000 teams
-// use the same few, and each decoded copy costs a slice and its strings.
-func intern(c *Config) {
+// shareServiceLists lets teams with equal service lists share one slice. Most of
+// 38,000 teams use the same few lists, and each decoded copy costs a slice and its
+// strings.
+func shareServiceLists(c *Config) {
 	lists := make(map[string][]string)
 	for i := range c.Teams {
 		t := &c.Teams[i]
