--- a/config/load.go
+++ b/config/load.go
@@ -36,7 +36,7 @@
 // Load parses and validates files, a map from file name to text, and returns one
 // configuration.
 func Load(files map[string]string) (*Config, error) {
-	l := loader{config: new(Config), sections: make(map[string]*ini.Section)}
+	l := loader{config: new(Config), byTitle: make(map[string]*ini.Section)}
 	names := make([]string, 0, len(files))
 	for name := range files {
 		names = append(names, name)
@@ -59,9 +59,9 @@
 }
 
 type loader struct {
-	config   *Config
-	sections map[string]*ini.Section // by title
-	errs     ini.Errors
+	config  *Config
+	byTitle map[string]*ini.Section // sections loaded so far
+	errs    ini.Errors
 }
 
 func (l *loader) fail(sec *ini.Section, key, format string, args ...any) {
@@ -79,11 +79,11 @@
 		l.fail(sec, "", "has no name, write [%s NAME]", sec.Kind)
 		return
 	}
-	if first, ok := l.sections[sec.Title()]; ok {
+	if first, ok := l.byTitle[sec.Title()]; ok {
 		l.fail(sec, "", "given twice, first at %s:%d", first.File, first.Line)
 		return
 	}
-	l.sections[sec.Title()] = sec
+	l.byTitle[sec.Title()] = sec
 	c := l.config
 	switch sec.Kind {
 	case "fleet":
@@ -165,17 +165,17 @@
 
 // checkReference reports an error if the section that key refers to does not exist.
 func (l *loader) checkReference(kind, name, key, wantKind, want string) {
-	sec := l.sections[kind+" "+name]
+	sec := l.byTitle[kind+" "+name]
 	if sec == nil || want == "" {
 		return
 	}
-	if _, ok := l.sections[wantKind+" "+want]; !ok {
+	if _, ok := l.byTitle[wantKind+" "+want]; !ok {
 		l.fail(sec, key, "there is no [%s %s]", wantKind, want)
 	}
 }
 
 func (l *loader) checkKeyHashes(t Team) {
-	sec := l.sections["team "+t.Name]
+	sec := l.byTitle["team "+t.Name]
 	for _, h := range t.KeyHashes {
 		if len(h) != keyHashHexLen || strings.Trim(h, "0123456789abcdef") != "" {
 			l.fail(sec, "key-hash", "want the sha256 of a key as %d lower-case hex digits", keyHashHexLen)
--- a/config/sense.go
+++ b/config/sense.go
@@ -13,7 +13,7 @@
 	for _, p := range l.config.Policies {
 		// A repeated request that arrives while the first attempt still runs must find
 		// its key in the deduplication table.
-		if sec := l.sections["policy "+p.Name]; sec != nil && p.DedupWindow < p.Deadline {
+		if sec := l.byTitle["policy "+p.Name]; sec != nil && p.DedupWindow < p.Deadline {
 			l.fail(sec, "dedup-window", "%s is shorter than the deadline, %s", p.DedupWindow, p.Deadline)
 		}
 	}
@@ -23,7 +23,7 @@
 // checkGroup checks one rank group. Both maps are keyed by target; checkGroup adds
 // the ranks of g to groupOfTarget.
 func (l *loader) checkGroup(g *Group, fleetOfTarget, groupOfTarget map[string]string) {
-	sec := l.sections["group "+g.Name]
+	sec := l.byTitle["group "+g.Name]
 	for _, rank := range g.Ranks {
 		if fleet, known := fleetOfTarget[rank]; known && fleet != g.Fleet {
 			l.fail(sec, "ranks", "target %s belongs to fleet %s", rank, fleet)
@@ -45,7 +45,7 @@
 	for _, t := range l.config.Teams {
 		for _, h := range t.KeyHashes {
 			if other, taken := teamByHash[h]; taken {
-				l.fail(l.sections["team "+t.Name], "key-hash", "team %s has the same key", other)
+				l.fail(l.byTitle["team "+t.Name], "key-hash", "team %s has the same key", other)
 			}
 			teamByHash[h] = t.Name
 		}
--- a/config/state.go
+++ b/config/state.go
@@ -145,10 +145,10 @@
 	r := flate.NewReader(bytes.NewReader(saved))
 	raw, err := io.ReadAll(io.LimitReader(r, maxStateBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("decompress state: %w", err)
+		return nil, fmt.Errorf("unpack state: %w", err)
 	}
 	if len(raw) > maxStateBytes {
-		return nil, fmt.Errorf("saved state exceeds %d bytes decompressed", maxStateBytes)
+		return nil, fmt.Errorf("state unpacks to more than %d bytes", maxStateBytes)
 	}
 	return raw, nil
 }
