--- a/wire/accept.go
+++ b/wire/accept.go
@@ -10,16 +10,16 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Limits on a listener when an Acceptor names none.
+// Default limits of an Acceptor, in connections.
 const (
 	DefaultMaxConns   = 4096
-	DefaultMaxPending = 128
+	DefaultMaxPending = 128 // before the end of the hello exchange
 )
 
-// Acceptor serves a listener for other processes. It bounds the connections, and
-// apart from them those that have not said hello yet: strangers that connect
-// and stay silent then can't take the places of known peers for longer than the
-// hello's timeout.
+// Acceptor accepts connections from other processes on a listener. It limits the
+// number of connections, and separately those whose hello exchange is pending. An
+// unknown client that connects and sends nothing therefore occupies only a pending
+// slot, and for at most Options.HelloTimeout.
 type Acceptor struct {
 	Listener   net.Listener
 	Hello      Hello
@@ -27,47 +27,47 @@
 	Options    Options
 	MaxConns   int // zero: DefaultMaxConns
 	MaxPending int // zero: DefaultMaxPending
-	// Serve runs for each connection after the hello; the connection stays until
-	// it ends by itself. May be nil.
+	// Serve, if not nil, runs for each connection after the hello exchange. The
+	// connection stays open after Serve returns.
 	Serve func(c *Conn)
-	// Refused hears of connections that were not taken; may be nil.
+	// Refused, if not nil, is called for each refused connection with the reason.
 	Refused func(remote net.Addr, err error)
 }
 
-// acceptBackoff is the pause after a failed accept, for example when the process
-// has no file descriptor left.
+// acceptBackoff is the pause after a transient accept error, for example when the
+// process is out of file descriptors.
 const acceptBackoff = 50 * time.Millisecond
 
-// Run accepts until the listener is closed, then ends the connections that it
-// made and waits for them.
+// Run accepts connections until the listener is closed. It then closes the accepted
+// connections and waits for them to end.
 func (a *Acceptor) Run() {
 	setDefault(&a.MaxConns, DefaultMaxConns)
 	setDefault(&a.MaxPending, DefaultMaxPending)
 	stop := make(chan struct{})
-	places := make(chan struct{}, a.MaxConns)
-	pending := make(chan struct{}, a.MaxPending)
+	connSlots := make(chan struct{}, a.MaxConns)
+	handshakeSlots := make(chan struct{}, a.MaxPending)
 	var conns conc.WaitGroup
 	for {
 		nc, err := a.Listener.Accept()
-		if err != nil && mayAcceptAgain(err) {
+		if err != nil && isTransientAcceptError(err) {
 			time.Sleep(acceptBackoff)
 			continue
 		}
 		if err != nil {
 			break // the listener was closed
 		}
-		if !take(places) {
-			a.turnAway(nc, "connections", a.MaxConns)
+		if !tryAcquire(connSlots) {
+			a.rejectConn(nc, "connections", a.MaxConns)
 			continue
 		}
-		if !take(pending) {
-			<-places
-			a.turnAway(nc, "connections without a hello", a.MaxPending)
+		if !tryAcquire(handshakeSlots) {
+			<-connSlots
+			a.rejectConn(nc, "connections without a hello", a.MaxPending)
 			continue
 		}
 		conns.Go(func() {
-			defer func() { <-places }()
-			if c := a.greet(nc, pending); c != nil {
+			defer func() { <-connSlots }()
+			if c := a.handshake(nc, handshakeSlots); c != nil {
 				a.serve(c, stop)
 			}
 		})
@@ -76,42 +76,42 @@
 	conns.Wait()
 }
 
-func mayAcceptAgain(err error) bool {
+func isTransientAcceptError(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && !errors.Is(err, net.ErrClosed)
 }
 
-func take(places chan<- struct{}) bool {
+func tryAcquire(slots chan<- struct{}) bool {
 	select {
-	case places <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (a *Acceptor) turnAway(nc net.Conn, what string, limit int) {
-	_ = nc.Close() // the peer tries again
-	a.refused(nc, result.New(result.ConnsFull, "%d %s", limit, what))
+func (a *Acceptor) rejectConn(nc net.Conn, what string, limit int) {
+	_ = nc.Close() // the peer reconnects
+	a.reportRefused(nc, result.New(result.ConnsFull, "%d %s", limit, what))
 }
 
-func (a *Acceptor) refused(nc net.Conn, err error) {
+func (a *Acceptor) reportRefused(nc net.Conn, err error) {
 	if a.Refused != nil {
 		a.Refused(nc.RemoteAddr(), err)
 	}
 }
 
-func (a *Acceptor) greet(nc net.Conn, pending <-chan struct{}) *Conn {
-	defer func() { <-pending }()
+func (a *Acceptor) handshake(nc net.Conn, handshakeSlots <-chan struct{}) *Conn {
+	defer func() { <-handshakeSlots }()
 	c, err := Server(nc, a.Hello, a.Handler, a.Options)
 	if err != nil {
-		a.refused(nc, err)
+		a.reportRefused(nc, err)
 		return nil
 	}
 	return c
 }
 
-// serve runs a connection until it is done, or until the acceptor stops.
+// serve runs a connection until it ends or the acceptor stops.
 func (a *Acceptor) serve(c *Conn, stop <-chan struct{}) {
 	ended := make(chan struct{})
 	go func() {
--- a/wire/chunks.go
+++ b/wire/chunks.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// chunkSize is the size of pooled chunk buffers. Smaller chunks, such as single
-// tokens, are allocated to measure: a slow reader may hold a window full of
-// them, and each would pin a whole buffer.
+// chunkSize is the size of pooled chunk buffers, in bytes. Chunks smaller than half
+// of it, such as single tokens, are allocated at their own size: a slow reader can
+// hold a window full of them, and each would otherwise pin a whole buffer.
 const chunkSize = 8 << 10
 
 var chunkPool = sync.Pool{New: func() any { b := make([]byte, chunkSize); return &b }}
 
-// copyChunk returns a copy of p that its receiver owns.
+// copyChunk returns a copy of p, in a pooled buffer if p is large enough.
 func copyChunk(p []byte) []byte {
 	if len(p) < chunkSize/2 || len(p) > chunkSize {
 		return append([]byte(nil), p...)
@@ -18,9 +18,9 @@
 	return b[:copy(b, p)]
 }
 
-// Free takes the bytes of an Event back for another one. The caller must hold no
-// other reference to them. Nothing has to be freed: what is not goes to the
-// garbage collector.
+// Free returns the bytes of an Event to the buffer pool. The caller must hold no
+// other reference to them. Calling Free is optional: bytes that are not freed are
+// garbage collected.
 func Free(p []byte) {
 	if cap(p) != chunkSize {
 		return
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -16,110 +16,113 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Method names what a stream is opened for; Note names a one-way message.
 type (
-	// Method is the first byte of an Open frame.
+	// Method is the purpose of a stream, the first byte of an Open frame.
 	Method uint8
-	// Note is the first byte of a Note frame.
+	// Note is the type of a one-way message, the first byte of a Note frame.
 	Note uint8
 )
 
-// Methods.
+// Methods of this file.
 const (
 	MethodRequest Method = 1 // Request, answered by Answer and chunks
 )
 
-// Notes.
+// Notes of this file.
 const (
 	NoteLoad Note = 1 // Load
 )
 
-// Handler receives what a peer starts.
+// Handler handles the streams and notes of a peer.
 type Handler interface {
-	// ServeStream runs in a goroutine of its own for each opened stream. payload
-	// is owned by the callee.
+	// ServeStream runs in its own goroutine for each stream that the peer opens. The
+	// callee owns payload.
 	ServeStream(ctx context.Context, s *Stream, m Method, payload []byte)
-	// ServeNote runs in the connection's reader and must not block. payload is
-	// valid only during the call.
+	// ServeNote runs in the read loop of the connection and must not block. payload
+	// is valid only during the call.
 	ServeNote(c *Conn, n Note, payload []byte)
 }
 
-// Conn is one connection between two processes.
+// Conn is a connection between two processes that multiplexes streams and notes.
 type Conn struct {
-	nc      net.Conn
-	opts    Options
-	handler Handler
-	peer    Hello
-	out     chan *[]byte
-	queued  atomic.Int64 // frames in out, or taken from it and not yet written
-	// writing holds a token while bytes are written to nc. It is no mutex: one that
-	// waits for it must count as blocked in tests of virtual time, or the deadline
-	// that ends a stuck write never comes there.
-	writing chan struct{}
-	done    chan struct{}
-	cause   error // set before done is closed
+	nc        net.Conn
+	opts      Options
+	handler   Handler
+	peer      Hello
+	sendQueue chan *[]byte
+	unwritten atomic.Int64 // frames in sendQueue, or taken from it and not yet written
+	// writeToken is held while bytes are written to nc. It is a channel and not a
+	// mutex because a goroutine that waits for it must count as durably blocked in
+	// tests in virtual time. Otherwise the deadline that ends a blocked write is
+	// never reached there.
+	writeToken chan struct{}
+	done       chan struct{}
+	cause      error // set before done is closed
 
-	closeOnce sync.Once
-	mu        sync.Mutex
-	streams   map[uint64]*Stream
-	nextID    uint64
-	retired   bool   // no stream may be opened any more
-	accepted  int    // streams that the peer opened and that are still served
-	parity    uint64 // of this side's stream ids
-	duties    conc.WaitGroup
+	closeOnce    sync.Once
+	mu           sync.Mutex
+	streams      map[uint64]*Stream
+	nextID       uint64
+	noNewStreams bool   // Open fails from now on
+	peerStreams  int    // streams opened by the peer that are still served
+	idParity     uint64 // of the stream ids that this side assigns
+	loops        conc.WaitGroup
 }
 
 var framePool = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// pooledFrameMax keeps one large request from pinning memory in the pool.
-const pooledFrameMax = 64 << 10
+// maxPooledFrame is the largest buffer, in bytes, that is returned to framePool, so
+// that one large request does not pin memory.
+const maxPooledFrame = 64 << 10
 
-// Dial side and accept side use odd and even stream ids, so the two can't meet.
+// idStep is the distance between the stream ids of one side. The dialling side uses
+// odd ids and the accepting side even ids, so they cannot collide.
 const idStep = 2
 
-// Client starts the dialling side of nc: it sends hello and waits for the peer's.
+// Client starts the dialling side of nc. It sends a hello and waits for the hello of
+// the peer.
 func Client(nc net.Conn, hello Hello, h Handler, o Options) (*Conn, error) {
 	return start(nc, hello, h, o, 1)
 }
 
-// Server starts the accepting side of nc.
+// Server starts the accepting side of nc, with the same exchange as Client.
 func Server(nc net.Conn, hello Hello, h Handler, o Options) (*Conn, error) {
 	return start(nc, hello, h, o, 2)
 }
 
 func start(nc net.Conn, hello Hello, h Handler, o Options, firstID uint64) (*Conn, error) {
 	c := &Conn{
-		nc:      nc,
-		opts:    o.withDefaults(),
-		handler: h,
-		out:     make(chan *[]byte, outRing),
-		writing: make(chan struct{}, 1),
-		done:    make(chan struct{}),
-		streams: make(map[uint64]*Stream),
-		nextID:  firstID,
-		parity:  firstID % idStep,
+		nc:         nc,
+		opts:       o.withDefaults(),
+		handler:    h,
+		sendQueue:  make(chan *[]byte, sendQueueLen),
+		writeToken: make(chan struct{}, 1),
+		done:       make(chan struct{}),
+		streams:    make(map[uint64]*Stream),
+		nextID:     firstID,
+		idParity:   firstID % idStep,
 	}
 	hello.Schema, hello.Oldest = SchemaVersion, OldestSchema
 	hello.Window = uint32(c.opts.Window)
-	c.duties.Go(c.writeLoop)
-	fr, err := c.greet(&hello)
+	c.loops.Go(c.writeLoop)
+	fr, err := c.handshake(&hello)
 	if err != nil {
 		c.close(err)
-		c.duties.Wait()
+		c.loops.Wait()
 		return nil, err
 	}
-	c.duties.Go(func() { c.readLoop(fr) })
+	c.loops.Go(func() { c.readLoop(fr) })
 	return c, nil
 }
 
-// greet exchanges hellos. Until the peer is known, it can make this side read
-// no more than a small frame, and only for a short time.
-func (c *Conn) greet(hello *Hello) (*frameReader, error) {
+// handshake exchanges hellos. Until the peer has identified itself, this side reads
+// at most one frame of maxHello bytes and waits at most HelloTimeout.
+func (c *Conn) handshake(hello *Hello) (*frameReader, error) {
 	if err := c.nc.SetReadDeadline(time.Now().Add(c.opts.HelloTimeout)); err != nil {
 		return nil, fmt.Errorf("hello: %w", err)
 	}
-	// Not by this goroutine: over a transport without buffers, two sides that both
-	// write before they read would wait for each other.
+	// The hello is queued for the write loop and not written here: over a transport
+	// without buffers, two sides that both write before they read would deadlock.
 	bp, err := c.encode(KindHello, 0, nil, hello)
 	if err != nil {
 		return nil, err
@@ -133,10 +136,10 @@
 		return nil, fmt.Errorf("hello: %w", err)
 	}
 	fr.max = c.opts.MaxFrame
-	return fr, c.readHello(f)
+	return fr, c.checkHello(f)
 }
 
-func (c *Conn) readHello(f Frame) error {
+func (c *Conn) checkHello(f Frame) error {
 	if f.Kind != KindHello {
 		return result.New(result.WireMalformed, "first frame has kind %d, want hello", f.Kind)
 	}
@@ -156,15 +159,15 @@
 	return checkRole(c.nc, c.peer.Role)
 }
 
-// Peer returns what the other side said in its hello.
+// Peer returns the hello of the peer.
 func (c *Conn) Peer() Hello { return c.peer }
 
 // CloseIfIdle closes the connection if no stream is open, and reports whether it
-// did. A stream that is being opened either counts as open or is refused.
+// did. A concurrent Open either counts as an open stream or fails.
 func (c *Conn) CloseIfIdle() bool {
 	c.mu.Lock()
 	idle := len(c.streams) == 0
-	c.retired = c.retired || idle
+	c.noNewStreams = c.noNewStreams || idle
 	c.mu.Unlock()
 	if idle {
 		c.Close()
@@ -175,20 +178,20 @@
 // Done is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err returns why the connection ended; only valid after Done.
+// Err returns why the connection ended. It is valid only after Done is closed.
 func (c *Conn) Err() error { return c.cause }
 
-// Close ends the connection and all its streams and waits for its duties.
+// Close ends the connection and all its streams and waits for its goroutines.
 func (c *Conn) Close() {
 	c.close(errors.New("closed by this side"))
-	c.duties.Wait()
+	c.loops.Wait()
 }
 
 func (c *Conn) close(cause error) {
 	c.closeOnce.Do(func() {
 		c.cause = cause
 		close(c.done)
-		_ = c.nc.Close() // the connection is given up either way
+		_ = c.nc.Close() // the connection is unusable either way
 		c.mu.Lock()
 		streams := c.streams
 		c.streams = make(map[uint64]*Stream)
@@ -199,16 +202,16 @@
 	})
 }
 
-// Open starts a stream. An error means that no byte of it was handed to the
-// connection; afterwards only the peer knows how far it came.
+// Open starts a stream. If it fails, no byte of the stream was handed to the
+// connection. After a success only the peer knows how far the request got.
 func (c *Conn) Open(m Method, msg msgp.Marshaler) (*Stream, error) {
 	return c.OpenWatched(m, msg, nil)
 }
 
-// OpenWatched is Open with a watcher, which may be nil.
+// OpenWatched is Open with a Watcher, which may be nil.
 func (c *Conn) OpenWatched(m Method, msg msgp.Marshaler, w Watcher) (*Stream, error) {
 	c.mu.Lock()
-	if c.retired {
+	if c.noNewStreams {
 		c.mu.Unlock()
 		return nil, result.New(result.WireClosed, "connection to %s takes no new streams", c.peer.Name)
 	}
@@ -219,14 +222,14 @@
 	c.streams[id] = s
 	c.mu.Unlock()
 	if err := c.send(KindOpen, id, []byte{byte(m)}, msg); err != nil {
-		c.forget(id)
+		c.removeStream(id)
 		return nil, err
 	}
 	return s, nil
 }
 
-// SendNote sends a one-way message. It leaves the writing to the writer, so that
-// a handler may answer a note from within the reader.
+// SendNote queues a one-way message for the write loop, so that a handler can reply
+// to a note from within the read loop.
 func (c *Conn) SendNote(n Note, msg msgp.Marshaler) error {
 	bp, err := c.encode(KindNote, 0, []byte{byte(n)}, msg)
 	if err != nil {
@@ -235,14 +238,15 @@
 	return c.enqueue(bp)
 }
 
-// readLoop renews the deadline now and then: at each frame it would cost more
-// than the frame.
+// readLoop reads and dispatches frames until an error. It renews the read deadline
+// only deadlineRenewals times per PeerTimeout, because renewing it for each frame
+// would cost more than handling the frame.
 func (c *Conn) readLoop(fr *frameReader) {
 	var renewed time.Time
 	for {
 		now := time.Now()
 		var err error
-		if now.Sub(renewed) > c.opts.PeerTimeout/renewals {
+		if now.Sub(renewed) > c.opts.PeerTimeout/deadlineRenewals {
 			renewed = now
 			err = c.nc.SetReadDeadline(now.Add(c.opts.PeerTimeout))
 		}
@@ -257,11 +261,11 @@
 			c.close(fmt.Errorf("read: %w", err))
 			return
 		}
-		if cap(fr.buf) > pooledFrameMax {
+		if cap(fr.buf) > maxPooledFrame {
 			fr.buf = nil
 		}
 	}
 }
 
-// renewals of the read deadline within the time of silence that is allowed.
-const renewals = 16
+// deadlineRenewals is the number of renewals of the read deadline per PeerTimeout.
+const deadlineRenewals = 16
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -1,5 +1,6 @@
-// Package wire carries typed messages between heatherrail processes: msgpack in
-// length-prefixed frames, many streams over one TCP connection.
+// Package wire carries typed messages between heatherrail processes. Messages are
+// msgpack in length-prefixed frames, and one TCP connection multiplexes many
+// streams.
 package wire
 
 import (
@@ -10,19 +11,19 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Kind is the type of a frame. Numbers are part of the protocol.
+// Kind is the type of a frame. The numbers are part of the protocol.
 type Kind uint8
 
-// Frame kinds. Kinds from KindNote on carry no stream.
+// Frame kinds. Frames of kind KindNote and above belong to no stream.
 const (
-	KindHello   Kind = 1 // Hello, first in each direction
+	KindHello   Kind = 1 // Hello, the first frame in each direction
 	KindPing    Kind = 2 // empty, keeps the connection alive
 	KindOpen    Kind = 3 // method byte, then the method's request message
 	KindMessage Kind = 4 // message kind byte, then a typed message on a stream
 	KindData    Kind = 5 // array of sequence number and bytes
 	KindEnd     Kind = 6 // End
 	KindRefuse  Kind = 7 // Refusal, ends a stream
-	KindCancel  Kind = 8 // empty; the sender no longer wants the stream
+	KindCancel  Kind = 8 // empty; the sender abandons the stream
 	KindCredit  Kind = 9 // Credit
 	KindNote    Kind = 16
 )
@@ -30,18 +31,18 @@
 // Sizes of a frame, in bytes.
 const (
 	headerSize = 4 + 1 + 8
-	// DefaultMaxFrame bounds what one frame may ask a receiver to allocate.
+	// DefaultMaxFrame limits the payload that one frame makes a receiver allocate.
 	DefaultMaxFrame = 8 << 20
 )
 
-// Frame is one decoded frame. Payload is valid until the next read.
+// Frame is one decoded frame. Payload is valid until the next frame is read.
 type Frame struct {
 	Kind    Kind
 	Stream  uint64
 	Payload []byte
 }
 
-// frameReader reads frames into one buffer that it reuses.
+// frameReader reads frames into one reused buffer.
 type frameReader struct {
 	r      io.Reader
 	max    int
@@ -49,8 +50,8 @@
 	header [headerSize]byte
 }
 
-// next returns the next frame. The length is checked against the limit before
-// anything is allocated, so that four bytes from a stranger can't claim memory.
+// next returns the next frame. It checks the length against the limit before it
+// allocates, so that an unknown peer cannot claim memory with four bytes.
 func (fr *frameReader) next() (Frame, error) {
 	if _, err := io.ReadFull(fr.r, fr.header[:]); err != nil {
 		return Frame{}, err
@@ -80,7 +81,7 @@
 	return binary.BigEndian.AppendUint64(b, stream)
 }
 
-// endFrame fills in the length of the frame that begins at start.
+// endFrame sets the length of the frame that begins at start.
 func endFrame(b []byte, start int) []byte {
 	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-headerSize))
 	return b
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -13,8 +13,8 @@
 
 const fuzzMaxFrame = 64 << 10
 
-// FuzzFrame feeds bytes to the frame decoder: whatever they are, it allocates no
-// more than the limit and never reports a frame that was not sent whole.
+// FuzzFrame feeds arbitrary bytes to the frame decoder. It must allocate no more than
+// the limit and never return an incomplete frame.
 func FuzzFrame(f *testing.F) {
 	f.Add(raw(KindPing, 0))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 5, 0, 0, 0, 0, 0, 0, 0, 1, 0})
@@ -30,17 +30,16 @@
 			used += headerSize + len(frame.Payload)
 		}
 		if cap(fr.buf) > fuzzMaxFrame {
-			t.Fatalf("buffer of %d bytes", cap(fr.buf))
+			t.Fatalf("buffer of %d bytes exceeds the frame limit", cap(fr.buf))
 		}
 		if used > len(input) {
-			t.Fatalf("%d bytes of frames out of %d bytes", used, len(input))
+			t.Fatalf("decoded %d bytes of frames from %d bytes of input", used, len(input))
 		}
 	})
 }
 
-// FuzzReceive feeds frames to one stream: what waits in it stays within its
-// limits, and only bytes with the right count and digest look like a whole
-// answer.
+// FuzzReceive feeds arbitrary frames to one stream. Unread data must stay within the
+// limits, and only chunks with the correct count and digest may end with io.EOF.
 func FuzzReceive(f *testing.F) {
 	end := encoded(KindEnd, 1, &End{Chunks: 1, Digest: xxhash.Sum64(make([]byte, 10))})
 	f.Add(join(chunk(1, 0, 10), end))
@@ -49,7 +48,7 @@
 	f.Add(join(end, chunk(1, 0, 1)))
 	f.Add(encoded(KindRefuse, 1, &Refusal{Code: 203, Detail: "x"}))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		c := &Conn{opts: Options{Window: 1 << 10}.withDefaults(), done: make(chan struct{}), out: make(chan *[]byte, outRing)}
+		c := &Conn{opts: Options{Window: 1 << 10}.withDefaults(), done: make(chan struct{}), sendQueue: make(chan *[]byte, sendQueueLen)}
 		c.peer.Window = 1 << 10
 		s := newStream(c, 1)
 		fr := &frameReader{r: bytes.NewReader(input), max: fuzzMaxFrame}
@@ -58,15 +57,15 @@
 			if err != nil || frame.Kind < KindMessage || frame.Kind > KindCredit || s.receive(frame) != nil {
 				break
 			}
-			if s.pending > c.opts.Window || s.messages > maxMessages || s.credit > int(c.peer.Window) {
-				t.Fatalf("limits passed: %d bytes, %d messages, credit %d", s.pending, s.messages, s.credit)
+			if s.unread > c.opts.Window || s.unreadMessages > maxMessages || s.credit > int(c.peer.Window) {
+				t.Fatalf("limits exceeded: %d unread bytes, %d unread messages, credit %d", s.unread, s.unreadMessages, s.credit)
 			}
 		}
-		checkWhole(t, s)
+		checkComplete(t, s)
 	})
 }
 
-func checkWhole(t *testing.T, s *Stream) {
+func checkComplete(t *testing.T, s *Stream) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Unix(1, 0))
 	defer cancel()
 	digest := xxhash.New()
@@ -85,6 +84,6 @@
 		}
 	}
 	if chunks != s.recvSeq || digest.Sum64() != s.recvDigest.Sum64() {
-		t.Fatalf("a stream of %d chunks ended as whole after %d", s.recvSeq, chunks)
+		t.Fatalf("stream with %d received chunks ended with io.EOF after %d", s.recvSeq, chunks)
 	}
 }
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -13,56 +13,57 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Keys are a process's certificate and key and the authorities that it accepts.
-// They are read again when a file changes, so that they can be rotated without
-// a restart; a set that can't be read leaves the earlier one in use.
+// Keys holds the certificate and private key of a process and the certificate
+// authorities that it trusts. The files are reloaded when they change, so keys can
+// be rotated without a restart. If reloading fails, the previous keys stay in use.
 type Keys struct {
-	files   [3]string // certificate, key, authorities
-	mu      sync.Mutex
-	stamp   [3]time.Time
-	loaded  *tls.Config
-	problem error
+	files    [3]string // certificate, key, authorities
+	mu       sync.Mutex
+	modTimes [3]time.Time
+	current  *tls.Config
+	loadErr  error
 }
 
-// LoadKeys reads PEM files: certificate chain, private key, authorities.
+// LoadKeys reads three PEM files: certificate chain, private key and authorities.
 func LoadKeys(cert, key, ca string) (*Keys, error) {
 	k := &Keys{files: [3]string{cert, key, ca}}
 	k.refresh()
-	if k.loaded == nil {
-		return nil, k.problem
+	if k.current == nil {
+		return nil, k.loadErr
 	}
 	return k, nil
 }
 
-// Problem returns why the newest files could not be read, nil if they are in use.
+// Problem returns why the current files could not be loaded, or nil if they are in
+// use.
 func (k *Keys) Problem() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.problem
+	return k.loadErr
 }
 
-// refresh returns the newest usable configuration.
+// refresh reloads changed files and returns the newest usable configuration.
 func (k *Keys) refresh() *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var stamp [3]time.Time
+	var modTimes [3]time.Time
 	for i, name := range k.files {
 		info, err := os.Stat(name)
 		if err != nil {
-			k.problem = fmt.Errorf("tls: %w", err)
-			return k.loaded
+			k.loadErr = fmt.Errorf("tls: %w", err)
+			return k.current
 		}
-		stamp[i] = info.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	if k.loaded != nil && stamp == k.stamp {
-		return k.loaded
+	if k.current != nil && modTimes == k.modTimes {
+		return k.current
 	}
 	loaded, err := readKeys(k.files)
-	k.problem = err
+	k.loadErr = err
 	if err == nil {
-		k.loaded, k.stamp = loaded, stamp
+		k.current, k.modTimes = loaded, modTimes
 	}
-	return k.loaded
+	return k.current
 }
 
 func readKeys(files [3]string) (*tls.Config, error) {
@@ -84,7 +85,7 @@
 		RootCAs:      pool,
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// A resumed session would go on under an authority that was withdrawn.
+		// A resumed session would remain valid after its authority was removed.
 		SessionTicketsDisabled: true,
 	}, nil
 }
@@ -95,8 +96,8 @@
 	return c
 }
 
-// clientConfig verifies the peer's chain by itself: processes are dialled by IP
-// number, and their certificates name roles, not addresses.
+// clientConfig verifies the certificate chain of the peer without its host name:
+// processes are dialled by IP address, and their certificates name roles.
 func (k *Keys) clientConfig() *tls.Config {
 	c := k.refresh().Clone()
 	c.InsecureSkipVerify = true // replaced by VerifyConnection
@@ -108,7 +109,7 @@
 
 func verifyChain(certs []*x509.Certificate, roots *x509.CertPool) error {
 	if len(certs) == 0 {
-		return errors.New("the peer shows no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	opts := x509.VerifyOptions{Roots: roots, Intermediates: x509.NewCertPool()}
 	for _, c := range certs[1:] {
@@ -120,17 +121,16 @@
 	return nil
 }
 
-// RoleName is the DNS name that a certificate must carry for its holder to act
-// in a role.
+// RoleName returns the DNS name that a certificate must carry to authorise a role.
 func RoleName(role string) string { return role + ".heatherrail" }
 
-// checkRole compares the role that a peer claims with its certificate. Without
-// it the key of any target VM would open the whole system: its holder could act
-// as an entry towards all other targets.
+// checkRole verifies that the certificate of the peer authorises the role in its
+// hello. Without this check, the holder of the key of any target VM could act as an
+// entry towards all other targets.
 func checkRole(nc net.Conn, role string) error {
 	tc, ok := nc.(*tls.Conn)
 	if !ok {
-		return nil // plain, so on loopback
+		return nil // plain TCP, allowed on loopback only
 	}
 	certs := tc.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
--- a/wire/malformed_test.go
+++ b/wire/malformed_test.go
@@ -11,15 +11,15 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// holder keeps streams open until the connection ends.
-type holder struct{}
+// blockingHandler keeps streams open until the connection ends.
+type blockingHandler struct{}
 
-func (holder) ServeStream(ctx context.Context, s *Stream, _ Method, _ []byte) {
+func (blockingHandler) ServeStream(ctx context.Context, s *Stream, _ Method, _ []byte) {
 	<-ctx.Done()
 }
-func (holder) ServeNote(*Conn, Note, []byte) {}
+func (blockingHandler) ServeNote(*Conn, Note, []byte) {}
 
-// raw is a frame that no correct peer needs to be able to build.
+// raw returns a frame with any payload, valid or not.
 func raw(kind Kind, stream uint64, payload ...byte) []byte {
 	b := beginFrame(nil, kind, stream)
 	return endFrame(append(b, payload...), 0)
@@ -55,13 +55,13 @@
 	return all
 }
 
-// serveRaw starts the accepting side and plays bytes into it after a hello; it
-// returns the connection once it has ended.
+// serveRaw starts the accepting side, sends it a hello and input, and returns the
+// connection and its error once it has ended.
 func serveRaw(t testing.TB, hello Hello, o Options, input []byte) (*Conn, error) {
 	t.Helper()
 	a, b := net.Pipe()
 	defer func() { _ = a.Close() }()
-	go func() { // the answers are of no interest, but must not block the writer
+	go func() { // discard the output, which must not block the write loop
 		buf := make([]byte, 4<<10)
 		for {
 			if _, err := a.Read(buf); err != nil {
@@ -71,9 +71,9 @@
 	}()
 	go func() {
 		hello.Schema = SchemaVersion
-		_, _ = a.Write(append(encoded(KindHello, 0, &hello), input...)) // the reader may stop early
+		_, _ = a.Write(append(encoded(KindHello, 0, &hello), input...)) // the accepting side may close early
 	}()
-	c, err := Server(b, Hello{Name: "server"}, holder{}, o)
+	c, err := Server(b, Hello{Name: "server"}, blockingHandler{}, o)
 	if err != nil {
 		return nil, err
 	}
@@ -82,11 +82,11 @@
 	return c, c.Err()
 }
 
-// A peer that breaks the protocol loses its connection with a numbered reason;
-// nothing that it claims is allocated, and the process goes on.
-func TestPeerThatBreaksTheProtocolLosesItsConnection(t *testing.T) {
+// A faulty or hostile peer sends malformed frames. Its connection must end with the
+// matching result code, without a panic or a large allocation.
+func TestProtocolViolationClosesTheConnection(t *testing.T) {
 	open := raw(KindOpen, 1, byte(MethodRequest))
-	end := encoded(KindEnd, 1, &End{Digest: 0xef46db3751d8e999}) // of no bytes
+	end := encoded(KindEnd, 1, &End{Digest: 0xef46db3751d8e999}) // digest of no bytes
 	cases := []struct {
 		name  string
 		input []byte
@@ -101,16 +101,16 @@
 		{"stream id zero", raw(KindOpen, 0, byte(MethodRequest)), result.WireMalformed},
 		{"stream opened twice", join(open, open), result.WireMalformed},
 		{"empty message", join(open, raw(KindMessage, 1)), result.WireMalformed},
-		{"messages without end", join(open, times(maxMessages+1, raw(KindMessage, 1, 1))), result.WireFlowControl},
-		{"large messages without end", join(open, times(3, raw(KindMessage, 1, make([]byte, maxMessageBytes/2)...))), result.WireFlowControl},
+		{"too many messages", join(open, times(maxMessages+1, raw(KindMessage, 1, 1))), result.WireFlowControl},
+		{"too many bytes of messages", join(open, times(3, raw(KindMessage, 1, make([]byte, maxMessageBytes/2)...))), result.WireFlowControl},
 		{"chunk beyond the window", join(open, chunk(1, 0, DefaultWindow+1)), result.WireFlowControl},
 		{"empty chunk", join(open, chunk(1, 0, 0)), result.WireMalformed},
-		{"chunk that is no array", join(open, raw(KindData, 1, 0xc0)), result.WireMalformed},
-		{"chunk cut short", join(open, raw(KindData, 1, 0x92, 0x00, 0xc6, 0xff, 0xff, 0xff, 0xff)), result.WireMalformed},
-		{"credit never granted", join(open, encoded(KindCredit, 1, &Credit{Bytes: 1})), result.WireFlowControl},
+		{"chunk that is not an array", join(open, raw(KindData, 1, 0xc0)), result.WireMalformed},
+		{"truncated chunk", join(open, raw(KindData, 1, 0x92, 0x00, 0xc6, 0xff, 0xff, 0xff, 0xff)), result.WireMalformed},
+		{"credit beyond the window", join(open, encoded(KindCredit, 1, &Credit{Bytes: 1})), result.WireFlowControl},
 		{"frame after the end", join(open, end, chunk(1, 0, 1)), result.WireMalformed},
 		{"second end", join(open, end, end), result.WireMalformed},
-		{"refusal that is no map", join(open, raw(KindRefuse, 1, 0xc1)), result.WireMalformed},
+		{"refusal that is not a map", join(open, raw(KindRefuse, 1, 0xc1)), result.WireMalformed},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestHelloIsBoundedAndChecked(t *testing.T) {
+func TestInvalidHelloIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	_, err := serveRaw(t, Hello{Name: string(make([]byte, maxHello))}, Options{}, nil)
 	g.Expect(result.From(err).Code).To(Equal(result.WireFrameTooLarge))
@@ -131,19 +131,19 @@
 	g.Expect(result.From(err).Code).To(Equal(result.WireSchema))
 }
 
-// A peer opens streams without end. Those beyond the limit are refused as "not
-// run"; those within it stay.
+// A peer opens more streams than MaxStreams. The excess stream must be refused as not
+// run, and the others must stay open.
 func TestStreamsBeyondTheLimitAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	a, b := net.Pipe()
 	servers := make(chan *Conn, 1)
 	go func() {
-		c, err := Server(b, Hello{}, holder{}, Options{MaxStreams: 2})
+		c, err := Server(b, Hello{}, blockingHandler{}, Options{MaxStreams: 2})
 		if err == nil {
 			servers <- c
 		}
 	}()
-	c, err := Client(a, Hello{}, holder{}, Options{})
+	c, err := Client(a, Hello{}, blockingHandler{}, Options{})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	server := <-servers
@@ -159,5 +159,5 @@
 	g.Expect(result.From(err).Run()).To(Equal(result.RunNot))
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	g.Expect(server.accepted).To(Equal(2))
+	g.Expect(server.peerStreams).To(Equal(2))
 }
--- a/wire/network.go
+++ b/wire/network.go
@@ -10,13 +10,13 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Network makes the connections between processes: mutual TLS with Keys, or
-// plain TCP without them, which works on loopback only.
+// Network makes connections between processes. With Keys it uses mutual TLS;
+// without Keys it uses plain TCP and accepts loopback addresses only.
 type Network struct {
 	Keys *Keys // nil: plain TCP
 }
 
-// Check refuses an address that may not be used without keys.
+// Check returns an error if addr is not on loopback and there are no keys.
 func (n *Network) Check(addr string) error {
 	if n.Keys != nil {
 		return nil
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Listen opens a listener for other processes.
+// Listen opens a listener for connections from other processes.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	if err := n.Check(addr); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return tls.NewListener(ln, n.Keys.serverConfig()), nil
 }
 
-// Dial connects to another process. With keys it returns after the handshake.
+// Dial connects to another process. With keys it returns after the TLS handshake.
 func (n *Network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	if err := n.Check(addr); err != nil {
 		return nil, err
--- a/wire/network_test.go
+++ b/wire/network_test.go
@@ -40,7 +40,8 @@
 	return a
 }
 
-// listen runs an acceptor and returns its address and what it refuses.
+// listen runs an acceptor and returns its address and the errors of refused
+// connections.
 func listen(t *testing.T, n *wire.Network, a wire.Acceptor) (string, <-chan error) {
 	t.Helper()
 	ln, err := n.Listen("127.0.0.1:0")
@@ -70,7 +71,7 @@
 	return c, err
 }
 
-func TestPlainTCPIsRefusedOffLoopback(t *testing.T) {
+func TestPlainTCPIsRefusedForNonLoopbackAddresses(t *testing.T) {
 	g := NewWithT(t)
 	plain := new(wire.Network)
 	_, err := plain.Listen("0.0.0.0:0")
@@ -81,35 +82,34 @@
 	g.Expect((&wire.Network{Keys: new(wire.Keys)}).Check("192.0.2.1:7000")).To(Succeed())
 }
 
-// A process gets in only with a certificate of the right authority for the role
-// that it claims. A target VM's key that has leaked would otherwise let its
-// holder give work to every other target, as if it were an entry.
-func TestMutualTLS(t *testing.T) {
-	ours, foreign := authority(t), authority(t)
-	agentKeys, _ := keys(t, ours, wire.RoleAgent)
-	entryKeys, _ := keys(t, ours, wire.RoleEntry)
-	strangerKeys, _ := keys(t, foreign, wire.RoleEntry)
+// A leaked key of a target VM must not let its holder act as an entry towards other
+// targets: the certificate must come from the authority and authorise the role.
+func TestMutualTLSChecksAuthorityAndRole(t *testing.T) {
+	ownCA, foreignCA := authority(t), authority(t)
+	agentKeys, _ := keys(t, ownCA, wire.RoleAgent)
+	entryKeys, _ := keys(t, ownCA, wire.RoleEntry)
+	foreignKeys, _ := keys(t, foreignCA, wire.RoleEntry)
 	accepted := make(chan struct{}, 1)
 	addr, refused := listen(t, &wire.Network{Keys: agentKeys}, wire.Acceptor{
 		Hello: wire.Hello{Name: "t", Role: wire.RoleAgent},
 		Serve: func(*wire.Conn) { accepted <- struct{}{} },
 	})
 
-	t.Run("right key and role", func(t *testing.T) {
+	t.Run("valid certificate and role", func(t *testing.T) {
 		g := NewWithT(t)
 		c, err := dial(t, &wire.Network{Keys: entryKeys}, addr, wire.RoleEntry)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(c.Peer().Name).To(Equal("t"))
-		<-accepted // else the next case may read that this one hung up early
+		<-accepted // otherwise the next case could receive an error of this connection
 	})
-	t.Run("role that the certificate lacks", func(t *testing.T) {
+	t.Run("role not in the certificate", func(t *testing.T) {
 		g := NewWithT(t)
 		_, _ = dial(t, &wire.Network{Keys: agentKeys}, addr, wire.RoleEntry)
 		g.Expect(result.From(<-refused).Code).To(Equal(result.WireRole))
 	})
 	t.Run("foreign authority", func(t *testing.T) {
 		g := NewWithT(t)
-		_, err := dial(t, &wire.Network{Keys: strangerKeys}, addr, wire.RoleEntry)
+		_, err := dial(t, &wire.Network{Keys: foreignKeys}, addr, wire.RoleEntry)
 		g.Expect(err).To(MatchError(ContainSubstring("unknown authority")))
 		<-refused
 	})
@@ -121,37 +121,37 @@
 	})
 }
 
-// Keys are rotated without a restart: the operator replaces the files, first
-// broken by mistake, then right. The broken ones must not take the old away.
-func TestKeysAreReadAgainWhenTheirFilesChange(t *testing.T) {
+// The operator rotates keys without a restart, first with an invalid file, then with a
+// valid set. The invalid file must not replace the keys in use.
+func TestChangedKeyFilesAreReloaded(t *testing.T) {
 	g := NewWithT(t)
-	old, next := authority(t), authority(t)
-	serverKeys, files := keys(t, old, wire.RoleAgent)
+	oldCA, newCA := authority(t), authority(t)
+	serverKeys, files := keys(t, oldCA, wire.RoleAgent)
 	addr, refused := listen(t, &wire.Network{Keys: serverKeys}, wire.Acceptor{Hello: wire.Hello{Role: wire.RoleAgent}})
-	oldEntry, _ := keys(t, old, wire.RoleEntry)
-	nextEntry, _ := keys(t, next, wire.RoleEntry)
+	oldEntryKeys, _ := keys(t, oldCA, wire.RoleEntry)
+	newEntryKeys, _ := keys(t, newCA, wire.RoleEntry)
 
 	later := time.Now().Add(time.Minute)
 	g.Expect(os.WriteFile(files.Cert, []byte("broken"), 0o600)).To(Succeed())
 	g.Expect(os.Chtimes(files.Cert, later, later)).To(Succeed())
-	_, err := dial(t, &wire.Network{Keys: oldEntry}, addr, wire.RoleEntry)
+	_, err := dial(t, &wire.Network{Keys: oldEntryKeys}, addr, wire.RoleEntry)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serverKeys.Problem()).To(HaveOccurred())
 
 	dir := files.Cert[:len(files.Cert)-len("/cert.pem")]
-	_, err = next.Write(dir, wire.RoleName(wire.RoleAgent))
+	_, err = newCA.Write(dir, wire.RoleName(wire.RoleAgent))
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = dial(t, &wire.Network{Keys: nextEntry}, addr, wire.RoleEntry)
+	_, err = dial(t, &wire.Network{Keys: newEntryKeys}, addr, wire.RoleEntry)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serverKeys.Problem()).NotTo(HaveOccurred())
-	_, err = dial(t, &wire.Network{Keys: oldEntry}, addr, wire.RoleEntry)
+	_, err = dial(t, &wire.Network{Keys: oldEntryKeys}, addr, wire.RoleEntry)
 	g.Expect(err).To(HaveOccurred())
 	<-refused
 }
 
-// Strangers connect and say nothing. They are dropped after the hello's timeout
-// and meanwhile hold only the places meant for them; known peers stay.
-func TestSilentStrangersAreBounded(t *testing.T) {
+// Clients connect and never send a hello. They may use only the pending slots until
+// HelloTimeout, and must not disturb connected peers.
+func TestConnectionsWithoutHelloAreLimited(t *testing.T) {
 	g := NewWithT(t)
 	n := new(wire.Network)
 	addr, refused := listen(t, n, wire.Acceptor{
@@ -159,21 +159,21 @@
 		MaxPending: 2,
 		Options:    wire.Options{HelloTimeout: 200 * time.Millisecond},
 	})
-	known, err := dial(t, n, addr, wire.RoleEntry)
+	connected, err := dial(t, n, addr, wire.RoleEntry)
 	g.Expect(err).NotTo(HaveOccurred())
 	for range 8 {
 		nc, err := net.Dial("tcp", addr)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = nc.Close() }()
 	}
-	turnedAway := 0
+	overLimit := 0
 	for range 8 {
 		if result.From(<-refused).Code == result.ConnsFull {
-			turnedAway++
+			overLimit++
 		}
 	}
-	g.Expect(turnedAway).To(BeNumerically(">=", 1))
-	g.Expect(known.SendNote(wire.NoteLoad, &wire.Load{})).To(Succeed())
+	g.Expect(overLimit).To(BeNumerically(">=", 1))
+	g.Expect(connected.SendNote(wire.NoteLoad, &wire.Load{})).To(Succeed())
 	_, err = dial(t, n, addr, wire.RoleEntry)
 	g.Expect(err).NotTo(HaveOccurred())
 }
--- a/wire/options.go
+++ b/wire/options.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Options tune a connection and bound what its peer may claim.
+// Options configures a connection and limits the resources that its peer can claim.
 type Options struct {
 	MaxFrame     int           // bytes; zero: DefaultMaxFrame
-	Window       int           // bytes a peer may send on a stream before credit; zero: DefaultWindow
+	Window       int           // bytes that the peer may send on a stream without further credit; zero: DefaultWindow
 	MaxStreams   int           // streams that the peer may have open at once; zero: DefaultMaxStreams
-	PingEvery    time.Duration // zero: one second
-	PeerTimeout  time.Duration // a peer silent, or not reading, for this long is lost; zero: four seconds
-	HelloTimeout time.Duration // TLS and hello take at most this long; zero: five seconds
+	PingEvery    time.Duration // ping interval; zero: one second
+	PeerTimeout  time.Duration // the connection fails after this long without a frame from the peer, or with a blocked write; zero: four seconds
+	HelloTimeout time.Duration // limit for the TLS handshake and the hello exchange; zero: five seconds
 }
 
 // Defaults of Options.
@@ -17,17 +17,18 @@
 	DefaultWindow       = 32 << 10
 	DefaultMaxStreams   = 4096
 	defaultPingEvery    = time.Second
-	defaultSilence      = 4 * time.Second
+	defaultPeerTimeout  = 4 * time.Second
 	defaultHelloTimeout = 5 * time.Second
 )
 
 const (
-	outRing     = 256 // frames that wait for the writer
-	readBuffer  = 32 << 10
-	writeBuffer = 32 << 10
-	// maxHello bounds the only frame that a peer may send before it is known.
+	sendQueueLen = 256      // frames
+	readBuffer   = 32 << 10 // bytes
+	writeBuffer  = 32 << 10 // bytes
+	// maxHello limits the hello, in bytes: the only frame that is read from a peer
+	// before it has identified itself.
 	maxHello = 4 << 10
-	// maxWindow bounds what a peer's hello may ask this side to have in flight.
+	// maxWindow limits the window, in bytes, that the hello of a peer may request.
 	maxWindow = 16 << 20
 )
 
@@ -36,7 +37,7 @@
 	setDefault(&o.Window, DefaultWindow)
 	setDefault(&o.MaxStreams, DefaultMaxStreams)
 	setDefault(&o.PingEvery, defaultPingEvery)
-	setDefault(&o.PeerTimeout, defaultSilence)
+	setDefault(&o.PeerTimeout, defaultPeerTimeout)
 	setDefault(&o.HelloTimeout, defaultHelloTimeout)
 	return o
 }
--- a/wire/receive.go
+++ b/wire/receive.go
@@ -6,8 +6,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// dispatch hands a frame to its stream. An error ends the connection: the peer
-// has broken the protocol and nothing it says later can be trusted.
+// dispatch handles one frame. An error ends the connection: after a protocol
+// violation no later frame of the peer can be trusted.
 func (c *Conn) dispatch(f Frame) error {
 	switch f.Kind {
 	case KindPing:
@@ -21,7 +21,7 @@
 	case KindOpen:
 		return c.accept(f)
 	case KindMessage, KindData, KindEnd, KindRefuse, KindCancel, KindCredit:
-		// A frame for a stream that this side has left is late, not wrong.
+		// A frame for a stream that this side has closed is late, not a violation.
 		if s := c.stream(f.Stream); s != nil {
 			return s.receive(f)
 		}
@@ -31,24 +31,24 @@
 	}
 }
 
-// accept takes a stream that the peer opens. The count of such streams bounds
-// the goroutines and payloads that a peer can make this side hold.
+// accept starts a stream that the peer opens. MaxStreams limits the goroutines and
+// payloads that a peer can make this side hold.
 func (c *Conn) accept(f Frame) error {
 	if len(f.Payload) == 0 {
 		return result.New(result.WireMalformed, "empty open")
 	}
-	if f.Stream == 0 || f.Stream%idStep == c.parity {
-		// A peer that used this side's ids could put its frames into a stream that
+	if f.Stream == 0 || f.Stream%idStep == c.idParity {
+		// With an id of this side the peer could inject frames into a stream that
 		// this side opens later.
 		return result.New(result.WireMalformed, "stream id %d is not the peer's to use", f.Stream)
 	}
 	s := newStream(c, f.Stream)
 	c.mu.Lock()
 	_, taken := c.streams[f.Stream]
-	full := c.accepted >= c.opts.MaxStreams
+	full := c.peerStreams >= c.opts.MaxStreams
 	if !taken && !full {
 		c.streams[f.Stream] = s
-		c.accepted++
+		c.peerStreams++
 	}
 	c.mu.Unlock()
 	switch {
@@ -63,7 +63,7 @@
 }
 
 func (c *Conn) serveStream(s *Stream, m Method, payload []byte) {
-	defer c.leaveAccepted()
+	defer c.releasePeerStream()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	s.onCancel(cancel)
@@ -71,14 +71,15 @@
 	s.Close()
 }
 
-func (c *Conn) leaveAccepted() {
+func (c *Conn) releasePeerStream() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.accepted--
+	c.peerStreams--
 }
 
-// refuseOpen answers an open beyond the limit. The reader must not wait for the
-// writer here: with both rings full the two readers would wait for each other.
+// refuseOpen refuses a stream beyond MaxStreams. The read loop must not block on a
+// full send queue here: if the queues of both sides are full, their read loops would
+// deadlock. A full queue ends the connection instead.
 func (c *Conn) refuseOpen(id uint64) error {
 	err := result.New(result.WireStreams, "%d streams are open", c.opts.MaxStreams)
 	r := Refusal{Code: uint16(err.Code), Detail: err.Detail, RetryAfterMs: err.Wait().Milliseconds()}
@@ -86,9 +87,9 @@
 	if encodeErr != nil {
 		return encodeErr
 	}
-	c.queued.Add(1)
+	c.unwritten.Add(1)
 	select {
-	case c.out <- bp:
+	case c.sendQueue <- bp:
 		return nil
 	default:
 		return err
@@ -101,7 +102,7 @@
 	return c.streams[id]
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) removeStream(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, id)
--- a/wire/schema.go
+++ b/wire/schema.go
@@ -4,11 +4,11 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// SchemaVersion is the newest message schema that this build speaks; peers
-// agree on the lower of their two versions, if both still speak it.
+// SchemaVersion is the newest message schema version of this build. Two peers use
+// the lower of their versions if both still support it.
 const SchemaVersion = 1
 
-// OldestSchema is the oldest schema version that this build still speaks.
+// OldestSchema is the oldest schema version that this build supports.
 const OldestSchema = 1
 
 // Hello is the first frame in each direction of a connection.
@@ -19,7 +19,7 @@
 	Role        string `msg:"r"` // RoleEntry, RoleAgent or RoleTool
 	Incarnation uint64 `msg:"i"` // new at each process start
 	DataCentre  string `msg:"d"`
-	Window      uint32 `msg:"w"` // bytes of chunks a stream may have in flight towards the sender; zero: DefaultWindow
+	Window      uint32 `msg:"w"` // chunk bytes that a stream may have in flight towards the sender of the hello; zero: DefaultWindow
 }
 
 // Roles of processes in Hello.
@@ -29,7 +29,7 @@
 	RoleTool  = "tool"
 )
 
-// Header is one HTTP header of a relayed request or answer.
+// Header is one HTTP header of a relayed request or response.
 //
 //msgp:tuple Header
 type Header struct {
@@ -51,40 +51,41 @@
 	Priority      int8     `msg:"pr"` // higher runs first
 	DeadlineMs    int64    `msg:"de"` // milliseconds left when the frame was sent
 	ConfigVersion uint64   `msg:"cv"`
-	AgentInc      uint64   `msg:"ai"` // incarnation that the entry believes it speaks to
-	Suspect       bool     `msg:"su"` // must run alone
-	Fingerprint   uint64   `msg:"fp"` // names the caller's request over its tries and continuations
-	AttachOnly    bool     `msg:"ao"` // not repeatable: join an earlier try, start nothing
-	DedupMs       int64    `msg:"dw"` // not repeatable: milliseconds for which the key is remembered
-	DedupKeys     int      `msg:"dk"` // not repeatable: how many keys a target remembers at most
+	AgentInc      uint64   `msg:"ai"` // incarnation of the agent that the entry addresses
+	Suspect       bool     `msg:"su"` // crash suspect: must run alone on its engine
+	Fingerprint   uint64   `msg:"fp"` // identifies the request of the caller across attempts and continuations
+	AttachOnly    bool     `msg:"ao"` // not repeatable: attach to an earlier attempt, start no new one
+	DedupMs       int64    `msg:"dw"` // not repeatable: milliseconds for which the key stays in the deduplication table
+	DedupKeys     int      `msg:"dk"` // not repeatable: limit of keys in the deduplication table of a target
 	Sched         Sched    `msg:"sc"`
 }
 
-// Answer is the first message of a running request's stream.
+// Answer carries the status and headers of a response. It is the first message on
+// the stream of a running request.
 type Answer struct {
 	Status  int      `msg:"st"`
 	Headers []Header `msg:"he"`
 	Target  string   `msg:"ta"`
-	Model   string   `msg:"mo"` // model version that produces the answer
-	Replay  bool     `msg:"rp"` // a kept answer of an earlier try
+	Model   string   `msg:"mo"` // model version that generates the response
+	Replay  bool     `msg:"rp"` // stored response of an earlier attempt
 }
 
-// Refusal ends a stream without an answer.
+// Refusal ends a stream without a response.
 type Refusal struct {
 	Code         uint16 `msg:"c"`
 	Detail       string `msg:"d"`
 	RetryAfterMs int64  `msg:"r"`
 }
 
-// End closes one direction of a stream. A receiver compares count and digest
-// with what arrived, so a lost, doubled or foreign chunk can't pass for a whole
-// answer.
+// End closes one direction of a stream. The receiver compares count and digest with
+// the received chunks, so a response with a lost, duplicated or foreign chunk is not
+// taken for a complete one.
 //
 //msgp:tuple End
 type End struct {
 	Chunks uint64
 	Digest uint64 // xxhash64 of all chunk bytes
-	Code   uint16 // result code; not zero: the answer is incomplete
+	Code   uint16 // result code; nonzero: the response is incomplete
 	Detail string
 }
 
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -15,8 +15,8 @@
 // Notes of configuration and control.
 const (
 	NoteAgentConfig  Note = 20 // AgentConfig, entry to agent
-	NoteHeartbeat    Note = 21 // Heartbeat, entry to the few of its data centre
-	NoteSilentReport Note = 22 // SilentReport, the few to the entries of their data centre
+	NoteHeartbeat    Note = 21 // Heartbeat, entry to the observers of its data centre
+	NoteSilentReport Note = 22 // SilentReport, observer to the entries of its data centre
 	NoteSummary      Note = 23 // Summary, between data centres
 )
 
@@ -30,24 +30,24 @@
 // TailRequest asks a peer for log records from an offset on.
 type TailRequest struct {
 	From   uint64 `msg:"f"`
-	Cold   bool   `msg:"c"` // no state yet: send the whole one
-	WaitMs int64  `msg:"w"` // how long to wait for the first record
+	Cold   bool   `msg:"c"` // the sender has no state yet: reply with a whole state
+	WaitMs int64  `msg:"w"` // limit of the wait for the first record
 }
 
-// TailReply holds records, or announces a whole state as chunks.
+// TailReply holds records, or announces a whole state that follows in chunks.
 type TailReply struct {
 	First   uint64   `msg:"f"` // offset of the first record
-	Next    uint64   `msg:"n"` // what the sender has folded up to
+	Next    uint64   `msg:"n"` // offset of the next record that the sender will fold
 	Records [][]byte `msg:"r"`
 	State   bool     `msg:"s"` // a saved state follows in chunks
-	AgeMs   int64    `msg:"a"` // since the sender, or its source, read the log
+	AgeMs   int64    `msg:"a"` // time since the sender, or the process it follows, read the log
 }
 
-// AgentConfig is all that an agent needs of the configuration: it needs no teams.
+// AgentConfig is the part of the configuration that an agent needs. It has no teams.
 type AgentConfig struct {
 	Version  uint64          `msg:"v"`
 	Digest   uint64          `msg:"d"`
-	Entries  int             `msg:"e"` // in the VM list; says how many sources of floors there can be
+	Entries  int             `msg:"e"` // number of entries in the VM list, from which fence floors can come
 	Policies []ServicePolicy `msg:"p"` // of the services that the target's fleet serves
 	Floors   []FenceFloor    `msg:"f"` // of the resources that concern the target
 }
@@ -58,7 +58,7 @@
 	Policy  []byte `msg:"p"` // encoded config.Policy
 }
 
-// FenceFloor is the least fencing number that may act for a resource.
+// FenceFloor is the lowest fencing token that is still valid for a resource.
 //
 //msgp:tuple FenceFloor
 type FenceFloor struct {
@@ -66,45 +66,48 @@
 	Fence    uint64
 }
 
-// Heartbeat is an entry's heartbeat; who it is stands in the connection's hello.
+// Heartbeat is the heartbeat of an entry. The hello of the connection identifies the
+// entry.
 type Heartbeat struct {
 	Version uint64 `msg:"v"`
 	Leaving bool   `msg:"l"`
 }
 
-// SilentReport names the entries of a data centre that a witness has not heard lately,
-// that leave or that have no configuration. It heard all others just now.
+// SilentReport lists the entries of a data centre whose heartbeats an observer has
+// missed, that are leaving or that have no configuration. The observer has heard
+// recent heartbeats of all other entries.
 type SilentReport struct {
 	Rows []SilentRow `msg:"r"`
 }
 
-// SilentRow is one such entry.
+// SilentRow is one entry of a SilentReport.
 //
 //msgp:tuple SilentRow
 type SilentRow struct {
 	Name        string
 	Incarnation uint64
 	Version     uint64
-	AgeMs       int64
+	AgeMs       int64 // since the last heartbeat
 	Leaving     bool
 }
 
-// Summary is what one data centre tells another.
+// Summary is the state of the entries of one data centre, sent to other data
+// centres.
 type Summary struct {
 	DataCentre string `msg:"d"`
 	Region     string `msg:"r"`
 	Entries    int    `msg:"n"`
-	Down       int    `msg:"o"`
+	Down       int    `msg:"o"` // entries that are down
 	Oldest     uint64 `msg:"v"` // oldest version in force among its entries
 	Newest     uint64 `msg:"w"`
 }
 
-// StatusRequest asks a process how it is; Full also asks for leases and targets.
+// StatusRequest asks a process for its status. Full includes leases and targets.
 type StatusRequest struct {
 	Full bool `msg:"f"`
 }
 
-// StatusReply is how a process sees itself and others.
+// StatusReply is the status of a process and its view of other processes.
 type StatusReply struct {
 	Name        string      `msg:"n"`
 	Role        string      `msg:"r"`
@@ -114,17 +117,17 @@
 	Change      string      `msg:"c"` // id of the change in force
 	Digest      uint64      `msg:"g"`
 	LogAgeMs    int64       `msg:"a"`
-	Stopped     string      `msg:"x"` // why the fold stopped; empty: it runs
+	Stopped     string      `msg:"x"` // error that stopped the fold; empty: the fold runs
 	Leaving     bool        `msg:"l"`
 	InFlight    int         `msg:"f"`
-	Down        []string    `msg:"o"` // entries that this one believes lost
+	Down        []string    `msg:"o"` // entries that this process considers down
 	Leases      []LeaseInfo `msg:"e"`
 	Targets     []Load      `msg:"t"`
 	Summaries   []Summary   `msg:"s"`
-	Maps        string      `msg:"p"` // the owner's account of its groups, ready to print
+	Maps        string      `msg:"p"` // map status of the groups that this process owns, as printable text
 }
 
-// LeaseInfo is one row of the folded lease table.
+// LeaseInfo is one row of the lease table.
 type LeaseInfo struct {
 	Resource string `msg:"r"`
 	Holder   string `msg:"h"`
@@ -132,14 +135,15 @@
 	Term     uint64 `msg:"t"`
 }
 
-// DrainRequest takes a process out of service: it finishes what it has.
+// DrainRequest drains a process: it finishes its requests and accepts no new ones.
+// Undo ends the drain.
 type DrainRequest struct {
 	Undo bool `msg:"u"`
 }
 
-// Order is the state that an engine should reach.
+// Order is the desired state of an engine.
 type Order struct {
-	Resource string   `msg:"r"` // whose lease allows it
+	Resource string   `msg:"r"` // resource whose lease authorises the order
 	Fence    uint64   `msg:"f"`
 	AgentInc uint64   `msg:"i"`
 	Model    string   `msg:"m"`
@@ -148,7 +152,7 @@
 	Role     string   `msg:"o"`
 }
 
-// OrderReply tells whether the engine has reached the ordered state.
+// OrderReply reports whether the engine has reached the desired state.
 type OrderReply struct {
 	Reached bool   `msg:"d"`
 	Detail  string `msg:"t"`
--- a/wire/schema_expert.go
+++ b/wire/schema_expert.go
@@ -13,42 +13,43 @@
 // MessageRank is a RankReply.
 const MessageRank MessageKind = 30
 
-// What a RankOrder asks for.
+// Operations of a RankOrder. Hold, confirm and decide are the phases of a ballot that
+// switches the map of a group.
 const (
-	RankStatus   uint8 = 1 // where the rank stands
-	RankLoads    uint8 = 2 // status, and loads
-	RankMap      uint8 = 3 // status, and the content of the map in use
-	RankPrepare  uint8 = 4 // load Slots as rank Rank; answered when loaded
-	RankHold     uint8 = 5 // promise the ballot, hold before At
+	RankStatus   uint8 = 1 // position of the rank
+	RankLoads    uint8 = 2 // position and expert loads
+	RankMap      uint8 = 3 // position and the content of the map in use
+	RankPrepare  uint8 = 4 // load the experts in Slots as rank Rank; the reply follows when they are loaded
+	RankHold     uint8 = 5 // promise the ballot and hold before step At
 	RankConfirm  uint8 = 6 // confirm the promise
-	RankDecide   uint8 = 7 // obey the decision
-	RankWithdraw uint8 = 8 // the ballot will not decide
+	RankDecide   uint8 = 7 // apply the decision of the ballot
+	RankWithdraw uint8 = 8 // withdraw the ballot, which will not decide
 )
 
-// RankOrder is an order, or a question, to one rank of a group.
+// RankOrder is an order to, or a query of, one rank of a group.
 type RankOrder struct {
 	Group    string `msg:"g"`
 	Op       uint8  `msg:"o"`
-	Fence    uint64 `msg:"f"` // of the group's lease; 0 in a rescue
-	Recovery bool   `msg:"r"` // brings a stuck group on, by whoever sees it
+	Fence    uint64 `msg:"f"` // fencing token of the lease of the group; 0 in a recovery
+	Recovery bool   `msg:"r"` // recovery of a stalled group, by any entry that detects it
 
-	Round       uint64        `msg:"b"` // ballot
-	Owner       uint64        `msg:"w"` // ballot
-	At          uint64        `msg:"a"` // step
-	Incarnation uint64        `msg:"i"` // of the agent that replied
-	Start       uint64        `msg:"s"` // of the engine that replied
+	Round       uint64        `msg:"b"` // round of the ballot
+	Owner       uint64        `msg:"w"` // owner of the ballot
+	At          uint64        `msg:"a"` // step to hold before
+	Incarnation uint64        `msg:"i"` // incarnation of the agent that replied to the hold
+	Start       uint64        `msg:"s"` // start of the engine that replied to the hold
 	Schedule    []RankSegment `msg:"c"`
-	Join        uint64        `msg:"j"`
+	Join        uint64        `msg:"j"` // step at which a restarted rank joins
 
 	Rank        int    `msg:"k"`
 	Ranks       int    `msg:"n"` // shape of the map
 	Layers      int    `msg:"l"`
 	Experts     int    `msg:"e"`
 	SlotsOfRank int    `msg:"p"`
-	Slots       []byte `msg:"m"` // expert of each slot, two bytes each, little endian
+	Slots       []byte `msg:"m"` // expert of each slot, see EncodeSlots
 }
 
-// RankSegment says which map is in use from a step on.
+// RankSegment is a segment of a schedule: the map in use from a step onwards.
 //
 //msgp:tuple RankSegment
 type RankSegment struct {
@@ -56,28 +57,28 @@
 	Map  uint64
 }
 
-// RankReply says where a rank stands.
+// RankReply is the position of a rank, and its loads or map if they were queried.
 type RankReply struct {
 	Incarnation uint64   `msg:"i"`
 	Start       uint64   `msg:"s"`
-	Entered     bool     `msg:"e"` // a step was entered since the engine's start
-	Next        uint64   `msg:"n"`
-	Inside      bool     `msg:"d"`
+	Entered     bool     `msg:"e"` // the engine has entered a step since its start
+	Next        uint64   `msg:"n"` // next step
+	Inside      bool     `msg:"d"` // a step is running
 	Map         uint64   `msg:"m"`
 	Held        bool     `msg:"h"`
 	HoldAt      uint64   `msg:"a"`
-	Round       uint64   `msg:"b"` // highest ballot promised
-	Owner       uint64   `msg:"w"`
-	Loaded      []uint64 `msg:"l"`
+	Round       uint64   `msg:"b"` // round of the highest promised ballot
+	Owner       uint64   `msg:"w"` // owner of that ballot
+	Loaded      []uint64 `msg:"l"` // maps whose weights are loaded
 
-	Unit    float64 `msg:"u"` // loads as expert.EncodeLoads packs them
+	Unit    float64 `msg:"u"` // with Bands: loads, as packed by expert.EncodeLoads
 	Bands   []byte  `msg:"t"`
-	Seconds float64 `msg:"c"` // of computing in a step
-	Slots   []byte  `msg:"p"` // of the map in use
+	Seconds float64 `msg:"c"` // computing time of a step
+	Slots   []byte  `msg:"p"` // slots of the map in use
 }
 
-// RankStalled says that a rank has been held for long, or waits to be told where to
-// join.
+// RankStalled reports a rank that has been held for too long (Held), or that waits
+// for the step at which to join.
 type RankStalled struct {
 	Target string `msg:"t"`
 	Held   bool   `msg:"h"`
--- a/wire/schema_placement.go
+++ b/wire/schema_placement.go
@@ -9,25 +9,26 @@
 	NoteDemand Note = 41 // Demand, entry to entry
 )
 
-// Load is an agent's account of its target, sent to an entry. FromReceiver is the part
-// of the work that the entry itself has sent: the entry subtracts it and adds
-// its own books, so that each request is counted once however late this comes.
+// Load is the load report of a target, sent by its agent to an entry. FromReceiver is
+// the part of the work that the receiving entry itself dispatched. The entry replaces
+// that part by its own in-flight counts, so that each request is counted once however
+// late the report arrives.
 type Load struct {
 	Target            string  `msg:"t,omitempty"` // empty: the target that the hello named
-	Seq               uint64  `msg:"n"`           // grows with each report of this incarnation
+	Seq               uint64  `msg:"n"`           // report number, increasing within an incarnation
 	Leaving           bool    `msg:"l,omitempty"`
 	EngineUp          bool    `msg:"u"`
 	Total             Work    `msg:"w"`
 	FromReceiver      Work    `msg:"m"`
-	Queued            int     `msg:"q,omitempty"` // part of Total that waits at the agent
-	Slots             int     `msg:"s,omitempty"` // requests that the engine decodes at once
-	TokensPerSec      float32 `msg:"d,omitempty"` // decode speed learnt, of the full engine
-	PrefillPerSec     float32 `msg:"f,omitempty"` // prompt tokens a second learnt
-	FirstTokenBaseSec float32 `msg:"b,omitempty"` // seconds to a first token that don't depend on prompts
-	AnswerTokens      float32 `msg:"a,omitempty"` // mean length of answers
+	Queued            int     `msg:"q,omitempty"` // requests of Total that are queued at the agent
+	Slots             int     `msg:"s,omitempty"` // requests that the engine decodes concurrently
+	TokensPerSec      float32 `msg:"d,omitempty"` // estimated decode rate of the engine at full load
+	PrefillPerSec     float32 `msg:"f,omitempty"` // estimated prefill rate, in prompt tokens per second
+	FirstTokenBaseSec float32 `msg:"b,omitempty"` // part of the time to first token that does not depend on the prompt, in seconds
+	AnswerTokens      float32 `msg:"a,omitempty"` // mean output tokens per request
 }
 
-// Work is a part of a target's load, waiting requests included.
+// Work is an amount of load on a target, including queued requests.
 //
 //msgp:tuple Work
 type Work struct {
@@ -36,18 +37,19 @@
 	Decode   int // tokens still to generate, estimated
 }
 
-// Sched is what an agent's queue must know of a request.
+// Sched holds the scheduling parameters of a request for the queue of the agent.
 type Sched struct {
-	Entry     string `msg:"-"`           // that sent it; known from the connection
-	Weight    int    `msg:"w,omitempty"` // of its team
+	Entry     string `msg:"-"`           // entry that sent the request; known from the connection
+	Weight    int    `msg:"w,omitempty"` // weight of the team
 	Prompt    int    `msg:"p,omitempty"` // uncached prompt tokens, estimated
 	Decode    int    `msg:"d,omitempty"` // tokens to generate, estimated
-	MaxWaitMs int64  `msg:"m,omitempty"` // send it back if its first token takes longer; 0: never
+	MaxWaitMs int64  `msg:"m,omitempty"` // the agent returns the request if its first token would take longer; 0: never
 }
 
-// Demand is what one entry saw of teams with limits in the last period.
+// Demand is the demand of teams with limits that one entry observed in the last
+// period.
 type Demand struct {
-	Period uint64       `msg:"p"` // grows with each period of this incarnation
+	Period uint64       `msg:"p"` // period number, increasing within an incarnation
 	Teams  []TeamDemand `msg:"t"`
 }
 
@@ -56,5 +58,5 @@
 //msgp:tuple TeamDemand
 type TeamDemand struct {
 	Team     string
-	Requests float32 // asked for in a second, refused ones included
+	Requests float32 // requests per second, including refused ones
 }
--- a/wire/send.go
+++ b/wire/send.go
@@ -14,7 +14,7 @@
 	return s.conn.send(KindMessage, s.id, []byte{byte(k)}, msg)
 }
 
-// Send sends p as one or more chunks and waits for credit where needed.
+// Send sends p as one or more chunks. It blocks while the stream has no credit.
 func (s *Stream) Send(ctx context.Context, p []byte) error {
 	for len(p) > 0 {
 		n, err := s.takeCredit(ctx, len(p))
@@ -45,7 +45,7 @@
 			return n, nil
 		}
 		select {
-		case <-s.creditOK:
+		case <-s.sendReady:
 		case <-ctx.Done():
 			return 0, context.Cause(ctx)
 		}
@@ -64,13 +64,13 @@
 	return s.conn.write(bp)
 }
 
-// Finish ends a complete answer.
+// Finish ends the stream after a complete response.
 func (s *Stream) Finish() error {
 	return s.end(result.OK, "")
 }
 
-// Abort ends an answer that can't be completed; the receiver gets the code in
-// place of a clean end.
+// Abort ends the stream of a response that cannot be completed. The receiver gets the
+// code of err instead of io.EOF.
 func (s *Stream) Abort(err error) error {
 	e := result.From(err)
 	return s.end(e.Code, e.Detail)
@@ -79,38 +79,38 @@
 func (s *Stream) end(code result.Code, detail string) error {
 	e := End{Chunks: s.sendSeq, Digest: s.sendDigest.Sum64(), Code: uint16(code), Detail: detail}
 	err := s.conn.send(KindEnd, s.id, nil, &e)
-	s.markClosed()
+	s.markEnded()
 	return err
 }
 
-// Refuse ends a stream before its answer.
+// Refuse ends a stream without a response.
 func (s *Stream) Refuse(err error) error {
 	e := result.From(err)
 	r := Refusal{Code: uint16(e.Code), Detail: e.Detail, RetryAfterMs: e.Wait().Milliseconds()}
 	sendErr := s.conn.send(KindRefuse, s.id, nil, &r)
-	s.markClosed()
+	s.markEnded()
 	return sendErr
 }
 
-func (s *Stream) markClosed() {
+func (s *Stream) markEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// Close leaves the stream. If neither side has ended it, the peer is told to
-// stop working on it.
+// Close abandons the stream. If neither side has ended it, Close sends a cancel frame
+// so that the peer stops working on it.
 func (s *Stream) Close() {
 	s.mu.Lock()
-	tell := !s.closed && s.failure == nil
+	notify := !s.closed && s.failure == nil
 	s.closed = true
 	if s.failure == nil {
 		s.failure = result.New(result.WireClosed, "stream closed by this side")
 	}
 	s.mu.Unlock()
-	s.conn.forget(s.id)
-	if tell {
-		// Without a connection the peer cancels by itself.
+	s.conn.removeStream(s.id)
+	if notify {
+		// If the connection is lost, the peer cancels the stream itself.
 		_ = s.conn.send(KindCancel, s.id, nil, nil)
 	}
 }
--- a/wire/slots.go
+++ b/wire/slots.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// EncodeSlots packs expert numbers, two bytes each.
+// EncodeSlots packs expert numbers, two bytes each, little endian.
 func EncodeSlots(slots []uint16) []byte {
 	b := make([]byte, 0, 2*len(slots))
 	for _, s := range slots {
@@ -11,7 +11,7 @@
 	return b
 }
 
-// DecodeSlots undoes EncodeSlots; an odd byte at the end is left out.
+// DecodeSlots is the inverse of EncodeSlots. It ignores an odd byte at the end.
 func DecodeSlots(b []byte) []uint16 {
 	slots := make([]uint16, 0, len(b)/2)
 	for ; len(b) >= 2; b = b[2:] {
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -11,37 +11,37 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// MessageKind names a typed message inside a stream.
+// MessageKind is the type of a message inside a stream.
 type MessageKind uint8
 
-// Messages inside a stream.
+// Messages of this file.
 const (
 	MessageAnswer MessageKind = 1 // Answer
 )
 
-// Event is what a receiver gets from a stream: a message, or chunk bytes.
+// Event is one item received from a stream: a message or the bytes of a chunk.
 type Event struct {
 	Message MessageKind // zero: Data holds chunk bytes
 	Data    []byte      // owned by the receiver
 }
 
-// Stream is one exchange inside a Conn. One goroutine may send while another
-// receives.
+// Stream is one request-response exchange inside a Conn. One goroutine may send while
+// another receives.
 type Stream struct {
 	conn *Conn
 	id   uint64
 
-	mu       sync.Mutex
-	queue    []Event
-	failure  error // io.EOF after a verified end
-	wake     chan struct{}
-	cancel   context.CancelCauseFunc
-	credit   int // bytes this side may still send
-	creditOK chan struct{}
-	pending  int // chunk bytes received and not yet consumed
-	unacked  int // chunk bytes consumed and not yet returned as credit
-	messages int // typed messages received and not yet consumed
-	msgBytes int // of those messages
+	mu             sync.Mutex
+	queue          []Event
+	failure        error // io.EOF after a verified end
+	recvReady      chan struct{}
+	cancel         context.CancelCauseFunc
+	credit         int // bytes this side may still send
+	sendReady      chan struct{}
+	unread         int // chunk bytes received and not yet consumed
+	unacked        int // chunk bytes consumed and not yet returned as credit
+	unreadMessages int // typed messages received and not yet consumed
+	unreadMsgBytes int // size of those messages
 
 	recvSeq    uint64
 	recvDigest *xxhash.Digest
@@ -52,19 +52,19 @@
 	watcher    Watcher
 }
 
-// Watcher is told what happens on a stream, for books kept beside it. Its methods
-// run in the connection's reader or in Close and must not block.
+// Watcher observes a stream, for load tracking. Its methods run in the read loop of the
+// connection or in Conn.Close and must not block.
 type Watcher interface {
-	Arrived(chunk []byte) // bytes of the answer; chunk is valid during the call
-	Ended()               // once: the stream ended or was left, whoever did it
+	Arrived(chunk []byte) // called for each chunk; chunk is valid during the call
+	Ended()               // called once, when the peer ends or cancels the stream or the connection ends
 }
 
 func newStream(c *Conn, id uint64) *Stream {
 	return &Stream{
 		conn:       c,
 		id:         id,
-		wake:       make(chan struct{}, 1),
-		creditOK:   make(chan struct{}, 1),
+		recvReady:  make(chan struct{}, 1),
+		sendReady:  make(chan struct{}, 1),
 		credit:     int(c.peer.Window),
 		recvDigest: xxhash.New(),
 		sendDigest: xxhash.New(),
@@ -74,7 +74,8 @@
 // Conn returns the connection of the stream.
 func (s *Stream) Conn() *Conn { return s.conn }
 
-// onCancel sets what happens when the peer gives the stream up.
+// onCancel sets the function that is called when the peer cancels the stream or the
+// connection ends.
 func (s *Stream) onCancel(cancel context.CancelCauseFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +99,8 @@
 	if cancel != nil && err != io.EOF {
 		cancel(err)
 	}
-	signal(s.wake)
-	signal(s.creditOK)
+	signal(s.recvReady)
+	signal(s.sendReady)
 }
 
 func signal(ch chan struct{}) {
@@ -109,8 +110,8 @@
 	}
 }
 
-// receive handles one frame of this stream. It copies what it keeps. Only the
-// connection's reader calls it.
+// receive handles one frame of this stream. It retains no part of the frame. Only the
+// read loop of the connection calls it.
 func (s *Stream) receive(f Frame) error {
 	switch f.Kind {
 	case KindCancel:
@@ -127,7 +128,7 @@
 		if len(f.Payload) == 0 {
 			return result.New(result.WireMalformed, "empty message")
 		}
-		return s.pushMessage(MessageKind(f.Payload[0]), f.Payload[1:])
+		return s.queueMessage(MessageKind(f.Payload[0]), f.Payload[1:])
 	case KindData:
 		return s.receiveData(f.Payload)
 	case KindEnd:
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// receiveCredit adds credit. A peer can return no more than it was sent, so more
-// than its window is a fault of the peer, and an unbounded sum would wrap.
+// receiveCredit adds credit. A peer cannot return more credit than it was sent bytes,
+// so a sum above its window is a protocol violation. An unchecked sum could overflow.
 func (s *Stream) receiveCredit(p []byte) error {
 	var c Credit
 	if _, err := c.UnmarshalMsg(p); err != nil {
@@ -162,45 +163,45 @@
 	if excess {
 		return result.New(result.WireFlowControl, "stream %d: credit beyond the window", s.id)
 	}
-	signal(s.creditOK)
+	signal(s.sendReady)
 	return nil
 }
 
-// Limits on typed messages that wait in a stream; chunk bytes are bounded by the
-// window. One message is always taken, so that MaxFrame alone bounds its size.
+// Limits on unread typed messages of a stream. Chunk bytes are limited by the window.
+// A single message is always accepted, so only MaxFrame limits its size.
 const (
 	maxMessages     = 64
 	maxMessageBytes = 1 << 20
 )
 
-func (s *Stream) pushMessage(k MessageKind, p []byte) error {
+func (s *Stream) queueMessage(k MessageKind, p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failure != nil {
 		return nil
 	}
-	s.messages++
-	s.msgBytes += len(p)
-	if s.messages > maxMessages || (s.messages > 1 && s.msgBytes > maxMessageBytes) {
+	s.unreadMessages++
+	s.unreadMsgBytes += len(p)
+	if s.unreadMessages > maxMessages || (s.unreadMessages > 1 && s.unreadMsgBytes > maxMessageBytes) {
 		return result.New(result.WireFlowControl, "stream %d: too many messages wait", s.id)
 	}
 	s.queue = append(s.queue, Event{Message: k, Data: append([]byte(nil), p...)})
-	signal(s.wake)
+	signal(s.recvReady)
 	return nil
 }
 
-func (s *Stream) pushData(p []byte) error {
+func (s *Stream) queueData(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failure != nil {
 		return nil
 	}
-	s.pending += len(p)
-	if s.pending > s.conn.opts.Window {
+	s.unread += len(p)
+	if s.unread > s.conn.opts.Window {
 		return result.New(result.WireFlowControl, "stream %d exceeded its window", s.id)
 	}
 	s.queue = append(s.queue, Event{Data: copyChunk(p)})
-	signal(s.wake)
+	signal(s.recvReady)
 	return nil
 }
 
@@ -218,7 +219,7 @@
 		return result.New(result.WireMalformed, "chunk bytes: %w", err)
 	}
 	if len(data) == 0 {
-		// Free of charge against the window, so a flood of them would be unbounded.
+		// An empty chunk uses no credit, so their number would be unbounded.
 		return result.New(result.WireMalformed, "empty chunk")
 	}
 	if seq != s.recvSeq {
@@ -226,11 +227,11 @@
 		return nil
 	}
 	s.recvSeq++
-	_, _ = s.recvDigest.Write(data) // a Digest never fails
+	_, _ = s.recvDigest.Write(data) // writing to a digest never fails
 	if s.watcher != nil {
 		s.watcher.Arrived(data)
 	}
-	return s.pushData(data)
+	return s.queueData(data)
 }
 
 func (s *Stream) receiveEnd(p []byte) error {
@@ -251,8 +252,8 @@
 	return nil
 }
 
-// Recv returns the next event; io.EOF after a whole, verified stream; any other
-// error if it can't be completed.
+// Recv returns the next event. It returns io.EOF after a complete stream whose count
+// and digest match, and any other error if the stream failed or ctx ended.
 func (s *Stream) Recv(ctx context.Context) (Event, error) {
 	for {
 		s.mu.Lock()
@@ -271,30 +272,30 @@
 			return Event{}, failure
 		}
 		select {
-		case <-s.wake:
+		case <-s.recvReady:
 		case <-ctx.Done():
 			return Event{}, context.Cause(ctx)
 		}
 	}
 }
 
-// Ready reports whether Recv would return without waiting.
+// Ready reports whether Recv would return without blocking.
 func (s *Stream) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) > 0 || s.failure != nil
 }
 
-// consume books an event as read and returns the credit that is due. It is
-// returned in halves of the window, to save frames.
+// consume accounts for an event as read and returns the credit to grant to the peer.
+// Credit is granted in halves of the window, to save frames.
 func (s *Stream) consume(e Event) int {
 	n := len(e.Data)
 	if e.Message != 0 {
-		s.messages--
-		s.msgBytes -= n
+		s.unreadMessages--
+		s.unreadMsgBytes -= n
 		return 0
 	}
-	s.pending -= n
+	s.unread -= n
 	s.unacked += n
 	if s.unacked < s.conn.opts.Window/2 {
 		return 0
@@ -308,6 +309,6 @@
 	if n == 0 {
 		return
 	}
-	// A lost connection fails the stream itself; the credit is then moot.
+	// If the connection is lost, the stream fails anyway.
 	_ = s.conn.send(KindCredit, s.id, nil, &Credit{Bytes: uint32(n)})
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestLargeAnswerArrivesWholeThroughASmallWindow(t *testing.T) {
+func TestResponseLargerThanTheWindowArrivesComplete(t *testing.T) {
 	g := NewWithT(t)
 	want := bytes.Repeat([]byte("0123456789abcdef"), 64<<10)
 	c := connect(t, func(ctx context.Context, s *wire.Stream, _ []byte) {
@@ -78,10 +78,9 @@
 	g.Expect(bytes.Equal(got, want)).To(BeTrue())
 }
 
-// The receiver gets an error, not a clean end, when the sender aborts.
-// The sender has sent a chunk and then finds that its engine died; a clean end
-// would make half an answer look whole.
-func TestAbortedAnswerNeverLooksWhole(t *testing.T) {
+// The engine dies after the sender has sent a chunk. The receiver must get an error and
+// not io.EOF, or it would take the partial response for a complete one.
+func TestAbortedResponseDoesNotEndWithEOF(t *testing.T) {
 	g := NewWithT(t)
 	c := connect(t, func(ctx context.Context, s *wire.Stream, _ []byte) {
 		_ = s.Send(ctx, []byte("half"))
@@ -92,10 +91,9 @@
 	g.Expect(result.From(err).Code).To(Equal(result.EngineLost))
 }
 
-// The sender's context ends soon after the receiver leaves the stream.
-// The receiver closes the stream in mid-answer; the sender is blocked for credit
-// that will never come, and must stop working.
-func TestLeavingAStreamCancelsItsSender(t *testing.T) {
+// The receiver closes the stream before the end of the response. The sender, blocked
+// for credit that will never arrive, must be cancelled.
+func TestClosingAStreamCancelsTheBlockedSender(t *testing.T) {
 	g := NewWithT(t)
 	stopped := make(chan error, 1)
 	c := connect(t, func(ctx context.Context, s *wire.Stream, _ []byte) {
--- a/wire/write.go
+++ b/wire/write.go
@@ -10,8 +10,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// send encodes one frame and writes it, or hands it to the writer; it waits
-// while the ring is full, which is how a slow peer slows its senders.
+// send encodes one frame and writes it or queues it for the write loop. It blocks
+// while the send queue is full, which applies backpressure from a slow peer.
 func (c *Conn) send(kind Kind, stream uint64, prefix []byte, msg msgp.Marshaler) error {
 	bp, err := c.encode(kind, stream, prefix, msg)
 	if err != nil {
@@ -37,32 +37,32 @@
 	return bp, nil
 }
 
-// directWriteMax is the largest frame that its sender may write by itself. A
-// token fits; larger ones gain more from being gathered.
-const directWriteMax = 2 << 10
+// maxDirectWrite is the largest frame, in bytes, that its sender writes directly. It
+// is enough for a token; larger frames gain more from batching.
+const maxDirectWrite = 2 << 10
 
-// write writes a frame at once if nobody else writes or waits, and else leaves
-// it to the writer. On an idle connection that saves the time until another
-// goroutine runs, which is most of what a hop costs; on a busy one the writer
-// gathers many frames in a system call. A frame never overtakes an earlier one
-// of its sender: queued counts until it was written.
+// write writes a frame directly if no other frame is being written or queued, and
+// otherwise queues it for the write loop. On an idle connection a direct write saves
+// the switch to another goroutine, which is most of the cost of a hop. On a busy
+// connection the write loop batches many frames into one system call. Frames of one
+// sender stay in order, because unwritten counts a frame until it is written.
 func (c *Conn) write(bp *[]byte) error {
-	if len(*bp) > directWriteMax || c.queued.Load() != 0 || !take(c.writing) {
+	if len(*bp) > maxDirectWrite || c.unwritten.Load() != 0 || !tryAcquire(c.writeToken) {
 		return c.enqueue(bp)
 	}
-	if c.queued.Load() != 0 {
-		<-c.writing
+	if c.unwritten.Load() != 0 {
+		<-c.writeToken
 		return c.enqueue(bp)
 	}
-	err := c.limitWrite()
+	err := c.renewWriteDeadline()
 	if err == nil {
 		_, err = c.nc.Write(*bp)
 	}
-	<-c.writing
+	<-c.writeToken
 	framePool.Put(bp)
 	if err != nil {
 		c.close(fmt.Errorf("write: %w", err))
-		return c.ended()
+		return c.closedError()
 	}
 	return nil
 }
@@ -70,37 +70,37 @@
 func (c *Conn) enqueue(bp *[]byte) error {
 	select {
 	case <-c.done:
-		return c.ended()
+		return c.closedError()
 	default:
 	}
-	c.queued.Add(1)
+	c.unwritten.Add(1)
 	select {
-	case c.out <- bp:
+	case c.sendQueue <- bp:
 		return nil
 	case <-c.done:
-		return c.ended()
+		return c.closedError()
 	}
 }
 
-func (c *Conn) ended() error {
-	<-c.done // the cause is set before it is closed
+func (c *Conn) closedError() error {
+	<-c.done // cause is set before done is closed
 	return result.New(result.WireClosed, "connection to %s ended: %w", c.peer.Name, c.cause)
 }
 
 func (c *Conn) writeLoop() {
 	w := bufio.NewWriterSize(c.nc, writeBuffer)
-	// A function's timer, not a ticker: under the race detector the runtime of Go
-	// 1.26 crashes now and then in channel timers of virtual time.
-	due := make(chan struct{}, 1)
-	ping := time.AfterFunc(c.opts.PingEvery, func() { due <- struct{}{} })
+	// AfterFunc and not a ticker: with the race detector, the runtime of Go 1.26
+	// occasionally crashes in channel timers in virtual time.
+	pingDue := make(chan struct{}, 1)
+	ping := time.AfterFunc(c.opts.PingEvery, func() { pingDue <- struct{}{} })
 	defer ping.Stop()
 	pingFrame := endFrame(beginFrame(nil, KindPing, 0), 0)
 	for {
 		var err error
 		select {
-		case bp := <-c.out:
+		case bp := <-c.sendQueue:
 			err = c.writeBatch(w, bp)
-		case <-due:
+		case <-pingDue:
 			ping.Reset(c.opts.PingEvery)
 			err = c.writePing(pingFrame)
 		case <-c.done:
@@ -113,49 +113,49 @@
 	}
 }
 
-// limitWrite bounds the next write. A peer that pings but does not read would
-// otherwise hold all senders of this side for good.
-func (c *Conn) limitWrite() error {
+// renewWriteDeadline sets the deadline of the next write. Without it, a peer that
+// sends pings but does not read would block all senders of this side forever.
+func (c *Conn) renewWriteDeadline() error {
 	return c.nc.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout))
 }
 
 func (c *Conn) writePing(frame []byte) error {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
-	if err := c.limitWrite(); err != nil {
+	c.writeToken <- struct{}{}
+	defer func() { <-c.writeToken }()
+	if err := c.renewWriteDeadline(); err != nil {
 		return err
 	}
 	_, err := c.nc.Write(frame)
 	return err
 }
 
-// writeBatch writes frames until the ring is empty, then flushes: one system
-// call for all that has gathered.
+// writeBatch writes frames until the send queue is empty, then flushes. Queued frames
+// thus share one system call.
 func (c *Conn) writeBatch(w *bufio.Writer, bp *[]byte) error {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
-	if err := c.limitWrite(); err != nil {
+	c.writeToken <- struct{}{}
+	defer func() { <-c.writeToken }()
+	if err := c.renewWriteDeadline(); err != nil {
 		return err
 	}
-	taken := int64(0)
+	written := int64(0)
 	for {
-		taken++
+		written++
 		_, err := w.Write(*bp)
-		if cap(*bp) <= pooledFrameMax {
+		if cap(*bp) <= maxPooledFrame {
 			framePool.Put(bp)
 		}
 		if err != nil {
 			return err
 		}
 		select {
-		case bp = <-c.out:
+		case bp = <-c.sendQueue:
 			continue
 		default:
 		}
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		c.queued.Add(-taken)
+		c.unwritten.Add(-written)
 		return nil
 	}
 }
