--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -146,7 +146,7 @@
 
 // Guards against readers that diverge because they started at different offsets,
 // from a snapshot or from the saved state of a peer.
-func TestReadersFromAnyOffsetReachTheSameState(t *testing.T) {
+func TestFoldReachesOneState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
 		fromStart := NewFold(new(counter))
@@ -222,7 +222,7 @@
 
 // The append of a change is delayed, and a resumed apply voids its id and reports
 // that it did not happen. The delayed record arrives while its base is in force.
-func TestVoidedChangeNeverTakesEffect(t *testing.T) {
+func TestSettledChangeNeverTakesEffect(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
 	late := mustRecords(changeTo("a", 0, nil, teams(1, 0)))[0]
