--- a/outcomes/bench.go
+++ b/outcomes/bench.go
@@ -16,13 +16,14 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// parallelRuns bounds the systems that run at the same time.
-const parallelRuns = 8
+// maxParallelRuns limits the number of systems that run at the same time.
+const maxParallelRuns = 8
 
-// Bench fills the report with what the issue of outcomes asks for. It runs in
-// real time.
+// Bench measures outcomes under faults, deduplication, continuation and crashing
+// requests, and adds the measures to r. seeds is the number of fault plans. It runs
+// in real time.
 func Bench(r *bench.Report, seeds int) error {
-	for _, part := range []func(*bench.Report) error{benchOnce, benchOutage, benchContinuation, benchCrash} {
+	for _, part := range []func(*bench.Report) error{benchAtMostOnce, benchOutage, benchContinuation, benchCrash} {
 		if err := part(r); err != nil {
 			return err
 		}
@@ -30,7 +31,8 @@
 	return benchFaults(r, seeds)
 }
 
-// benchFaults runs plans and reports, for each set of faults, goodput and shares.
+// benchFaults runs the plans of seeds and reports goodput and the share of each result
+// code for each plan.
 func benchFaults(r *bench.Report, seeds int) error {
 	type outcome struct {
 		world *World
@@ -38,58 +40,58 @@
 		err   error
 	}
 	results := make([]outcome, seeds)
-	places := make(chan struct{}, parallelRuns)
-	var wait sync.WaitGroup
+	runSlots := make(chan struct{}, maxParallelRuns)
+	var wg sync.WaitGroup
 	for n := range seeds {
-		wait.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+		wg.Go(func() {
+			runSlots <- struct{}{}
+			defer func() { <-runSlots }()
 			p := PlanForSeed(r.Seed + uint64(n))
 			w, err := Run(p)
 			results[n] = outcome{world: w, plan: p, err: err}
 		})
 	}
-	wait.Wait()
-	violations, asked := 0, 0
+	wg.Wait()
+	violations, total := 0, 0
 	for _, o := range results {
 		if o.err != nil {
 			return o.err
 		}
 		violations += len(Check(o.world.History))
-		asked += len(o.world.History.Invocations)
+		total += len(o.world.History.Invocations)
 		reportShares(r, fmt.Sprintf("seed %d %v", o.plan.Seed, o.plan.Faults), o.world.History, o.plan.Duration)
 	}
-	r.Add("all seeds", "requests", "count", float64(asked))
+	r.Add("all seeds", "requests", "count", float64(total))
 	r.Add("all seeds", "broken promises", "count", float64(violations))
 	return nil
 }
 
 func reportShares(r *bench.Report, name string, h *History, took time.Duration) {
-	counts, asked := make(map[result.Code]int), 0
+	counts, total := make(map[result.Code]int), 0
 	for _, i := range h.Invocations {
 		if !i.CrashBody {
 			counts[i.Code]++
-			asked++
+			total++
 		}
 	}
 	r.Add(name, "goodput", "1/s", float64(counts[result.OK])/took.Seconds())
 	for _, info := range result.All() {
 		if n := counts[info.Code]; n > 0 {
-			r.Add(name, info.Name, "share", float64(n)/float64(asked))
+			r.Add(name, info.Name, "share", float64(n)/float64(total))
 		}
 	}
 }
 
 const (
-	onceRequests = 3000
-	onceCallers  = 24
-	logDelay     = 5 * time.Millisecond
+	requestsPerWay = 3000
+	benchCallers   = 24
+	logDelay       = 5 * time.Millisecond
 )
 
-// benchOnce compares the ways to run a request at most once with the plain path.
-// All ways share one system, one after the other; each call of the log takes
-// logDelay.
-func benchOnce(r *bench.Report) error {
+// benchAtMostOnce compares the latency of at-most-once execution with that of requests
+// without a key. All variants run on one system, one after the other. Each call of
+// the log service takes logDelay.
+func benchAtMostOnce(r *bench.Report) error {
 	w, err := NewWorld(Options{PlainTargets: 3, Entries: 3, Logger: logr.Discard()})
 	if err != nil {
 		return err
@@ -99,72 +101,72 @@
 	for _, t := range w.targets {
 		t.plain.SetDelay(0)
 	}
-	open := func(at int, key string) {
+	sendPlain := func(entryIdx int, key string) {
 		j := plainJob(key)
 		j.key = ""
-		w.send("team-0", at, j, 0)
+		w.send("team-0", entryIdx, j, 0)
 	}
-	claims := newClaims(w.Log)
+	claims := newLogClaims(w.Log)
 	defer claims.close()
 	ways := []struct {
 		name string
-		send func(at int, key string)
+		send func(entryIdx int, key string)
 	}{
-		{"plain path", open},
-		{"home agent", func(at int, key string) { w.send("team-0", at, plainJob(key), 0) }},
-		{"plain path again", open},
-		{"log claim, batched", func(at int, key string) { claims.append(key); open(at, key) }},
+		{"plain path", sendPlain},
+		{"home agent", func(entryIdx int, key string) { w.send("team-0", entryIdx, plainJob(key), 0) }},
+		{"plain path again", sendPlain},
+		{"log claim, batched", func(entryIdx int, key string) { claims.append(key); sendPlain(entryIdx, key) }},
 	}
 	for _, way := range ways {
-		appends, asked := w.Log.Appends(), len(w.History.Invocations)
-		began := time.Now()
-		times := timeAll(way.name, way.send)
-		seconds := time.Since(began).Seconds()
+		appendsBefore, sentBefore := w.Log.Appends(), len(w.History.Invocations)
+		startedAt := time.Now()
+		times := measureLatencies(way.name, way.send)
+		seconds := time.Since(startedAt).Seconds()
 		slices.Sort(times)
-		r.Add(way.name, "median", "ms", ms(times[len(times)/2]))
-		r.Add(way.name, "p99", "ms", ms(times[len(times)*99/100]))
-		r.Add(way.name, "log appends", "1/s", float64(w.Log.Appends()-appends)/seconds)
-		r.Add(way.name, "requests", "1/s", onceRequests/seconds)
-		r.Add(way.name, "answered whole", "share", wholeShare(w.History.Invocations[asked:]))
+		r.Add(way.name, "median", "ms", milliseconds(times[len(times)/2]))
+		r.Add(way.name, "p99", "ms", milliseconds(times[len(times)*99/100]))
+		r.Add(way.name, "log appends", "1/s", float64(w.Log.Appends()-appendsBefore)/seconds)
+		r.Add(way.name, "requests", "1/s", requestsPerWay/seconds)
+		r.Add(way.name, "answered whole", "share", completeShare(w.History.Invocations[sentBefore:]))
 	}
 	return nil
 }
 
-func wholeShare(list []*Invocation) float64 {
-	whole := 0
+func completeShare(list []*Invocation) float64 {
+	complete := 0
 	for _, i := range list {
 		if i.Code == result.OK {
-			whole++
+			complete++
 		}
 	}
-	return float64(whole) / float64(len(list))
+	return float64(complete) / float64(len(list))
 }
 
-func timeAll(name string, send func(at int, key string)) []time.Duration {
-	times := make([]time.Duration, onceRequests)
-	var wait sync.WaitGroup
-	for c := range onceCallers {
-		wait.Go(func() {
-			for n := c; n < onceRequests; n += onceCallers {
-				began := time.Now()
+func measureLatencies(name string, send func(entryIdx int, key string)) []time.Duration {
+	times := make([]time.Duration, requestsPerWay)
+	var wg sync.WaitGroup
+	for callerIdx := range benchCallers {
+		wg.Go(func() {
+			for n := callerIdx; n < requestsPerWay; n += benchCallers {
+				startedAt := time.Now()
 				send(n%3, fmt.Sprintf("%s-%d", name, n))
-				times[n] = time.Since(began)
+				times[n] = time.Since(startedAt)
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	return times
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func plainJob(key string) job {
 	return job{service: ServicePlain, path: "/entries/" + key, body: "entry " + key, key: key}
 }
 
-// claims is the way that was not taken: a claim on the log before the dispatch,
-// all that gather during one append in the next.
-type claims struct {
+// logClaims implements the rejected design: a claim is appended to the log before each
+// dispatch. Claims that arrive during an append are batched into the next one.
+type logClaims struct {
 	log  *fake.Log
 	in   chan claim
 	done chan struct{}
@@ -175,21 +177,21 @@
 	ok     chan struct{}
 }
 
-func newClaims(log *fake.Log) *claims {
-	c := &claims{log: log, in: make(chan claim, onceCallers), done: make(chan struct{})}
+func newLogClaims(log *fake.Log) *logClaims {
+	c := &logClaims{log: log, in: make(chan claim, benchCallers), done: make(chan struct{})}
 	go c.run()
 	return c
 }
 
-func (c *claims) append(key string) {
+func (c *logClaims) append(key string) {
 	one := claim{record: []byte(key), ok: make(chan struct{})}
 	c.in <- one
 	<-one.ok
 }
 
-func (c *claims) close() { close(c.in); <-c.done }
+func (c *logClaims) close() { close(c.in); <-c.done }
 
-func (c *claims) run() {
+func (c *logClaims) run() {
 	defer close(c.done)
 	for first := range c.in {
 		batch := []claim{first}
@@ -207,7 +209,7 @@
 		for i := range batch {
 			records[i] = batch[i].record
 		}
-		_, _ = c.log.Append(context.Background(), records) // the stand-in fails only on demand
+		_, _ = c.log.Append(context.Background(), records) // the fake log fails only if told to
 		for i := range batch {
 			close(batch[i].ok)
 		}
@@ -216,8 +218,8 @@
 
 const outageRequests = 2000
 
-// benchOutage loses every call of a service in mid-run and counts what reaches
-// its targets.
+// benchOutage fails every call of a service after it was sent, and reports how many
+// calls reach its targets per request.
 func benchOutage(r *bench.Report) error {
 	w, err := NewWorld(Options{PlainTargets: 3, Entries: 3, Logger: logr.Discard()})
 	if err != nil {
@@ -225,19 +227,19 @@
 	}
 	defer w.Close()
 	for _, t := range w.targets {
-		t.backend.broken.Store(true)
+		t.backend.failing.Store(true)
 	}
-	var wait sync.WaitGroup
-	for c := range onceCallers {
-		wait.Go(func() {
-			for n := c; n < outageRequests; n += onceCallers {
+	var wg sync.WaitGroup
+	for callerIdx := range benchCallers {
+		wg.Go(func() {
+			for n := callerIdx; n < outageRequests; n += benchCallers {
 				j := plainJob(fmt.Sprint(n))
 				j.key = ""
 				w.send("team-0", n%3, j, 0)
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	calls := int64(0)
 	for _, t := range w.targets {
 		calls += t.backend.calls.Load()
@@ -247,33 +249,35 @@
 }
 
 const (
-	cutTokens = 256
-	cutRuns   = 8
+	continuationTokens = 256
+	continuationRuns   = 8
 )
 
-// benchContinuation cuts generations half way, and lets them go on or start over.
+// benchContinuation kills the engine half way through generations and compares
+// continuing on another engine with starting over.
 func benchContinuation(r *bench.Report) error {
 	for _, way := range []struct {
 		name string
 		off  safeguard.Off
 	}{{"continued", safeguard.Off{}}, {"started over", safeguard.Off{Continue: true}}} {
 		tokens, took := 0, time.Duration(0)
-		for n := range cutRuns {
-			i, produced, err := cutOne(n, way.off)
+		for n := range continuationRuns {
+			i, produced, err := runInterrupted(n, way.off)
 			if err != nil {
 				return err
 			}
 			tokens += produced
 			took += i.EndedAt.Sub(i.StartedAt)
 		}
-		r.Add(way.name, "tokens generated for 256", "count", float64(tokens)/cutRuns)
-		r.Add(way.name, "time to finish", "ms", ms(took)/cutRuns)
+		r.Add(way.name, "tokens generated for 256", "count", float64(tokens)/continuationRuns)
+		r.Add(way.name, "time to finish", "ms", milliseconds(took)/continuationRuns)
 	}
 	return nil
 }
 
-// cutOne returns the cut request and the tokens that all engines made for it.
-func cutOne(n int, off safeguard.Off) (*Invocation, int, error) {
+// runInterrupted returns the interrupted request and the number of tokens that all
+// engines generated for it.
+func runInterrupted(n int, off safeguard.Off) (*Invocation, int, error) {
 	w, err := NewWorld(Options{Engines: 2, PlainTargets: 1, Entries: 1, Off: off, Logger: logr.Discard()})
 	if err != nil {
 		return nil, 0, err
@@ -281,14 +285,14 @@
 	defer w.Close()
 	for _, t := range w.targets {
 		if t.engine != nil {
-			w.after(cutTokens/2*stepTime, func() {
+			w.after(continuationTokens/2*stepTime, func() {
 				if t.engine.Active() > 0 {
 					t.engine.Kill()
 				}
 			})
 		}
 	}
-	i := w.send("team-0", 0, generation(fmt.Sprint("text ", n), "", cutTokens, true, false), 0)
+	i := w.send("team-0", 0, generationJob(fmt.Sprint("text ", n), "", continuationTokens, true, false), 0)
 	tokens := 0
 	for _, e := range w.History.Executions {
 		tokens += strings.Count(e.Output, `"choices"`)
@@ -298,32 +302,33 @@
 
 const crashRuns = 8
 
-// benchCrash reports how far a crashing request gets.
+// benchCrash reports how many targets a crashing request takes down and how long it
+// takes until the request is refused.
 func benchCrash(r *bench.Report) error {
-	runs := make([]*crashRun, crashRuns)
+	runs := make([]*crashResult, crashRuns)
 	errs := make([]error, crashRuns)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range crashRuns {
-		wait.Go(func() { runs[n], errs[n] = runCrasher(r.Seed+uint64(n), false) })
+		wg.Go(func() { runs[n], errs[n] = runCrasher(r.Seed+uint64(n), false) })
 	}
-	wait.Wait()
-	most, slowest, refused, asked := 0, time.Duration(0), 0, 0
+	wg.Wait()
+	maxTargets, slowest, refused, total := 0, time.Duration(0), 0, 0
 	for n, run := range runs {
 		if errs[n] != nil {
 			return errs[n]
 		}
-		most = max(most, run.targets)
-		slowest = max(slowest, run.refusedAt)
-		for name, count := range run.innocents {
-			asked += count
+		maxTargets = max(maxTargets, run.targets)
+		slowest = max(slowest, run.refusedAfter)
+		for name, count := range run.otherResults {
+			total += count
 			if name != result.OK.Info().Name {
 				refused += count
 			}
 		}
 	}
-	r.Add("crashing request", "targets taken down, most of 8 runs", "count", float64(most))
-	r.Add("crashing request", "until refused, slowest of 8 runs", "ms", ms(slowest))
-	r.Add("crashing request", "others asked", "count", float64(asked))
+	r.Add("crashing request", "targets taken down, most of 8 runs", "count", float64(maxTargets))
+	r.Add("crashing request", "until refused, slowest of 8 runs", "ms", milliseconds(slowest))
+	r.Add("crashing request", "others asked", "count", float64(total))
 	r.Add("crashing request", "others not answered whole", "count", float64(refused))
 	return nil
 }
--- a/outcomes/callers.go
+++ b/outcomes/callers.go
@@ -15,58 +15,58 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Bounds of what callers do.
+// Behaviour of callers.
 const (
-	callerDeadline = 5 * time.Second
-	callerRepeats  = 3
-	callerPause    = 100 * time.Millisecond
-	callerBackoff  = 300 * time.Millisecond // callers keep less than the Retry-After they are told
-	minTokens      = 8
-	moreTokens     = 24
+	callerDeadline    = 5 * time.Second
+	callerMaxAttempts = 3
+	maxCallerPause    = 100 * time.Millisecond
+	maxCallerBackoff  = 300 * time.Millisecond // callers wait for less than the Retry-After that they get
+	minTokens         = 8
+	extraTokens       = 24
 )
 
-// caller sends requests one after the other and repeats those whose end is not
-// known, as real callers do: through another entry, with the same key.
+// caller sends requests sequentially. Like a real caller it retries a request whose
+// outcome is unknown through another entry, with the same key.
 type caller struct {
-	world *World
-	team  string
-	rng   *rand.Rand
-	n     int
-	crash bool // sends the request that crashes targets, again and again
+	world    *World
+	team     string
+	rng      *rand.Rand
+	jobs     int
+	crashing bool // repeatedly sends the request that crashes targets
 }
 
-// job is what a caller wants, over all its tries.
+// job is one request of a caller, the same for all attempts.
 type job struct {
-	service string
-	path    string
-	body    string
-	key     string
-	want    string
-	stream  bool
+	service  string
+	path     string
+	body     string
+	key      string
+	wantText string
+	stream   bool
 }
 
 func (c *caller) run(until time.Time) {
 	for time.Now().Before(until) {
-		c.do(c.next())
-		time.Sleep(time.Duration(c.rng.Int64N(int64(callerPause))))
+		c.runJob(c.nextJob())
+		time.Sleep(time.Duration(c.rng.Int64N(int64(maxCallerPause))))
 	}
 }
 
-func (c *caller) next() job {
-	c.n++
-	id := fmt.Sprintf("%s/%d", c.team, c.n)
-	if c.crash {
-		return generation(CrashMarker, "", minTokens+moreTokens, true, false)
+func (c *caller) nextJob() job {
+	c.jobs++
+	id := fmt.Sprintf("%s/%d", c.team, c.jobs)
+	if c.crashing {
+		return generationJob(CrashMarker, "", minTokens+extraTokens, true, false)
 	}
 	switch draw := c.rng.IntN(10); {
 	case draw < 5:
 		return job{service: ServicePlain, path: "/entries/" + id, body: "entry " + id, key: id}
 	case draw < 6:
-		return generation("once "+id, id, minTokens, false, false)
+		return generationJob("once "+id, id, minTokens, false, false)
 	case draw < 8:
-		return generation("prompt "+id, "", minTokens+c.rng.IntN(moreTokens), true, draw == 7)
+		return generationJob("prompt "+id, "", minTokens+c.rng.IntN(extraTokens), true, draw == 7)
 	default:
-		return generation("prompt "+id, "", minTokens+c.rng.IntN(moreTokens), false, false)
+		return generationJob("prompt "+id, "", minTokens+c.rng.IntN(extraTokens), false, false)
 	}
 }
 
@@ -83,65 +83,65 @@
 	Stream    bool      `json:"stream"`
 }
 
-func generation(prompt, key string, tokens int, stream, chat bool) job {
+func generationJob(prompt, key string, tokens int, stream, chat bool) job {
 	body := completionBody{Model: ServiceEngine, Prompt: prompt, MaxTokens: tokens, Stream: stream}
 	path := "/v1/completions"
 	if chat {
 		body.Prompt, body.Messages = "", []message{{Role: "user", Content: prompt}}
 		path = "/v1/chat/completions"
 	}
-	text, _ := json.Marshal(body) // a plain struct always encodes
+	text, _ := json.Marshal(body) // encoding a plain struct cannot fail
 	return job{
-		service: ServiceEngine,
-		path:    path,
-		body:    string(text),
-		key:     key,
-		want:    fake.Generate(prompt, tokens),
-		stream:  stream,
+		service:  ServiceEngine,
+		path:     path,
+		body:     string(text),
+		key:      key,
+		wantText: fake.Generate(prompt, tokens),
+		stream:   stream,
 	}
 }
 
-// do sends a job until its end is known, or the caller has had enough. Now and
-// then a key goes through two entries at once.
-func (c *caller) do(j job) {
+// runJob sends a job until its outcome is known or callerMaxAttempts is reached. One
+// attempt in eight with a key is also sent through a second entry concurrently.
+func (c *caller) runJob(j job) {
 	first := c.rng.IntN(len(c.world.entries))
-	for try := range callerRepeats {
-		at := (first + try) % len(c.world.entries)
+	for attempt := range callerMaxAttempts {
+		entryIdx := (first + attempt) % len(c.world.entries)
 		if j.key != "" && c.rng.IntN(8) == 0 {
-			other := (at + 1) % len(c.world.entries)
-			c.world.wait.Add(1)
+			other := (entryIdx + 1) % len(c.world.entries)
+			c.world.tasks.Add(1)
 			go func() {
-				defer c.world.wait.Done()
-				c.world.send(c.team, other, j, try)
+				defer c.world.tasks.Done()
+				c.world.send(c.team, other, j, attempt)
 			}()
 		}
-		i := c.world.send(c.team, at, j, try)
+		i := c.world.send(c.team, entryIdx, j, attempt)
 		if i.Code == result.OK || (i.Code.Info().RetryAfter == 0 && j.key == "" && i.Code.Info().Run != result.RunMaybe) {
 			return
 		}
 		if i.Code.Info().Run == result.RunNot {
-			time.Sleep(min(i.Code.Info().RetryAfter, callerBackoff))
+			time.Sleep(min(i.Code.Info().RetryAfter, maxCallerBackoff))
 		}
 	}
 }
 
-// send makes one invocation and records it.
-func (w *World) send(team string, at int, j job, try int) *Invocation {
-	at = w.callable(at)
+// send sends one attempt and records it as an Invocation.
+func (w *World) send(team string, entryIdx int, j job, attempt int) *Invocation {
+	entryIdx = w.availableEntry(entryIdx)
 	now := time.Now()
 	i := &Invocation{
 		Key:        j.key,
 		Service:    j.service,
-		Entry:      w.entries[at].name,
+		Entry:      w.entries[entryIdx].name,
 		StartedAt:  now,
 		Deadline:   now.Add(callerDeadline),
-		WantAnswer: j.want,
+		WantAnswer: j.wantText,
 		Streamed:   j.stream,
 		CrashBody:  strings.Contains(j.body, CrashMarker),
 	}
-	i.ID = fmt.Sprintf("%s#%d@%s+%d", team, try, i.Entry, w.incarnation())
-	w.History.begin(i)
-	answer, err := w.call(w.entry(at), team, i, j)
+	i.ID = fmt.Sprintf("%s#%d@%s+%d", team, attempt, i.Entry, w.newIncarnation())
+	w.History.addInvocation(i)
+	answer, err := w.call(w.entry(entryIdx), team, i, j)
 	w.History.mu.Lock()
 	defer w.History.mu.Unlock()
 	i.Answer, i.EndedAt = answer, time.Now()
@@ -185,10 +185,10 @@
 	}
 }
 
-// answerText returns the generated text of an engine's answer, or the answer
-// itself.
+// answerText returns the generated text of an engine response, or the raw response of
+// a plain service.
 func answerText(j job, raw string) string {
-	if j.want == "" {
+	if j.wantText == "" {
 		return raw
 	}
 	if !j.stream {
--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -18,8 +18,9 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// inWorld runs f in virtual time with two entries, and checks the history after.
-func inWorld(t *testing.T, off safeguard.Off, f func(g *WithT, w *World)) {
+// runInWorld runs f in virtual time on a system with two entries. Afterwards it checks
+// the history, unless a safeguard is off.
+func runInWorld(t *testing.T, off safeguard.Off, f func(g *WithT, w *World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -34,8 +35,8 @@
 	})
 }
 
-// homeOf returns where a key of team-0 runs.
-func homeOf(w *World, key string, spare bool) string {
+// homeTarget returns the home of a key of team-0.
+func homeTarget(w *World, key string, spare bool) string {
 	names := []string{"oven-api-1", "oven-api-2", "oven-api-3"}
 	if spare {
 		names = append(names, "oven-api-4")
@@ -43,17 +44,18 @@
 	return names[route.HomeIndex(route.DedupKey("team-0", ServicePlain, key), names)]
 }
 
-// keyAt returns a key whose home is a target now, and elsewhere if moves.
-func keyAt(w *World, target string, moves bool) string {
+// keyWithHome returns a key whose home is target. moves says whether adding the spare
+// target must change its home.
+func keyWithHome(w *World, target string, moves bool) string {
 	for n := 'a'; ; n++ {
 		key := "key-" + string(n)
-		if homeOf(w, key, false) == target && (homeOf(w, key, true) != target) == moves {
+		if homeTarget(w, key, false) == target && (homeTarget(w, key, true) != target) == moves {
 			return key
 		}
 	}
 }
 
-func ranOf(w *World, key string) int {
+func executionsOfKey(w *World, key string) int {
 	n := 0
 	for _, e := range w.History.Executions {
 		if e.Key == key {
@@ -63,25 +65,23 @@
 	return n
 }
 
-// A key runs once although its caller sends it through two entries at once.
-// Both entries choose the same home; the second request joins the first one's
-// run, and both callers get its answer.
-func TestTheSameKeyThroughTwoEntriesAtOnce(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// A caller sends the same key through two entries concurrently. Both entries must choose
+// the same home, and the second request must attach to the run of the first.
+func TestSameKeyThroughTwoEntriesRunsOnce(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		codes := make(chan result.Code, 2)
-		for at := range 2 {
-			go func() { codes <- w.send("team-0", at, plainJob("k"), 0).Code }()
+		for entryIdx := range 2 {
+			go func() { codes <- w.send("team-0", entryIdx, plainJob("k"), 0).Code }()
 		}
 		g.Expect([]result.Code{<-codes, <-codes}).To(HaveEach(result.OK))
-		g.Expect(ranOf(w, "k")).To(Equal(1))
+		g.Expect(executionsOfKey(w, "k")).To(Equal(1))
 	})
 }
 
-// A repeat gets the finished answer, and another body is refused.
-// The caller lost the first answer and asks again; a broken key generator uses
-// the key for something else.
-func TestARepeatGetsTheFinishedAnswer(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// A caller loses the response and repeats the request; a faulty key generator reuses the
+// key with another body.
+func TestRepeatGetsStoredAnswerAndReusedKeyIsRefused(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		first := w.send("team-0", 0, plainJob("k"), 0)
 		again := w.send("team-0", 1, plainJob("k"), 1)
 		g.Expect(again.Code).To(Equal(result.OK))
@@ -92,10 +92,10 @@
 	})
 }
 
-// An entry dies after dispatch, and the caller repeats through another one.
-// The run goes on at the home; the repeat joins it and gets the whole answer.
-func TestTheEntryDiesAfterDispatch(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// An entry dies after dispatch, and the caller repeats through another entry. The repeat
+// must attach to the run, which continues at the home target.
+func TestRepeatAfterEntryCrashDoesNotRunTwice(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		lost := make(chan *Invocation)
 		go func() { lost <- w.send("team-0", 0, plainJob("k"), 0) }()
 		time.Sleep(10 * time.Millisecond)
@@ -103,42 +103,41 @@
 		first := <-lost
 		g.Expect(first.Code.Info().Run).To(Equal(result.RunMaybe), first.Detail)
 		g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.OK))
-		g.Expect(ranOf(w, "k")).To(Equal(1))
+		g.Expect(executionsOfKey(w, "k")).To(Equal(1))
 	})
 }
 
-// An agent forgets at its restart, and its keys stay safe.
-// A request ran; the agent restarts with an empty memory; the caller repeats. The
-// entry that dispatched the key says so: "may have run". Other keys run at once.
-func TestTheAgentRestartsWithAnEmptyMemory(t *testing.T) {
-	for _, moved := range []bool{false, true} { // the same VM, or another one
-		inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-			home := homeOf(w, "k", false)
+// An agent loses its deduplication table in a restart, and the caller repeats a key. The
+// entry that dispatched the key must report it, so that it ends as possibly run.
+func TestRestartedAgentRefusesDispatchedKeys(t *testing.T) {
+	for _, newAddress := range []bool{false, true} { // on the same VM, or on a new one
+		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+			home := homeTarget(w, "k", false)
 			g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
-			w.replaceAgent(home, time.Second, moved)
+			w.replaceAgent(home, time.Second, newAddress)
 			time.Sleep(time.Second)
 			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyInDoubt))
-			fresh := keyAt(w, home, false) + "2"
-			g.Expect(w.send("team-0", 1, plainJob(fresh), 0).Code).To(Equal(result.OK))
+			unused := keyWithHome(w, home, false) + "2"
+			g.Expect(w.send("team-0", 1, plainJob(unused), 0).Code).To(Equal(result.OK))
 		})
 	}
 }
 
-// A frame from before a restart arrives after it, and does not run.
-// It was delayed on its way; its sender has given it up. It names the earlier
-// incarnation of the agent.
-func TestAFrameFromBeforeTheRestart(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// A request frame is delayed until after a restart of the agent, and its sender has given
+// up. The frame carries the earlier incarnation and must not run.
+func TestDelayedFrameForEarlierIncarnationDoesNotRun(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		g.Expect(result.From(lateFrame(g, w)).Code).To(Equal(result.StaleAgent))
-		g.Expect(ranOf(w, "late")).To(BeZero())
+		g.Expect(executionsOfKey(w, "late")).To(BeZero())
 	})
 }
 
-// lateFrame sends a request that was meant for an earlier incarnation.
+// lateFrame sends a request for an earlier incarnation of the agent and returns the
+// error of the response.
 func lateFrame(g *WithT, w *World) error {
 	nc, err := w.net.dialer("tool")(context.Background(), "oven-api-1/0")
 	g.Expect(err).NotTo(HaveOccurred())
-	c, err := wire.Client(nc, wire.Hello{Name: "tool", Role: wire.RoleEntry, Incarnation: 1000}, deaf{}, wire.Options{})
+	c, err := wire.Client(nc, wire.Hello{Name: "tool", Role: wire.RoleEntry, Incarnation: 1000}, ignoreHandler{}, wire.Options{})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	req := &wire.Request{ID: "late", Team: "team-0", Service: ServicePlain, Key: "late", Method: "POST",
@@ -151,20 +150,19 @@
 	return err
 }
 
-// deaf ignores what an agent sends by itself.
-type deaf struct{}
+// ignoreHandler ignores streams and notes that an agent starts.
+type ignoreHandler struct{}
 
-func (deaf) ServeStream(context.Context, *wire.Stream, wire.Method, []byte) {}
-func (deaf) ServeNote(*wire.Conn, wire.Note, []byte)                        {}
+func (ignoreHandler) ServeStream(context.Context, *wire.Stream, wire.Method, []byte) {}
+func (ignoreHandler) ServeNote(*wire.Conn, wire.Note, []byte)                        {}
 
-// The log is down, and running processes go on as before.
-// Only what starts meanwhile is held up: an agent answers "may have run" for
-// keys that it does not know, an entry refuses, as nobody could know of it.
-func TestTheLogIsDown(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// The log service is down. Running processes must continue; an agent that starts in the
+// meantime must end unknown keys as possibly run until it has read the log.
+func TestLogOutageAffectsOnlyStartingProcesses(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		w.Log.SetFaults(fake.LogFaults{Down: true})
 		g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
-		w.replaceAgent(homeOf(w, "n", false), time.Second, false)
+		w.replaceAgent(homeTarget(w, "n", false), time.Second, false)
 		time.Sleep(time.Second)
 		g.Expect(w.send("team-0", 0, plainJob("n"), 0).Code).To(Equal(result.KeyInDoubt))
 		w.Log.SetFaults(fake.LogFaults{})
@@ -174,9 +172,10 @@
 	})
 }
 
-// An answer of the log is lost while an entry registers; it registers again.
-func TestTheLogsAnswerIsLost(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// The log service loses the response to the registration of an entry. The entry must
+// register again.
+func TestEntryRegistersAgainAfterLostLogResponse(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		w.entry(0).Close()
 		w.Log.SetFaults(fake.LogFaults{LoseAnswers: 1})
 		g.Expect(w.startEntry(0)).To(Succeed())
@@ -187,76 +186,75 @@
 	})
 }
 
-// The configuration moves a key's home between two tries.
-// The new home has never heard of the key; the entry that dispatched it says so
-// when it installs the version. A key that nobody used runs at its new home.
-func TestTheTargetsChangeBetweenTwoTries(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-		key := keyAt(w, "oven-api-2", true)
+// A configuration moves the home of a key between two attempts. The entry that dispatched
+// the key must report it to the new home. An unused key must run there.
+func TestKeyWithMovedHomeDoesNotRunTwice(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+		key := keyWithHome(w, "oven-api-2", true)
 		g.Expect(w.send("team-0", 0, plainJob(key), 0).Code).To(Equal(result.OK))
-		g.Expect(w.apply(true)).To(Succeed())
+		g.Expect(w.applyConfig(true)).To(Succeed())
 		time.Sleep(time.Second)
 		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyInDoubt))
 		unused := "x" + key
-		for homeOf(w, unused, true) != "oven-api-4" {
+		for homeTarget(w, unused, true) != "oven-api-4" {
 			unused = "x" + unused
 		}
 		g.Expect(w.send("team-0", 1, plainJob(unused), 0).Code).To(Equal(result.OK))
 	})
 }
 
-// A paused entry works under an old version while the others have moved on.
-// Its key must not run at the old home once it could run at the new one.
-func TestAnEntryThatMissedTheChange(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-		key := keyAt(w, "oven-api-2", true)
-		w.net.freeze("entry-1")
+// A paused entry dispatches a key under an old version while others use the new one. The
+// key must not run at both its old and its new home.
+func TestStaleEntryDoesNotRunKeyAtOldHome(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+		key := keyWithHome(w, "oven-api-2", true)
+		w.net.pauseProcess("entry-1")
 		time.Sleep(time.Second)
-		g.Expect(w.apply(true)).To(Succeed())
+		g.Expect(w.applyConfig(true)).To(Succeed())
 		time.Sleep(10 * time.Millisecond)
 		late := make(chan *Invocation)
 		go func() { late <- w.send("team-0", 0, plainJob(key), 0) }()
 		g.Expect(w.send("team-0", 1, plainJob(key), 0).Code).To(Equal(result.KeyInDoubt))
-		w.net.thaw("entry-1")
+		w.net.resumeProcess("entry-1")
 		<-late
-		g.Expect(ranOf(w, key)).To(BeNumerically("<=", 1))
+		g.Expect(executionsOfKey(w, key)).To(BeNumerically("<=", 1))
 	})
 }
 
-// A target dies for good, and its keys get a new home by a configuration.
-// What it ran is in doubt at the new home; the rest runs.
-func TestTheTargetDiesAndItsKeysMove(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-		g.Expect(w.apply(true)).To(Succeed())
+// A target is lost, and a configuration moves its keys to a new home. Keys that it ran
+// must end as possibly run there, and unused keys must run.
+func TestKeysOfLostTargetMoveToNewHome(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+		g.Expect(w.applyConfig(true)).To(Succeed())
 		time.Sleep(time.Second)
 		key := "k"
-		for homeOf(w, key, true) != "oven-api-4" {
+		for homeTarget(w, key, true) != "oven-api-4" {
 			key += "k"
 		}
 		g.Expect(w.send("team-0", 0, plainJob(key), 0).Code).To(Equal(result.OK))
-		w.agentOf("oven-api-4").Close()
+		w.currentAgent("oven-api-4").Close()
 		time.Sleep(time.Second)
 		unused := key + "k"
-		for homeOf(w, unused, true) != "oven-api-4" {
+		for homeTarget(w, unused, true) != "oven-api-4" {
 			unused += "k"
 		}
 		g.Expect(w.send("team-0", 0, plainJob(unused), 0).Code.Info().Run).To(Equal(result.RunNot))
-		g.Expect(w.apply(false)).To(Succeed())
+		g.Expect(w.applyConfig(false)).To(Succeed())
 		time.Sleep(time.Second)
 		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyInDoubt))
 		g.Expect(w.send("team-0", 1, plainJob(unused), 1).Code).To(Equal(result.OK))
 	})
 }
 
-// An entry and an agent die within one window, and nobody can vouch.
-// The entry that dispatched the key is gone, so every unknown key of the new
-// agent is in doubt; an entry that left in order has left its book instead.
-func TestTheEntryAndTheAgentDie(t *testing.T) {
-	for _, orderly := range []bool{false, true} {
-		inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-			home := homeOf(w, "k", false)
+// The entry that dispatched a key and the agent die within one deduplication window. All
+// unknown keys must end as possibly run, unless the entry shut down gracefully and
+// left its dispatched keys on the log.
+func TestUnknownKeysMayHaveRunAfterLossOfEntryAndAgent(t *testing.T) {
+	for _, graceful := range []bool{false, true} {
+		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+			home := homeTarget(w, "k", false)
 			g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
-			if orderly {
+			if graceful {
 				w.drainEntry(0)
 			} else {
 				w.entry(0).Close()
@@ -264,12 +262,12 @@
 			w.replaceAgent(home, time.Second, false)
 			time.Sleep(time.Second)
 			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyInDoubt))
-			unused := "n" + keyAt(w, home, false)
-			for homeOf(w, unused, false) != home {
+			unused := "n" + keyWithHome(w, home, false)
+			for homeTarget(w, unused, false) != home {
 				unused = "n" + unused
 			}
 			want := result.KeyInDoubt
-			if orderly {
+			if graceful {
 				want = result.OK
 			}
 			g.Expect(w.send("team-0", 1, plainJob(unused), 0).Code).To(Equal(want))
@@ -277,15 +275,16 @@
 	}
 }
 
-// At the bound a new key is refused, and no older one is forgotten.
-func TestTheMemoryIsFull(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+// The deduplication table is full. A new key must be refused, and no key may be evicted
+// before the end of its window.
+func TestFullDedupTableRefusesNewKeys(t *testing.T) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		snap := *w.entry(0).Current()
 		w.entry(0).Current().Config.Policies[0].DedupKeys = 1
 		defer func() { snap.Config.Policies[0].DedupKeys = 1 << 16 }()
-		first := keyAt(w, "oven-api-1", false)
+		first := keyWithHome(w, "oven-api-1", false)
 		second := "m" + first
-		for homeOf(w, second, false) != "oven-api-1" {
+		for homeTarget(w, second, false) != "oven-api-1" {
 			second = "m" + second
 		}
 		g.Expect(w.send("team-0", 0, plainJob(first), 0).Code).To(Equal(result.OK))
@@ -296,25 +295,24 @@
 	})
 }
 
-// A rolling replacement of all VMs under load cuts nothing off.
-// Each agent and entry in turn is told to stop, finishes what it has, and is
-// replaced; callers go by the list, which no longer names a leaving entry.
+// All agents and entries are drained and replaced in turn under load. Requests in flight
+// must complete; callers do not use leaving entries.
 func TestRollingReplacementCutsNothingOff(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		until := time.Now().Add(20 * time.Second)
 		for n := range 4 {
 			c := &caller{world: w, team: string(rune('a' + n)), rng: newRand(7, uint64(n))}
-			w.wait.Go(func() { c.run(until) })
+			w.tasks.Go(func() { c.run(until) })
 		}
 		for _, name := range w.targetNames() {
-			w.drain(name)
+			w.drainTarget(name)
 			time.Sleep(time.Second)
 		}
 		for i := range w.entries {
 			w.drainEntry(i)
 			time.Sleep(time.Second)
 		}
-		w.wait.Wait()
+		w.tasks.Wait()
 		for _, i := range w.History.Invocations {
 			g.Expect(i.Code.Info().Run).NotTo(Equal(result.RunMaybe), "%s: %s %s %s", i.ID, i.Detail, i.Key, i.EndedAt)
 		}
@@ -322,12 +320,11 @@
 	})
 }
 
-// A streamed text whose engine dies is the same text.
-// The entry asks another engine to go on from the prompt and what the caller has,
-// for the tokens that are left; of either interface.
-func TestATextGoesOnElsewhere(t *testing.T) {
+// The engine dies during a streamed generation. The entry must continue it on another
+// engine from the prompt and the streamed text, for the remaining tokens.
+func TestGenerationContinuesOnAnotherEngine(t *testing.T) {
 	for _, chat := range []bool{false, true} {
-		inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 			for _, name := range []string{"prog-llm-1", "prog-llm-2"} {
 				e := w.targets[name].engine
 				w.after(20*stepTime, func() {
@@ -336,34 +333,33 @@
 					}
 				})
 			}
-			i := w.send("team-0", 0, generation("p", "", 64, true, chat), 0)
+			i := w.send("team-0", 0, generationJob("p", "", 64, true, chat), 0)
 			g.Expect(i.Code).To(Equal(result.OK), i.Detail)
 			g.Expect(i.Continuations).To(Equal(1))
 			second := w.History.Executions[1].Body
-			g.Expect(second).To(MatchRegexp(`"max_tokens":4\d`), "only what is left")
+			g.Expect(second).To(MatchRegexp(`"max_tokens":4\d`), "the continuation must request only the remaining tokens")
 		})
 	}
 }
 
-// A target that the platform calls leaving gets nothing new after two seconds.
-// Its agent has heard nothing; the entries have, through the VM list. A repeat of
-// what ran there still gets its answer.
+// The VM list marks a target as leaving, and its agent is not notified. New requests must
+// stop within two seconds; a repeat of a completed key must still get its answer.
 func TestALeavingTargetGetsNothingNew(t *testing.T) {
-	inWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
-		leaving := homeOf(w, "k", false)
+	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
+		leaving := homeTarget(w, "k", false)
 		g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
 		for _, name := range []string{leaving, "prog-llm-1"} {
 			w.vms.Put(outside.VM{ID: name, Name: name, Role: outside.RoleTarget, Address: w.targets[name].addr, State: outside.StateLeaving})
 		}
-		sign := time.Now()
+		leavingSince := time.Now()
 		for n := range 200 {
 			w.send("team-0", n%2, plainJob(fmt.Sprint("key", n)), 0)
-			w.send("team-0", n%2, generation(fmt.Sprint(n), "", 1, false, false), 0)
+			w.send("team-0", n%2, generationJob(fmt.Sprint(n), "", 1, false, false), 0)
 		}
-		g.Expect(time.Since(sign)).To(BeNumerically(">", 3*time.Second))
+		g.Expect(time.Since(leavingSince)).To(BeNumerically(">", 3*time.Second))
 		for _, e := range w.History.Executions {
 			if e.Target == leaving || e.Target == "prog-llm-1" {
-				g.Expect(e.At).To(BeTemporally("<", sign.Add(2*time.Second)))
+				g.Expect(e.At).To(BeTemporally("<", leavingSince.Add(2*time.Second)))
 			}
 		}
 		g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.OK))
--- a/outcomes/check.go
+++ b/outcomes/check.go
@@ -7,13 +7,13 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Violation is one broken promise.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   string
 	Detail string
 }
 
-// Rules of the checker.
+// Rules that the checker verifies.
 const (
 	RuleAtMostOnce     = "a key ran at most once"
 	RuleNotRun         = "not run means that it did not run"
@@ -22,45 +22,46 @@
 	RuleTerminates     = "every request ends"
 )
 
-// deadlineSlack is what an answer may take past the deadline to reach the caller.
+// deadlineSlack is the time after the deadline within which a response must have
+// reached the caller.
 const deadlineSlack = 250 * time.Millisecond
 
-// Check returns every promise that the recorded run broke.
+// Check returns all rule violations in a recorded run.
 func Check(h *History) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := &checker{history: h}
-	c.once()
-	c.notRun()
-	c.whole()
-	c.deadlines()
-	return c.found
+	c.checkAtMostOnce()
+	c.checkNotRun()
+	c.checkCompleteAnswers()
+	c.checkDeadlines()
+	return c.violations
 }
 
 type checker struct {
-	history *History
-	found   []Violation
+	history    *History
+	violations []Violation
 }
 
-func (c *checker) fail(rule, format string, args ...any) {
-	c.found = append(c.found, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) once() {
-	ran := make(map[string][]*Execution)
+func (c *checker) checkAtMostOnce() {
+	runsByKey := make(map[string][]*Execution)
 	for _, e := range c.history.Executions {
 		if e.Key != "" {
-			ran[e.Key] = append(ran[e.Key], e)
+			runsByKey[e.Key] = append(runsByKey[e.Key], e)
 		}
 	}
-	for key, list := range ran {
+	for key, list := range runsByKey {
 		if len(list) > 1 {
-			c.fail(RuleAtMostOnce, "%s ran %d times: %s", key, len(list), places(list))
+			c.addViolation(RuleAtMostOnce, "%s ran %d times: %s", key, len(list), describeRuns(list))
 		}
 	}
 }
 
-func places(list []*Execution) string {
+func describeRuns(list []*Execution) string {
 	text := ""
 	for _, e := range list {
 		text += fmt.Sprintf(" %s@%s(%s)", e.Target, e.At.Format("05.000"), e.ID)
@@ -68,21 +69,22 @@
 	return text
 }
 
-func (c *checker) notRun() {
-	ran := c.history.executionsOf()
+func (c *checker) checkNotRun() {
+	runsByID := c.history.executionCounts()
 	for _, i := range c.history.Invocations {
 		if i.EndedAt.IsZero() || i.Code == result.OK || i.Code.Info().Run != result.RunNot {
 			continue
 		}
-		if ran[i.ID] > 0 {
-			c.fail(RuleNotRun, "%s was told %s, and ran", i.ID, i.Code.Info().Name)
+		if runsByID[i.ID] > 0 {
+			c.addViolation(RuleNotRun, "%s got %s, which means not run, but it ran", i.ID, i.Code.Info().Name)
 		}
 	}
 }
 
-// whole compares with the text that an engine must generate, or, for a plain
-// service, with what some target produced for this key or request.
-func (c *checker) whole() {
+// checkCompleteAnswers compares each successful answer with the text that the engine
+// must generate. For a plain service it compares with the outputs of targets for the
+// same key or request.
+func (c *checker) checkCompleteAnswers() {
 	outputs := make(map[string]bool)
 	for _, e := range c.history.Executions {
 		outputs[e.Key+"\x00"+e.Output] = true
@@ -94,20 +96,20 @@
 		}
 		switch {
 		case i.WantAnswer != "" && i.Answer != i.WantAnswer:
-			c.fail(RuleCompleteAnswer, "%s got %q, want %q", i.ID, i.Answer, i.WantAnswer)
+			c.addViolation(RuleCompleteAnswer, "%s got %q, want %q", i.ID, i.Answer, i.WantAnswer)
 		case i.WantAnswer == "" && !outputs[i.Key+"\x00"+i.Answer] && !outputs[i.ID+"\x00"+i.Answer]:
-			c.fail(RuleCompleteAnswer, "%s got %q, which no target produced for it", i.ID, i.Answer)
+			c.addViolation(RuleCompleteAnswer, "%s got %q, which no target produced for it", i.ID, i.Answer)
 		}
 	}
 }
 
-func (c *checker) deadlines() {
+func (c *checker) checkDeadlines() {
 	for _, i := range c.history.Invocations {
 		switch {
 		case i.EndedAt.IsZero():
-			c.fail(RuleTerminates, "%s never ended", i.ID)
+			c.addViolation(RuleTerminates, "%s never ended", i.ID)
 		case i.EndedAt.After(i.Deadline.Add(deadlineSlack)):
-			c.fail(RuleDeadline, "%s ended %s late with %s", i.ID, i.EndedAt.Sub(i.Deadline), i.Code.Info().Name)
+			c.addViolation(RuleDeadline, "%s ended %s late with %s", i.ID, i.EndedAt.Sub(i.Deadline), i.Code.Info().Name)
 		}
 	}
 }
--- a/outcomes/convict_test.go
+++ b/outcomes/convict_test.go
@@ -12,38 +12,37 @@
 	"github.com/heatherrail/heatherrail/internal/safeguard"
 )
 
-// A checker that can't convict proves nothing.
-// Each safeguard is switched off alone, in a scenario that needs it, and the
-// checker must find the broken promise; with it on, the same scenario is clean.
-func TestTheCheckerConvicts(t *testing.T) {
+// A checker that misses violations would make the other tests pass vacuously. With one
+// safeguard off, its scenario must violate a rule; with the safeguard on, none.
+func TestCheckerDetectsEachDisabledSafeguard(t *testing.T) {
 	cases := []struct {
 		name     string
 		off      safeguard.Off
-		base     safeguard.Off // what is off in the clean run too
+		base     safeguard.Off // safeguards that are off in both runs
 		rule     string
 		scenario func(w *World)
 	}{
-		{"agent's ledger", safeguard.Off{Ledger: true}, safeguard.Off{}, RuleAtMostOnce, twoEntries},
-		{"one home", safeguard.Off{Home: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, repeats},
-		{"witness", safeguard.Off{Witness: true}, safeguard.Off{}, RuleAtMostOnce, restartedAgent},
-		{"entry's book", safeguard.Off{Book: true}, safeguard.Off{}, RuleAtMostOnce, restartedAgent},
-		{"roster", safeguard.Off{Roster: true}, safeguard.Off{}, RuleAtMostOnce, deadEntryAndAgent},
-		{"incarnation", safeguard.Off{Incarnation: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, lateFrames},
-		{"overtaken agent", safeguard.Off{Supersede: true}, safeguard.Off{}, RuleAtMostOnce, twoAgents},
-		{"doubt", safeguard.Off{Doubt: true}, safeguard.Off{}, RuleNotRun, lostAnswers},
-		{"deadline", safeguard.Off{Deadline: true}, safeguard.Off{}, RuleDeadline, stalledEngines},
-		{"continuation", safeguard.Off{Continue: true}, safeguard.Off{}, RuleCompleteAnswer, killedEngine},
+		{"deduplication table", safeguard.Off{Ledger: true}, safeguard.Off{}, RuleAtMostOnce, sendThroughTwoEntries},
+		{"one home", safeguard.Off{Home: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, repeatThroughBothEntries},
+		{"query for unknown keys", safeguard.Off{Witness: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
+		{"dispatch report", safeguard.Off{Book: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
+		{"roster", safeguard.Off{Roster: true}, safeguard.Off{}, RuleAtMostOnce, killEntryAndAgent},
+		{"incarnation", safeguard.Off{Incarnation: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, deliverFrameAfterRestart},
+		{"superseded agent", safeguard.Off{Supersede: true}, safeguard.Off{}, RuleAtMostOnce, runOldAndNewAgent},
+		{"unknown outcome of an earlier attempt", safeguard.Off{Doubt: true}, safeguard.Off{}, RuleNotRun, loseAgentsAfterDispatch},
+		{"deadline", safeguard.Off{Deadline: true}, safeguard.Off{}, RuleDeadline, stallEngines},
+		{"continuation", safeguard.Off{Continue: true}, safeguard.Off{}, RuleCompleteAnswer, killEngineInStream},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(rulesBroken(t, tc.off, tc.scenario)).To(ContainElement(tc.rule))
-			g.Expect(rulesBroken(t, tc.base, tc.scenario)).To(BeEmpty())
+			g.Expect(violatedRules(t, tc.off, tc.scenario)).To(ContainElement(tc.rule))
+			g.Expect(violatedRules(t, tc.base, tc.scenario)).To(BeEmpty())
 		})
 	}
 }
 
-func rulesBroken(t *testing.T, off safeguard.Off, scenario func(w *World)) (rules []string) {
+func violatedRules(t *testing.T, off safeguard.Off, scenario func(w *World)) (rules []string) {
 	synctest.Test(t, func(t *testing.T) {
 		w, err := NewWorld(Options{Engines: 2, PlainTargets: 3, Entries: 2, Latency: time.Millisecond, Off: off, Logger: logr.Discard()})
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -57,56 +56,57 @@
 	return rules
 }
 
-func twoEntries(w *World) {
+func sendThroughTwoEntries(w *World) {
 	done := make(chan bool)
-	for at := range 2 {
-		go func() { w.send("team-0", at, plainJob("k"), 0); done <- true }()
+	for entryIdx := range 2 {
+		go func() { w.send("team-0", entryIdx, plainJob("k"), 0); done <- true }()
 	}
 	<-done
 	<-done
 }
 
-func repeats(w *World) {
+func repeatThroughBothEntries(w *World) {
 	for n := range 10 {
-		for at := range 2 {
-			w.send("team-0", at, plainJob(fmt.Sprint(n)), at)
+		for entryIdx := range 2 {
+			w.send("team-0", entryIdx, plainJob(fmt.Sprint(n)), entryIdx)
 		}
 	}
 }
 
-func restartedAgent(w *World) {
+func restartAgentBeforeRepeat(w *World) {
 	w.send("team-0", 0, plainJob("k"), 0)
-	w.replaceAgent(homeOf(w, "k", false), time.Second, false)
+	w.replaceAgent(homeTarget(w, "k", false), time.Second, false)
 	time.Sleep(time.Second)
 	w.send("team-0", 1, plainJob("k"), 1)
 }
 
-func deadEntryAndAgent(w *World) {
+func killEntryAndAgent(w *World) {
 	w.send("team-0", 0, plainJob("k"), 0)
 	w.entry(0).Close()
-	w.replaceAgent(homeOf(w, "k", false), time.Second, false)
+	w.replaceAgent(homeTarget(w, "k", false), time.Second, false)
 	time.Sleep(time.Second)
 	w.send("team-0", 1, plainJob("k"), 1)
 }
 
-// lateFrames: a key ran before the restart, and its frame arrives again after it.
-func lateFrames(w *World) {
-	g := NewWithT(failer{})
-	w.History.ran(&Execution{Key: "late", ID: "first"})
+// deliverFrameAfterRestart: a key ran before a restart of the agent, and its frame
+// arrives again after it.
+func deliverFrameAfterRestart(w *World) {
+	g := NewWithT(panicT{})
+	w.History.addExecution(&Execution{Key: "late", ID: "first"})
 	_ = lateFrame(g, w)
 }
 
-// twoAgents: a VM was replaced while the old one goes on, and an entry that
-// starts has an old VM list.
-func twoAgents(w *World) {
-	home := homeOf(w, "k", false)
-	old := w.agentOf(home)
-	w.targets[home].moves++
+// runOldAndNewAgent: a VM is replaced while the old one keeps running, and an entry
+// starts with a stale VM list.
+func runOldAndNewAgent(w *World) {
+	home := homeTarget(w, "k", false)
+	old := w.currentAgent(home)
+	w.targets[home].addrChanges++
 	w.must(w.startAgent(home))
 	time.Sleep(time.Second)
 	w.send("team-0", 0, plainJob("k"), 0)
 	w.net.mu.Lock()
-	w.net.astray["entry-2"+home+"/1"] = home + "/0"
+	w.net.redirects["entry-2"+home+"/1"] = home + "/0"
 	w.net.mu.Unlock()
 	w.entry(1).Close()
 	w.must(w.startEntry(1))
@@ -115,19 +115,19 @@
 	old.Close()
 }
 
-func stalledEngines(w *World) {
+func stallEngines(w *World) {
 	w.targets["prog-llm-1"].engine.Stall(true)
 	w.targets["prog-llm-2"].engine.Stall(true)
 	w.after(callerDeadline+time.Second, func() {
 		w.targets["prog-llm-1"].engine.Stall(false)
 		w.targets["prog-llm-2"].engine.Stall(false)
 	})
-	w.send("team-0", 0, generation("p", "", minTokens, true, false), 0)
+	w.send("team-0", 0, generationJob("p", "", minTokens, true, false), 0)
 }
 
-func killedEngine(w *World) {
-	for n := range 10 { // the budget for a retry comes with the requests
-		w.send("team-0", 0, generation(fmt.Sprint(n), "", 1, true, false), 0)
+func killEngineInStream(w *World) {
+	for n := range 10 { // requests fill the retry budget
+		w.send("team-0", 0, generationJob(fmt.Sprint(n), "", 1, true, false), 0)
 	}
 	w.after(10*stepTime, func() {
 		for _, name := range []string{"prog-llm-1", "prog-llm-2"} {
@@ -136,27 +136,27 @@
 			}
 		}
 	})
-	w.send("team-0", 0, generation("p", "", 4*minTokens, true, false), 0)
+	w.send("team-0", 0, generationJob("p", "", 4*minTokens, true, false), 0)
 }
 
-// failer ends a scenario whose set-up fails.
-type failer struct{}
+// panicT ends a scenario by a panic if its set-up fails.
+type panicT struct{}
 
-func (failer) Helper()                   {}
-func (failer) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
+func (panicT) Helper()                   {}
+func (panicT) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
-// lostAnswers: a request runs, its answer is lost with the agents, and its retry
-// finds no target.
-func lostAnswers(w *World) {
+// loseAgentsAfterDispatch: a request runs, its response is lost with the agents, and
+// its retry finds no target.
+func loseAgentsAfterDispatch(w *World) {
 	for n := range 12 {
 		w.send("team-0", 0, plainJob(fmt.Sprint(n)), 0)
 	}
 	for _, name := range []string{"oven-api-1", "oven-api-2", "oven-api-3"} {
 		w.targets[name].plain.SetDelay(0)
-		w.net.delay(name, 100*time.Millisecond)
-		w.after(50*time.Millisecond, w.agentOf(name).Close)
+		w.net.setDelay(name, 100*time.Millisecond)
+		w.after(50*time.Millisecond, w.currentAgent(name).Close)
 	}
-	open := plainJob("k")
-	open.key = ""
-	w.send("team-0", 0, open, 0)
+	unkeyed := plainJob("k")
+	unkeyed.key = ""
+	w.send("team-0", 0, unkeyed, 0)
 }
--- a/outcomes/crash_test.go
+++ b/outcomes/crash_test.go
@@ -9,11 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A request that crashes its target takes down two, and nobody else is refused.
-// The first crash makes all that ran there suspects; each runs alone on one
-// target; the culprit crashes that one too and is refused at every entry. Its
-// bystanders' texts go on elsewhere and end well.
-func TestACrashingRequestTakesDownTwoTargets(t *testing.T) {
+// A request crashes every engine that runs it. After the first crash the requests on that
+// engine are suspects and run alone; after the second crash the request must be refused.
+func TestCrashingRequestTakesDownAtMostTwoTargets(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -23,18 +21,17 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				time.Sleep(time.Minute)
 				g.Expect(r.targets).To(BeNumerically("<=", 2), "seed %d: %+v", seed, r)
-				g.Expect(r.refusedAt).NotTo(BeZero(), "seed %d: %+v", seed, r)
-				g.Expect(r.innocents).To(HaveLen(1), "seed %d: %+v", seed, r)
-				g.Expect(r.innocents).To(HaveKey("ok"))
+				g.Expect(r.refusedAfter).NotTo(BeZero(), "seed %d: %+v", seed, r)
+				g.Expect(r.otherResults).To(HaveLen(1), "seed %d: %+v", seed, r)
+				g.Expect(r.otherResults).To(HaveKey("ok"))
 			})
 		})
 	}
 }
 
-// Engines that crash for a reason of their own refuse no request.
-// All of them go down several times in a few seconds; what ran there has nothing
-// in common, so nobody is convicted for being on a second one.
-func TestAFleetWideFaultRefusesNobody(t *testing.T) {
+// All engines crash several times within seconds for reasons unrelated to requests. No
+// request may be refused because it was running during two of the crashes.
+func TestFleetWideCrashesRefuseNoRequest(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -43,8 +40,8 @@
 				r, err := runCrasher(seed, true)
 				g.Expect(err).NotTo(HaveOccurred())
 				time.Sleep(time.Minute)
-				g.Expect(r.innocents).NotTo(HaveKey("crash_suspect"), "seed %d: %+v", seed, r)
-				g.Expect(r.innocents["ok"]).To(BeNumerically(">", 50), "seed %d: %+v", seed, r)
+				g.Expect(r.otherResults).NotTo(HaveKey("crash_suspect"), "seed %d: %+v", seed, r)
+				g.Expect(r.otherResults["ok"]).To(BeNumerically(">", 50), "seed %d: %+v", seed, r)
 			})
 		})
 	}
--- a/outcomes/faults.go
+++ b/outcomes/faults.go
@@ -9,7 +9,7 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// Fault is one kind of thing that goes wrong.
+// Fault is a kind of fault.
 type Fault string
 
 // Kinds of faults.
@@ -32,146 +32,148 @@
 	FaultCrashRequest  Fault = "a request crashes its targets"
 )
 
-// Faults lists the kinds that runs draw from.
+// Faults lists the kinds of faults that plans select from.
 var Faults = []Fault{
 	FaultNone, FaultAgentKill, FaultAgentPause, FaultEngineKill, FaultEngineStall, FaultEntryKill, FaultEntryPause,
 	FaultConnectionCut, FaultMessageDelay, FaultLogDown, FaultLogAnswerLost, FaultVMReplaced, FaultDrain, FaultTargetChange, FaultCrashRequest,
 	FaultEntryDrain,
 }
 
-// inject makes a fault happen once and returns when it is over.
+// inject injects a fault once and returns when it is over.
 func (w *World) inject(f Fault, rng *rand.Rand) {
-	spell := time.Duration(200+rng.IntN(1800)) * time.Millisecond
-	name := w.anyTarget(rng)
-	who := rng.IntN(len(w.entries))
-	if !w.hold(name, w.entries[who].name) {
-		time.Sleep(spell)
+	duration := time.Duration(200+rng.IntN(1800)) * time.Millisecond
+	targetName := w.randomTarget(rng)
+	entryIdx := rng.IntN(len(w.entries))
+	if !w.tryLockProcesses(targetName, w.entries[entryIdx].name) {
+		time.Sleep(duration)
 		return
 	}
-	defer w.free(name, w.entries[who].name)
+	defer w.unlockProcesses(targetName, w.entries[entryIdx].name)
 	switch f {
 	case FaultAgentKill:
-		w.replaceAgent(name, spell, false)
+		w.replaceAgent(targetName, duration, false)
 	case FaultVMReplaced:
-		w.replaceAgent(name, spell, true)
+		w.replaceAgent(targetName, duration, true)
 	case FaultDrain:
-		w.drain(name)
+		w.drainTarget(targetName)
 	case FaultAgentPause:
-		w.pause(name, spell)
+		w.pause(targetName, duration)
 	case FaultEntryPause:
-		w.pause(w.entries[who].name, spell)
+		w.pause(w.entries[entryIdx].name, duration)
 	case FaultEntryKill:
-		w.entry(who).Close()
-		time.Sleep(spell / 4)
-		w.must(w.startEntry(who))
+		w.entry(entryIdx).Close()
+		time.Sleep(duration / 4)
+		w.must(w.startEntry(entryIdx))
 	case FaultEntryDrain:
-		w.drainEntry(who)
+		w.drainEntry(entryIdx)
 	case FaultEngineKill, FaultEngineStall:
-		w.breakEngine(f, spell, rng)
+		w.failEngine(f, duration, rng)
 	case FaultConnectionCut:
-		w.net.cut(name, func() int { return rng.IntN(2000) })
-		w.net.cut(w.entries[who].name, func() int { return rng.IntN(2000) })
+		w.net.cutAfterBytes(targetName, func() int { return rng.IntN(2000) })
+		w.net.cutAfterBytes(w.entries[entryIdx].name, func() int { return rng.IntN(2000) })
 	case FaultMessageDelay:
-		w.net.delay(name, time.Duration(rng.IntN(300))*time.Millisecond)
-		time.Sleep(spell)
-		w.net.delay(name, 0)
+		w.net.setDelay(targetName, time.Duration(rng.IntN(300))*time.Millisecond)
+		time.Sleep(duration)
+		w.net.setDelay(targetName, 0)
 	case FaultLogDown:
 		w.Log.SetFaults(fake.LogFaults{Down: true})
-		time.Sleep(2 * spell)
+		time.Sleep(2 * duration)
 		w.Log.SetFaults(fake.LogFaults{})
 	case FaultLogAnswerLost:
 		w.Log.SetFaults(fake.LogFaults{LoseAnswers: 3, Delay: 20 * time.Millisecond})
-		w.entry(who).Close()
-		w.must(w.startEntry(who))
-		time.Sleep(spell)
+		w.entry(entryIdx).Close()
+		w.must(w.startEntry(entryIdx))
+		time.Sleep(duration)
 		w.Log.SetFaults(fake.LogFaults{})
 	case FaultTargetChange:
 		w.mu.Lock()
-		spare := !w.extra
+		spare := !w.hasSpare
 		w.mu.Unlock()
-		w.must(w.apply(spare))
-		time.Sleep(spell)
+		w.must(w.applyConfig(spare))
+		time.Sleep(duration)
 	}
 }
 
-// hold keeps two faults from replacing one process at a time.
-func (w *World) hold(processes ...string) bool {
+// tryLockProcesses locks processes for one fault, so that two faults do not replace
+// the same process concurrently. It reports whether it succeeded.
+func (w *World) tryLockProcesses(processes ...string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range processes {
-		if w.held[p] {
+		if w.locked[p] {
 			return false
 		}
 	}
 	for _, p := range processes {
-		w.held[p] = true
+		w.locked[p] = true
 	}
 	return true
 }
 
-func (w *World) free(processes ...string) {
+func (w *World) unlockProcesses(processes ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range processes {
-		delete(w.held, p)
+		delete(w.locked, p)
 	}
 }
 
-// must ends a run that can't go on: a start in memory does not fail.
+// must panics on an error. Starting a process in memory does not fail, so the run is
+// invalid then.
 func (w *World) must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func (w *World) anyTarget(rng *rand.Rand) string {
+func (w *World) randomTarget(rng *rand.Rand) string {
 	names := w.targetNames()
 	return names[rng.IntN(len(names))]
 }
 
-func (w *World) pause(process string, d time.Duration) {
-	w.net.freeze(process)
-	time.Sleep(d)
-	w.net.thaw(process)
+func (w *World) pause(process string, duration time.Duration) {
+	w.net.pauseProcess(process)
+	time.Sleep(duration)
+	w.net.resumeProcess(process)
 }
 
-// replaceAgent kills an agent and starts another, which knows nothing; moved:
-// at another address, which the VM list shows late.
-func (w *World) replaceAgent(name string, down time.Duration, moved bool) {
-	w.agentOf(name).Close()
-	time.Sleep(down)
-	if moved {
-		w.targets[name].moves++
-		time.Sleep(vmLag)
+// replaceAgent kills an agent and starts a new one without any state. With newAddress
+// the new agent has another address, which the VM list shows with a lag.
+func (w *World) replaceAgent(targetName string, downtime time.Duration, newAddress bool) {
+	w.currentAgent(targetName).Close()
+	time.Sleep(downtime)
+	if newAddress {
+		w.targets[targetName].addrChanges++
+		time.Sleep(vmListLag)
 	}
-	w.must(w.startAgent(name))
+	w.must(w.startAgent(targetName))
 }
 
-// drainLimit is when a graceful shutdown gives up.
-const drainLimit = 30 * time.Second
+// drainTimeout limits a graceful shutdown.
+const drainTimeout = 30 * time.Second
 
-func (w *World) drain(name string) {
-	t := w.targets[name]
-	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+func (w *World) drainTarget(targetName string) {
+	t := w.targets[targetName]
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	w.must(w.agentOf(name).Shutdown(ctx))
-	w.vms.Put(outside.VM{ID: name, Name: name, Role: outside.RoleTarget, Address: t.addr, State: outside.StateLeaving})
-	t.moves++
-	time.Sleep(vmLag)
-	w.must(w.startAgent(name))
+	w.must(w.currentAgent(targetName).Shutdown(ctx))
+	w.vms.Put(outside.VM{ID: targetName, Name: targetName, Role: outside.RoleTarget, Address: t.addr, State: outside.StateLeaving})
+	t.addrChanges++
+	time.Sleep(vmListLag)
+	w.must(w.startAgent(targetName))
 }
 
 func (w *World) drainEntry(i int) {
 	w.mu.Lock()
 	w.entries[i].leaving = true
 	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	w.must(w.entry(i).Shutdown(ctx))
 	w.must(w.startEntry(i))
 }
 
-func (w *World) breakEngine(f Fault, spell time.Duration, rng *rand.Rand) {
+func (w *World) failEngine(f Fault, duration time.Duration, rng *rand.Rand) {
 	var engines []*target
 	for _, name := range w.targetNames() {
 		if t := w.targets[name]; t.engine != nil {
@@ -181,11 +183,11 @@
 	t := engines[rng.IntN(len(engines))]
 	if f == FaultEngineStall {
 		t.engine.Stall(true)
-		time.Sleep(spell)
+		time.Sleep(duration)
 		t.engine.Stall(false)
 		return
 	}
 	t.engine.Kill()
-	time.Sleep(spell)
+	time.Sleep(duration)
 	t.engine.Restart()
 }
--- a/outcomes/history.go
+++ b/outcomes/history.go
@@ -1,6 +1,7 @@
-// Package outcomes runs a whole small system in one process under faults, records
-// what callers were told and what targets really ran, and checks one against the
-// other. Tests run it in virtual time, the bench in real time.
+// Package outcomes runs a small system of entries, agents and targets in one process
+// and injects faults. It records the results that callers got and the requests that
+// targets ran, and checks them against each other. Tests run in virtual time, the
+// benchmark in real time.
 package outcomes
 
 import (
@@ -16,55 +17,55 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Invocation is one request of a caller and what it was told.
+// Invocation is one attempt of a caller and its result.
 type Invocation struct {
-	ID            string // new for each try of the caller
+	ID            string // unique to the attempt
 	Key           string // empty: repeatable
 	Service       string
 	Entry         string
 	StartedAt     time.Time
-	EndedAt       time.Time // zero: it never ended
+	EndedAt       time.Time // zero: the attempt never ended
 	Deadline      time.Time
-	Code          result.Code // OK: a whole answer
-	Detail        string      // of a refusal
-	Answer        string      // what the caller read
-	WantAnswer    string      // the whole answer, where it can be told in advance
+	Code          result.Code // OK: a complete response
+	Detail        string      // error text if Code is not OK
+	Answer        string      // text that the caller received
+	WantAnswer    string      // expected complete answer, if it is known in advance
 	Streamed      bool
 	Continuations int
 	CrashBody     bool
 }
 
-// Execution is one request that reached a target.
+// Execution is one execution of a request on a target.
 type Execution struct {
-	ID     string // of the invocation
+	ID     string // ID of the invocation
 	Key    string
 	Target string
 	Body   string
-	Output string // what the target produced, as far as it was read
+	Output string // response of the target, as far as it was read
 	At     time.Time
 }
 
-// History is a recorded run.
+// History is the record of a run.
 type History struct {
 	mu          sync.Mutex
 	Invocations []*Invocation
 	Executions  []*Execution
 }
 
-func (h *History) begin(i *Invocation) {
+func (h *History) addInvocation(i *Invocation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Invocations = append(h.Invocations, i)
 }
 
-func (h *History) ran(e *Execution) {
+func (h *History) addExecution(e *Execution) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Executions = append(h.Executions, e)
 }
 
-// executionsOf counts what ran under an invocation's id.
-func (h *History) executionsOf() map[string]int {
+// executionCounts returns the number of executions by invocation ID.
+func (h *History) executionCounts() map[string]int {
 	n := make(map[string]int)
 	for _, e := range h.Executions {
 		n[e.ID]++
@@ -72,32 +73,32 @@
 	return n
 }
 
-// recordingBackend records what its target runs. A request whose body holds
-// CrashMarker kills the target soon after it began.
+// recordingBackend records the requests that its target runs. A request whose body
+// contains CrashMarker crashes the target soon after its start.
 type recordingBackend struct {
 	outside.Backend
 	target  string
 	history *History
 	onCrash func()
-	broken  atomic.Bool  // each call is lost in mid-run
-	calls   atomic.Int64 // that reached the target
+	failing atomic.Bool  // each call fails after it was sent
+	calls   atomic.Int64 // calls that reached the target
 }
 
-// CrashMarker is in the body of a request that crashes its target.
+// CrashMarker marks the body of a request that crashes its target.
 const CrashMarker = "crash-me"
 
-var errBroken = errors.New("lost in mid-run")
+var errCallLost = errors.New("lost in mid-run")
 
 // Run implements outside.Backend.
 func (b *recordingBackend) Run(ctx context.Context, call *outside.Call) (*outside.Reply, error) {
 	if call.Method != "GET" {
 		b.calls.Add(1)
 	}
-	if b.broken.Load() && call.Method != "GET" {
-		return nil, &outside.SendError{MayHaveRun: true, Err: errBroken}
+	if b.failing.Load() && call.Method != "GET" {
+		return nil, &outside.SendError{MayHaveRun: true, Err: errCallLost}
 	}
 	reply, err := b.Backend.Run(ctx, call)
-	if err != nil || call.Method == "GET" { // a probe
+	if err != nil || call.Method == "GET" { // GET requests are health probes
 		return reply, err
 	}
 	e := &Execution{Target: b.target, Body: string(call.Body), At: time.Now()}
@@ -109,7 +110,7 @@
 			e.Key = h[1]
 		}
 	}
-	b.history.ran(e)
+	b.history.addExecution(e)
 	if strings.Contains(e.Body, CrashMarker) && b.onCrash != nil {
 		b.onCrash()
 	}
--- a/outcomes/network.go
+++ b/outcomes/network.go
@@ -10,28 +10,29 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// network connects processes in memory and breaks connections on demand.
+// network connects processes in memory and injects pauses, delays and broken
+// connections.
 type network struct {
-	latency time.Duration // of each write
+	latency time.Duration // added to each write
 
-	mu        sync.Mutex
-	listeners map[string]*listener
-	links     map[*faultyConn]bool
-	frozen    map[string]chan struct{} // by process; closed when it goes on
-	slow      map[string]time.Duration // by process
-	astray    map[string]string        // process and address -> the address that it reaches instead
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	conns      map[*faultyConn]bool
+	paused     map[string]chan struct{} // by process; closed when the process resumes
+	extraDelay map[string]time.Duration // by process
+	redirects  map[string]string        // process and dialled address -> address that is reached instead
 }
 
 var errRefused = errors.New("connection refused")
 
 func newNetwork(latency time.Duration) *network {
 	return &network{
-		latency:   latency,
-		listeners: make(map[string]*listener),
-		links:     make(map[*faultyConn]bool),
-		frozen:    make(map[string]chan struct{}),
-		slow:      make(map[string]time.Duration),
-		astray:    make(map[string]string),
+		latency:    latency,
+		listeners:  make(map[string]*listener),
+		conns:      make(map[*faultyConn]bool),
+		paused:     make(map[string]chan struct{}),
+		extraDelay: make(map[string]time.Duration),
+		redirects:  make(map[string]string),
 	}
 }
 
@@ -49,7 +50,8 @@
 func (address) Network() string  { return "memory" }
 func (a address) String() string { return string(a) }
 
-// listen opens an address for a process; the latest one to do so gets it.
+// listen opens an address for a process. It replaces an earlier listener on that
+// address.
 func (n *network) listen(addr, process string) *listener {
 	l := &listener{net: n, addr: addr, process: process, accept: make(chan net.Conn), done: make(chan struct{})}
 	n.mu.Lock()
@@ -81,7 +83,7 @@
 func (n *network) dialer(process string) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		n.mu.Lock()
-		if other, ok := n.astray[process+addr]; ok {
+		if other, ok := n.redirects[process+addr]; ok {
 			addr = other
 		}
 		l := n.listeners[addr]
@@ -105,66 +107,68 @@
 }
 
 func (n *network) wrap(c net.Conn, process string) *faultyConn {
-	f := &faultyConn{Conn: c, net: n, process: process, cutAfter: -1}
+	f := &faultyConn{Conn: c, net: n, process: process, bytesUntilCut: -1}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[f] = true
+	n.conns[f] = true
 	return f
 }
 
-// freeze stops all of a process's reading and writing until thaw.
-func (n *network) freeze(process string) {
+// pauseProcess blocks all reads and writes of a process until resumeProcess.
+func (n *network) pauseProcess(process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.frozen[process] == nil {
-		n.frozen[process] = make(chan struct{})
+	if n.paused[process] == nil {
+		n.paused[process] = make(chan struct{})
 	}
 }
 
-func (n *network) thaw(process string) {
+func (n *network) resumeProcess(process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ch := n.frozen[process]; ch != nil {
+	if ch := n.paused[process]; ch != nil {
 		close(ch)
-		delete(n.frozen, process)
+		delete(n.paused, process)
 	}
 }
 
-// delay adds to each write of a process; zero ends it.
-func (n *network) delay(process string, d time.Duration) {
+// setDelay sets the additional delay of each write of a process.
+func (n *network) setDelay(process string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[process] = d
+	n.extraDelay[process] = d
 }
 
-// cut breaks each connection of a process after it has sent some more bytes.
-func (n *network) cut(process string, bytes func() int) {
+// cutAfterBytes breaks each connection of a process after it has sent as many more
+// bytes as a call of bytes returns.
+func (n *network) cutAfterBytes(process string, bytes func() int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.links {
+	for c := range n.conns {
 		if c.process == process {
-			c.setCut(bytes())
+			c.setBytesUntilCut(bytes())
 		}
 	}
 }
 
-// wait returns when the process may go on.
-func (n *network) wait(process string) {
+// waitWhilePaused blocks while the process is paused.
+func (n *network) waitWhilePaused(process string) {
 	n.mu.Lock()
-	ch := n.frozen[process]
+	ch := n.paused[process]
 	n.mu.Unlock()
 	if ch != nil {
 		<-ch
 	}
 }
 
-func (n *network) delayOf(process string) time.Duration {
+func (n *network) writeDelay(process string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.latency + n.slow[process]
+	return n.latency + n.extraDelay[process]
 }
 
-// processLog is the log as one process reaches it: not at all while it is paused.
+// processLog is the log service as seen by one process: its calls block while the
+// process is paused.
 type processLog struct {
 	outside.Log
 	net     *network
@@ -173,57 +177,57 @@
 
 // Append implements outside.Log.
 func (l *processLog) Append(ctx context.Context, records [][]byte) (uint64, error) {
-	l.net.wait(l.process)
+	l.net.waitWhilePaused(l.process)
 	return l.Log.Append(ctx, records)
 }
 
 // Read implements outside.Log.
 func (l *processLog) Read(ctx context.Context, from uint64, max int, wait time.Duration) (outside.Page, error) {
-	l.net.wait(l.process)
+	l.net.waitWhilePaused(l.process)
 	page, err := l.Log.Read(ctx, from, max, wait)
-	l.net.wait(l.process)
+	l.net.waitWhilePaused(l.process)
 	return page, err
 }
 
-// faultyConn is one end of a connection.
+// faultyConn is one end of a connection that can be paused, delayed and broken.
 type faultyConn struct {
 	net.Conn
 	net     *network
 	process string
 	peer    *faultyConn
 
-	mu       sync.Mutex
-	cutAfter int // bytes that may still be written; negative: no limit
+	mu            sync.Mutex
+	bytesUntilCut int // bytes that may still be written; negative: no limit
 }
 
-func (c *faultyConn) setCut(n int) {
+func (c *faultyConn) setBytesUntilCut(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cutAfter = n
+	c.bytesUntilCut = n
 }
 
 // Read implements net.Conn.
 func (c *faultyConn) Read(p []byte) (int, error) {
-	c.net.wait(c.process)
+	c.net.waitWhilePaused(c.process)
 	n, err := c.Conn.Read(p)
-	c.net.wait(c.process)
+	c.net.waitWhilePaused(c.process)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *faultyConn) Write(p []byte) (int, error) {
-	time.Sleep(c.net.delayOf(c.process))
-	c.net.wait(c.process)
+	time.Sleep(c.net.writeDelay(c.process))
+	c.net.waitWhilePaused(c.process)
 	c.mu.Lock()
-	left := c.cutAfter
-	if left >= 0 {
-		c.cutAfter = max(left-len(p), 0)
+	remaining := c.bytesUntilCut
+	if remaining >= 0 {
+		c.bytesUntilCut = max(remaining-len(p), 0)
 	}
 	c.mu.Unlock()
-	if left < 0 || left >= len(p) {
+	if remaining < 0 || remaining >= len(p) {
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:left]) // the cut is the error to report
+	n, _ := c.Conn.Write(p[:remaining]) // report the injected break instead
 	_ = c.Close()
 	_ = c.peer.Close()
 	return n, net.ErrClosed
@@ -232,7 +236,7 @@
 // Close implements net.Conn.
 func (c *faultyConn) Close() error {
 	c.net.mu.Lock()
-	delete(c.net.links, c)
+	delete(c.net.conns, c)
 	c.net.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/outcomes/run.go
+++ b/outcomes/run.go
@@ -11,17 +11,17 @@
 	"github.com/heatherrail/heatherrail/internal/safeguard"
 )
 
-// Plan is one run: what fails, and how callers load the system.
+// Plan describes one run: the faults and the load of callers.
 type Plan struct {
 	Seed     uint64
-	Faults   []Fault // at the same time
+	Faults   []Fault // injected concurrently
 	Callers  int
 	Duration time.Duration
 	Off      safeguard.Off
 	Logger   logr.Logger
 }
 
-// PlanForSeed returns the plan of a seed: a single fault or a pair.
+// PlanForSeed returns the plan of a seed, with one or two faults.
 func PlanForSeed(seed uint64) Plan {
 	rng := newRand(seed, seed)
 	p := Plan{Seed: seed, Callers: 5, Duration: 6 * time.Second, Logger: logr.Discard()}
@@ -32,7 +32,7 @@
 	return p
 }
 
-// Run carries a plan out and returns the recorded history.
+// Run executes a plan and returns the world with its recorded history.
 func Run(p Plan) (*World, error) {
 	w, err := NewWorld(Options{Engines: 3, PlainTargets: 3, Entries: 3, Latency: time.Millisecond / 2, Off: p.Off, Logger: p.Logger})
 	if err != nil {
@@ -47,7 +47,7 @@
 	for n, f := range p.Faults {
 		rng := newRand(p.Seed, uint64(1000+n))
 		if f == FaultCrashRequest {
-			c := &caller{world: w, team: "crasher", rng: rng, crash: true}
+			c := &caller{world: w, team: "crasher", rng: rng, crashing: true}
 			callers.Go(func() { c.run(until) })
 			continue
 		}
--- a/outcomes/run_test.go
+++ b/outcomes/run_test.go
@@ -14,10 +14,8 @@
 
 const seeds = 210
 
-// Callers are told the truth whatever fails, alone or in pairs.
-// Each seed draws faults and their times; callers repeat what they got no answer
-// for, through other entries and with the same key. The recorded history must
-// keep every promise, and most requests must still be answered.
+// Results must be correct under single faults and pairs of faults. Each seed selects the
+// faults and their times, and callers retry requests with an unknown outcome.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(seeds) {
 		plan := outcomes.PlanForSeed(seed)
@@ -27,16 +25,16 @@
 				g := NewWithT(t)
 				w, err := outcomes.Run(plan)
 				g.Expect(err).NotTo(HaveOccurred())
-				time.Sleep(time.Minute) // connections that were being made end by themselves
+				time.Sleep(time.Minute) // pending connection attempts must time out
 				g.Expect(outcomes.Check(w.History)).To(BeEmpty())
-				codes, asked := make(map[string]int), 0
+				codes, total := make(map[string]int), 0
 				for _, i := range w.History.Invocations {
 					if !i.CrashBody {
 						codes[i.Code.Info().Name]++
-						asked++
+						total++
 					}
 				}
-				g.Expect(codes[result.OK.Info().Name]).To(BeNumerically(">", asked/3), "%v", codes)
+				g.Expect(codes[result.OK.Info().Name]).To(BeNumerically(">", total/3), "%v", codes)
 			})
 		})
 	}
--- a/outcomes/world.go
+++ b/outcomes/world.go
@@ -18,22 +18,22 @@
 	"github.com/heatherrail/heatherrail/settings"
 )
 
-// Sizes of the small system.
+// Parameters of the system.
 const (
-	stepTime   = 5 * time.Millisecond
-	slots      = 16
-	agentQueue = 64
-	vmLag      = time.Second
-	answerLife = 200 * time.Millisecond
+	stepTime    = 5 * time.Millisecond
+	engineSlots = 16
+	agentQueue  = 64
+	vmListLag   = time.Second
+	answerTTL   = 200 * time.Millisecond
 )
 
-// Services of the small system.
+// Services of the system.
 const (
 	ServicePlain  = "oven-api"
 	ServiceEngine = "prog-llm"
 )
 
-// World is a running system.
+// World is a running system of entries, agents and targets.
 type World struct {
 	History *History
 	Log     *fake.Log
@@ -44,37 +44,37 @@
 	net    *network
 	vms    *fake.VMList
 
-	mu      sync.Mutex
-	nextInc uint64
-	version uint64
-	extra   bool // the configuration holds the spare target
-	targets map[string]*target
-	entries []*entryProcess
-	held    map[string]bool // processes that a fault works on
-	stopped bool
-	wait    sync.WaitGroup
+	mu              sync.Mutex
+	lastIncarnation uint64
+	version         uint64
+	hasSpare        bool // the configuration contains the spare target
+	targets         map[string]*target
+	entries         []*entryProcess
+	locked          map[string]bool // processes that a fault is being injected into
+	stopped         bool
+	tasks           sync.WaitGroup
 }
 
 // target is one engine or plain service with its agent.
 type target struct {
-	name    string
-	fleet   string
-	engine  *fake.Engine
-	plain   *fake.Plain
-	group   *fake.RankGroup
-	backend *recordingBackend
-	agent   *agent.Agent
-	addr    string
-	moves   int
+	name        string
+	fleet       string
+	engine      *fake.Engine
+	plain       *fake.Plain
+	group       *fake.RankGroup
+	backend     *recordingBackend
+	agent       *agent.Agent
+	addr        string
+	addrChanges int
 }
 
 type entryProcess struct {
 	name    string
 	entry   *entry.Entry
-	leaving bool // callers are not sent here any more
+	leaving bool // callers no longer use this entry
 }
 
-// Options of a World.
+// Options configures a World.
 type Options struct {
 	Engines      int
 	PlainTargets int
@@ -84,7 +84,7 @@
 	Logger       logr.Logger
 }
 
-// NewWorld starts a system and returns when its entries can serve.
+// NewWorld starts a system and returns when its entries are ready to serve.
 func NewWorld(o Options) (*World, error) {
 	w := &World{
 		History: new(History),
@@ -95,12 +95,12 @@
 		net:     newNetwork(o.Latency),
 		vms:     fake.NewVMList(0),
 		targets: make(map[string]*target),
-		held:    make(map[string]bool),
+		locked:  make(map[string]bool),
 	}
 	for i := range o.Engines {
 		w.addTarget(fmt.Sprintf("%s-%d", ServiceEngine, i+1), ServiceEngine)
 	}
-	for i := range o.PlainTargets + 1 { // the last one is the spare
+	for i := range o.PlainTargets + 1 { // the last one is the spare target
 		w.addTarget(fmt.Sprintf("%s-%d", ServicePlain, i+1), ServicePlain)
 	}
 	for _, name := range w.targetNames() {
@@ -108,7 +108,7 @@
 			return nil, err
 		}
 	}
-	if err := w.apply(false); err != nil {
+	if err := w.applyConfig(false); err != nil {
 		return nil, err
 	}
 	for i := range o.Entries {
@@ -117,14 +117,14 @@
 			return nil, err
 		}
 	}
-	return w, w.ready()
+	return w, w.waitUntilReady()
 }
 
-// readyWait bounds the start of a system.
-const readyWait = 10 * time.Second
+// readyTimeout limits the start of a system.
+const readyTimeout = 10 * time.Second
 
-func (w *World) ready() error {
-	deadline := time.Now().Add(readyWait)
+func (w *World) waitUntilReady() error {
+	deadline := time.Now().Add(readyTimeout)
 	for _, p := range w.entries {
 		for p.entry.Linked() < len(w.targets)-1 || !p.entry.Registered() {
 			if time.Now().After(deadline) {
@@ -150,18 +150,18 @@
 
 func (w *World) addTarget(name, fleet string) {
 	t := &target{name: name, fleet: fleet}
-	rec := &recordingBackend{target: name, history: w.History}
+	recorder := &recordingBackend{target: name, history: w.History}
 	if fleet == ServiceEngine {
-		t.engine = fake.NewEngine(name, "model-"+name, slots)
+		t.engine = fake.NewEngine(name, "model-"+name, engineSlots)
 		t.group = fake.NewRankGroup(stepTime, t.engine)
-		rec.Backend = t.engine
-		rec.onCrash = func() { w.after(4*stepTime, func() { w.crashEngine(t) }) }
+		recorder.Backend = t.engine
+		recorder.onCrash = func() { w.after(4*stepTime, func() { w.crashEngine(t) }) }
 	} else {
 		t.plain = fake.NewPlain(name)
 		t.plain.SetDelay(4 * stepTime)
-		rec.Backend = t.plain
+		recorder.Backend = t.plain
 	}
-	t.backend = rec
+	t.backend = recorder
 	w.targets[name] = t
 }
 
@@ -173,33 +173,33 @@
 	w.after(engineRestart, t.engine.Restart)
 }
 
-// after runs f later, unless the world has stopped by then.
+// after runs f after d. It does nothing if the world has already been stopped.
 func (w *World) after(d time.Duration, f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	w.wait.Add(1)
+	w.tasks.Add(1)
 	go func() {
-		defer w.wait.Done()
+		defer w.tasks.Done()
 		time.Sleep(d)
 		f()
 	}()
 }
 
-func (w *World) incarnation() uint64 {
+func (w *World) newIncarnation() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.nextInc++
-	return w.nextInc
+	w.lastIncarnation++
+	return w.lastIncarnation
 }
 
-// startAgent starts a new agent process for a target, at its address.
+// startAgent starts a new agent process at the current address of a target.
 func (w *World) startAgent(name string) error {
 	t := w.targets[name]
-	addr := fmt.Sprintf("%s/%d", name, t.moves)
-	inc := w.incarnation()
+	addr := fmt.Sprintf("%s/%d", name, t.addrChanges)
+	inc := w.newIncarnation()
 	a, err := agent.Start(agent.Options{
 		Settings:    settings.Agent{Target: name, Queue: agentQueue},
 		Backend:     t.backend,
@@ -223,12 +223,12 @@
 func (w *World) startEntry(i int) error {
 	p := w.entries[i]
 	e, err := entry.Start(entry.Options{
-		Settings:    settings.Entry{Name: p.name, AnswerLife: answerLife},
+		Settings:    settings.Entry{Name: p.name, AnswerLife: answerTTL},
 		Log:         &processLog{Log: w.Log, net: w.net, process: p.name},
 		VMs:         w.vms,
 		Logger:      w.logger,
 		Metrics:     w.Metrics,
-		Incarnation: w.incarnation(),
+		Incarnation: w.newIncarnation(),
 		Dial:        w.net.dialer(p.name),
 		NoCallers:   true,
 		Off:         w.off,
@@ -248,26 +248,28 @@
 	return w.entries[i].entry
 }
 
-// callable returns the first entry from at on that callers may use.
-func (w *World) callable(at int) int {
+// availableEntry returns the index of the first entry that is not leaving, starting
+// at from.
+func (w *World) availableEntry(from int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n := range w.entries {
-		if i := (at + n) % len(w.entries); !w.entries[i].leaving {
+		if i := (from + n) % len(w.entries); !w.entries[i].leaving {
 			return i
 		}
 	}
-	return at
+	return from
 }
 
-func (w *World) agentOf(name string) *agent.Agent {
+func (w *World) currentAgent(name string) *agent.Agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.targets[name].agent
 }
 
-// apply puts a configuration on the log, with or without the spare target.
-func (w *World) apply(spare bool) error {
+// applyConfig appends a configuration to the log, with or without the spare target. It
+// retries until the append succeeds.
+func (w *World) applyConfig(spare bool) error {
 	c := &config.Config{
 		Fleets:   []config.Fleet{{Name: ServicePlain, Kind: "plain"}, {Name: ServiceEngine, Kind: "engine"}},
 		Services: []config.Service{{Name: ServicePlain, Fleet: ServicePlain, Policy: "p"}, {Name: ServiceEngine, Fleet: ServiceEngine, Policy: "p"}},
@@ -283,7 +285,7 @@
 	w.mu.Lock()
 	base := w.version
 	w.version++
-	w.extra = spare
+	w.hasSpare = spare
 	w.mu.Unlock()
 	raw, err := config.NewChange(fmt.Sprintf("change-%d", base+1), base, c)
 	if err != nil {
@@ -294,25 +296,25 @@
 		if err == nil {
 			return nil
 		}
-		time.Sleep(logRetry)
+		time.Sleep(logRetryPause)
 	}
 }
 
-const logRetry = 100 * time.Millisecond
+const logRetryPause = 100 * time.Millisecond
 
-// Close stops everything and waits for it.
+// Close stops all processes and waits for them.
 func (w *World) Close() {
 	w.mu.Lock()
 	w.stopped = true
 	w.mu.Unlock()
-	w.wait.Wait()
+	w.tasks.Wait()
 	for i := range w.entries {
 		if e := w.entry(i); e != nil {
 			e.Close()
 		}
 	}
 	for _, t := range w.targets {
-		w.agentOf(t.name).Close()
+		w.currentAgent(t.name).Close()
 		if t.group != nil {
 			t.group.Close()
 		}
