--- a/soak/callers.go
+++ b/soak/callers.go
@@ -10,56 +10,57 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Names that callers use.
+// Host, API key and team of the callers.
 const (
 	host = "kitchen.example"
 	key  = "k-1"
 	team = "kitchen"
 )
 
-var paths = [kinds]string{once: "/once/", idempotent: "/idem/", stream: "/stream/"}
+var paths = [numKinds]string{nonIdempotent: "/once/", idempotent: "/idem/", stream: "/stream/"}
 
 const (
-	callPause   = 30 * time.Millisecond
-	callTime    = 4 * time.Second
-	answerKept  = time.Second // of the directory
-	resolveTime = 500 * time.Millisecond
+	meanCallPause  = 30 * time.Millisecond
+	callTimeout    = 4 * time.Second
+	directoryTTL   = time.Second // how long a caller uses one directory answer
+	resolveTimeout = 500 * time.Millisecond
 )
 
-// call sends requests one after the other, as a caller does: it keeps connections,
-// and asks the directory now and then.
-func (s *soak) call(ctx context.Context, caller int, seed uint64) {
+// runCaller sends requests one after another until ctx ends. Like a real caller, it
+// reuses connections and queries the directory again after directoryTTL.
+func (s *soak) runCaller(ctx context.Context, caller int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4, ResponseHeaderTimeout: callTime}
+	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4, ResponseHeaderTimeout: callTimeout}
 	defer transport.CloseIdleConnections()
 	var addresses []string
-	var resolved time.Time
+	var resolvedAt time.Time
 	for n := 0; ctx.Err() == nil; n++ {
-		if time.Since(resolved) > answerKept || len(addresses) == 0 {
-			if got := s.resolve(ctx, rng); len(got) > 0 {
-				addresses, resolved = got, time.Now()
+		if time.Since(resolvedAt) > directoryTTL || len(addresses) == 0 {
+			if answer := s.resolve(ctx, rng); len(answer) > 0 {
+				addresses, resolvedAt = answer, time.Now()
 			}
 		}
 		if len(addresses) > 0 {
 			id := fmt.Sprintf("r%d-%d", caller, n)
-			s.books.saw(one(transport, addresses[rng.IntN(len(addresses))], id, kind(rng.IntN(int(kinds)))))
+			s.checker.recordResponse(sendRequest(transport, addresses[rng.IntN(len(addresses))], id, kind(rng.IntN(int(numKinds)))))
 		}
-		time.Sleep(time.Duration(rng.Int64N(int64(2 * callPause))))
+		time.Sleep(time.Duration(rng.Int64N(int64(2 * meanCallPause))))
 	}
 }
 
+// resolve queries the directory of a random entry for the entries' addresses.
 func (s *soak) resolve(ctx context.Context, rng *rand.Rand) []string {
 	e := s.fleet.entries[rng.IntN(len(s.fleet.entries))]
-	ctx, cancel := context.WithTimeout(ctx, resolveTime)
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	return standin.Resolve(ctx, e.address(portDirectory), host, "z")
 }
 
-// one sends a request and records what came back.
-func one(t *http.Transport, address, id string, k kind) Record {
+// sendRequest sends one request and returns the record of its response.
+func sendRequest(t *http.Transport, address, id string, k kind) Record {
 	rec := Record{ID: id, Kind: k, Sent: time.Now()}
 	rec.Response = standin.Send(t, address, standin.Request{
-		Host: host, Path: paths[k] + "x", ID: id, Key: key, Timeout: callTime, Stream: k == stream,
+		Host: host, Path: paths[k] + "x", ID: id, Key: key, Timeout: callTimeout, Stream: k == stream,
 	})
 	return rec
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -9,103 +9,106 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Times of faults.
+// Duration of faults and the pause between them.
 const (
-	faultPause = 400 * time.Millisecond // mean, between the beginnings of two
-	faultLeast = 200 * time.Millisecond
-	faultMost  = 2500 * time.Millisecond
+	meanFaultPause   = 400 * time.Millisecond // between the starts of two faults
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// fault begins one fault and waits a moment; faults overlap.
-func (s *soak) fault(ctx context.Context) {
+// injectFault starts a random fault and then waits for a random pause. A fault may
+// outlast the pause, so faults overlap.
+func (s *soak) injectFault(ctx context.Context) {
 	e := s.fleet.entries[s.rng.IntN(len(s.fleet.entries))]
-	at := s.rng.IntN(64)
-	last := faultLeast + time.Duration(s.rng.Int64N(int64(faultMost-faultLeast)))
+	target := s.rng.IntN(64)
+	duration := minFaultDuration + time.Duration(s.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	s.faults++
 	switch s.rng.IntN(18) {
 	case 0:
-		s.during("freeze "+e.name, last, func() { e.signal(syscall.SIGSTOP) }, func() { e.signal(syscall.SIGCONT) })
+		s.injectFor("suspend "+e.name, duration, func() { e.signal(syscall.SIGSTOP) }, func() { e.signal(syscall.SIGCONT) })
 	case 1:
-		s.restart(e, syscall.SIGKILL, last/4)
+		s.restartEntry(e, syscall.SIGKILL, duration/4)
 	case 2:
-		s.restart(e, syscall.SIGTERM, 0)
+		s.restartEntry(e, syscall.SIGTERM, 0)
 	case 3:
-		s.note("hang up %s", e.name)
+		s.logEvent("SIGHUP to %s", e.name)
 		e.signal(syscall.SIGHUP)
 	case 4:
-		s.storeFault("store down", last, standin.StoreFaults{Down: true})
+		s.injectStoreFault("store down", duration, standin.StoreFaults{Down: true})
 	case 5:
-		s.storeFault("store slow", last, standin.StoreFaults{Delay: 300 * time.Millisecond})
+		s.injectStoreFault("store slow", duration, standin.StoreFaults{Delay: 300 * time.Millisecond})
 	case 6:
-		s.storeFault("store silent", last, standin.StoreFaults{Hang: true})
+		s.injectStoreFault("store does not answer", duration, standin.StoreFaults{Hang: true})
 	case 7:
-		s.note("store forgets its history")
+		s.logEvent("store trims its history")
 		s.fleet.store.TrimHistory()
 	case 8:
-		s.proxyFault(e.proxy, e.name+" cut off from the store", last, proxyFaults{Refuse: true, Silent: true})
+		s.injectProxyFault(e.proxy, e.name+" cut off from the store", duration, proxyFaults{Refuse: true, Blackhole: true})
 	case 9:
-		s.proxyFault(e.proxy, e.name+" hears nothing from the store", last, proxyFaults{OneWay: true, Delay: 5 * time.Millisecond})
+		s.injectProxyFault(e.proxy, e.name+" receives nothing from the store", duration, proxyFaults{DropReplies: true, Delay: 5 * time.Millisecond})
 	case 10:
-		s.note("reset %s's connections to the store", e.name)
+		s.logEvent("reset %s's connections to the store", e.name)
 		e.proxy.reset()
 	case 11:
-		s.targetFault(at, last, standin.TargetFaults{DropAnswer: 0.2, Truncate: 0.2, NotExecuted: 0.2, Fail: 0.1})
+		s.injectTargetFault(target, duration, standin.TargetFaults{DropAnswer: 0.2, Truncate: 0.2, NotExecuted: 0.2, Fail: 0.1})
 	case 12:
-		s.note("target %d is replaced", at)
-		if err := s.fleet.replaceTarget(at); err != nil {
-			s.note("no other target: %v", err)
+		s.logEvent("target %d is replaced", target)
+		if err := s.fleet.replaceTarget(target); err != nil {
+			s.logEvent("replacement target not started: %v", err)
 		}
 	case 13:
-		s.note("new configuration")
-		s.fleet.configure()
+		s.logEvent("new configuration")
+		s.fleet.publishConfig()
 	case 14:
-		s.proxyFault(s.fleet.proxyOf(at), "target cut off", last, proxyFaults{Refuse: true, Silent: true})
+		s.injectProxyFault(s.fleet.proxyOf(target), "target cut off", duration, proxyFaults{Refuse: true, Blackhole: true})
 	case 15:
-		s.proxyFault(s.fleet.proxyOf(at), "target is not heard", last, proxyFaults{OneWay: true})
+		s.injectProxyFault(s.fleet.proxyOf(target), "target's responses dropped", duration, proxyFaults{DropReplies: true})
 	case 16:
-		s.proxyFault(s.fleet.proxyOf(at), "target far away", last, proxyFaults{Delay: 40 * time.Millisecond})
+		s.injectProxyFault(s.fleet.proxyOf(target), "target behind a slow link", duration, proxyFaults{Delay: 40 * time.Millisecond})
 	case 17:
-		s.note("reset connections to target %d", at)
-		s.fleet.proxyOf(at).reset()
+		s.logEvent("reset connections to target %d", target)
+		s.fleet.proxyOf(target).reset()
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(s.rng.Int64N(int64(2 * faultPause)))):
+	case <-time.After(time.Duration(s.rng.Int64N(int64(2 * meanFaultPause)))):
 	}
 }
 
-// Times of named rates: long enough for a window of the rule after a rate has settled.
+// Timing of rate limits. Each limit lasts long enough for a window of the rule after
+// the settling time.
 const (
-	rateFirst = 500 * time.Millisecond
-	ratePause = 2 * time.Second // mean, between two
-	rateLeast = rateSettles + rateWindow/2
-	rateMost  = 2*rateSettles + rateWindow
+	firstRateDelay  = 500 * time.Millisecond
+	meanRatePause   = 2 * time.Second // between the limits of two targets
+	minRateDuration = rateSettleTime + rateWindow/2
+	maxRateDuration = 2*rateSettleTime + rateWindow
 
-	rateSeries      = uint64(2)
-	firstRateSeries = 20 // of numbers drawn
+	numRateSeries   = uint64(2)
+	firstRateStream = 20 // first PCG stream; the streams of the other generators are below it
 )
 
-// nameRates has targets name rates until ctx ends, in a series of its own beside the faults and
-// others like it, each of them another rate before it ends.
-func (s *soak) nameRates(ctx context.Context, series uint64) {
-	rng := rand.New(rand.NewPCG(s.opts.Seed, firstRateSeries+series))
-	pause := rateFirst
+// injectRateLimits sets rate limits on targets until ctx ends. Each target gets two
+// different limits in turn before its limit is removed. Several series run at once,
+// independently of the other faults.
+func (s *soak) injectRateLimits(ctx context.Context, series uint64) {
+	rng := rand.New(rand.NewPCG(s.opts.Seed, firstRateStream+series))
+	pause := firstRateDelay
 	for sleep(ctx, pause) {
-		at := rng.IntN(64)
+		target := rng.IntN(64)
 		for _, rate := range []float64{1 + 5*rng.Float64(), 0.5 + 2*rng.Float64()} {
-			s.note("target %d names a rate of %.1f a second", at, rate)
-			s.fleet.nameRate(at, rate)
-			if !sleep(ctx, rateLeast+time.Duration(rng.Int64N(int64(rateMost-rateLeast)))) {
+			s.logEvent("target %d sets a rate limit of %.1f requests/s", target, rate)
+			s.fleet.setRateLimit(target, rate)
+			if !sleep(ctx, minRateDuration+time.Duration(rng.Int64N(int64(maxRateDuration-minRateDuration)))) {
 				return
 			}
 		}
-		s.note("target %d names no rate", at)
-		s.fleet.nameRate(at, 0)
-		pause = time.Duration(rng.Int64N(int64(2 * ratePause)))
+		s.logEvent("target %d removes its rate limit", target)
+		s.fleet.setRateLimit(target, 0)
+		pause = time.Duration(rng.Int64N(int64(2 * meanRatePause)))
 	}
 }
 
-// sleep waits; false if ctx has ended.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -115,47 +118,48 @@
 	}
 }
 
-// during begins something and ends it after a time.
-func (s *soak) during(what string, d time.Duration, begin, end func()) {
-	s.note("%s for %s", what, d.Round(time.Millisecond))
-	begin()
+// injectFor starts a fault and ends it after d.
+func (s *soak) injectFor(name string, d time.Duration, start, end func()) {
+	s.logEvent("%s for %s", name, d.Round(time.Millisecond))
+	start()
 	time.AfterFunc(d, func() {
-		s.note("end of: %s", what)
+		s.logEvent("end of: %s", name)
 		end()
 	})
 }
 
-func (s *soak) storeFault(what string, d time.Duration, f standin.StoreFaults) {
-	s.during(what, d, func() { s.fleet.store.SetFaults(f) }, func() { s.fleet.store.SetFaults(standin.StoreFaults{}) })
+func (s *soak) injectStoreFault(name string, d time.Duration, f standin.StoreFaults) {
+	s.injectFor(name, d, func() { s.fleet.store.SetFaults(f) }, func() { s.fleet.store.SetFaults(standin.StoreFaults{}) })
 }
 
-func (s *soak) proxyFault(p *proxy, what string, d time.Duration, f proxyFaults) {
-	s.during(what, d, func() { p.set(f) }, func() {
-		p.set(proxyFaults{})
-		p.reset() // what it swallowed can't be made up for
+func (s *soak) injectProxyFault(p *proxy, name string, d time.Duration, f proxyFaults) {
+	s.injectFor(name, d, func() { p.setFaults(f) }, func() {
+		p.setFaults(proxyFaults{})
+		p.reset() // the dropped bytes are lost, so the streams can't continue
 	})
 }
 
-func (s *soak) targetFault(at int, d time.Duration, f standin.TargetFaults) {
-	s.during("bad target", d, func() { s.fleet.setTargetFaults(at, f) }, func() { s.fleet.setTargetFaults(at, standin.TargetFaults{}) })
+func (s *soak) injectTargetFault(target int, d time.Duration, f standin.TargetFaults) {
+	s.injectFor("target returns faulty answers", d, func() { s.fleet.setTargetFaults(target, f) }, func() { s.fleet.setTargetFaults(target, standin.TargetFaults{}) })
 }
 
-// restart ends the process of an entry by a signal and starts it again.
-func (s *soak) restart(e *entryProc, sig syscall.Signal, pause time.Duration) {
-	s.note("%s to %s", sig, e.name)
+// restartEntry stops the process of an entry with a signal and starts it again after
+// the process has exited and the pause has passed.
+func (s *soak) restartEntry(e *entryProc, sig syscall.Signal, pause time.Duration) {
+	s.logEvent("%s to %s", sig, e.name)
 	e.signal(syscall.SIGCONT)
 	e.signal(sig)
 	if !e.restarting.TryLock() {
-		return // it is on its way out already
+		return // another restart of this entry is in progress
 	}
 	go func() {
 		defer e.restarting.Unlock()
 		e.wait()
 		time.Sleep(pause)
-		if err := s.fleet.start(e); err != nil {
-			s.note("%s does not start: %v", e.name, err)
+		if err := s.fleet.startEntry(e); err != nil {
+			s.logEvent("%s failed to start: %v", e.name, err)
 			return
 		}
-		s.note("%s started again", e.name)
+		s.logEvent("%s restarted", e.name)
 	}()
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -18,7 +18,7 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Ports of each entry, on a loopback address of its own.
+// Ports of each entry. Each entry has its own loopback address.
 const (
 	portCallers = 18227 + iota
 	portReady
@@ -26,21 +26,21 @@
 	portPeers
 )
 
-// fleet are the processes and the stand-ins.
+// fleet holds the gateway processes and the stand-ins of store and targets.
 type fleet struct {
-	s       *soak
-	store   *standin.Store
-	storeAt string
-	entries []*entryProc
-	version int
+	s             *soak
+	store         *standin.Store
+	storeAddr     string
+	entries       []*entryProc
+	configVersion int
 
-	mu      sync.Mutex
-	targets []*targetProc
-	named   []*targetProc // that have named a rate, those that are gone among them
-	number  int
+	mu               sync.Mutex
+	targets          []*targetProc
+	rateLimited      []*targetProc // targets that have set a rate limit, including removed ones
+	lastTargetNumber int
 }
 
-// entryProc is one gateway process, and the proxy between it and the store.
+// entryProc is one gateway process with the proxy between it and the store.
 type entryProc struct {
 	name   string
 	ip     string
@@ -48,7 +48,7 @@
 	proxy  *proxy
 	log    *os.File
 
-	restarting sync.Mutex // held while the process is ended and started again
+	restarting sync.Mutex // held while the process is stopped and started again
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -56,10 +56,10 @@
 
 func (e *entryProc) address(port int) string { return fmt.Sprintf("%s:%d", e.ip, port) }
 
-// targetProc is one target and its record, and the proxy that all entries reach it
-// through.
+// targetProc is one target with its record in the store. All entries reach the target
+// through its proxy.
 type targetProc struct {
-	records atomic.Uint64 // that it has written
+	lastSequence atomic.Uint64 // sequence number of the record written last
 	*standin.Target
 	service string
 	server  *http.Server
@@ -73,9 +73,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f.storeAt = ln.Addr().String()
-	go func() { _ = (&http.Server{Handler: f.store}).Serve(ln) }() // ends with the process
-	f.configure()
+	f.storeAddr = ln.Addr().String()
+	go func() { _ = (&http.Server{Handler: f.store}).Serve(ln) }() // serves until the process exits
+	f.publishConfig()
 	for range s.opts.Targets {
 		if err := f.addTarget("llm"); err != nil {
 			return nil, err
@@ -84,14 +84,14 @@
 			return nil, err
 		}
 	}
-	// The addresses differ from seed to seed, so that soaks can run side by side.
+	// Seed and process id select the addresses, so that several soaks can run at once.
 	net2, net3 := 1+s.opts.Seed%200, 1+uint64(os.Getpid())%250
 	for i := range s.opts.Entries {
 		e := &entryProc{name: fmt.Sprintf("entry-%d", i+1), ip: fmt.Sprintf("127.%d.%d.%d", net2, net3, i+1)}
-		if err := f.prepare(e, dir); err != nil {
+		if err := f.prepareEntry(e, dir); err != nil {
 			return nil, err
 		}
-		if err := f.start(e); err != nil {
+		if err := f.startEntry(e); err != nil {
 			return nil, err
 		}
 		f.entries = append(f.entries, e)
@@ -99,15 +99,15 @@
 	return f, nil
 }
 
-// Bounds that the processes are told.
+// Time limits in the settings of the gateway processes.
 const (
 	graceSeconds = 4
-	boundSeconds = 2
+	drainSeconds = 2
 )
 
-func (f *fleet) prepare(e *entryProc, dir string) error {
+func (f *fleet) prepareEntry(e *entryProc, dir string) error {
 	var err error
-	if e.proxy, err = startProxy(f.storeAt); err != nil {
+	if e.proxy, err = startProxy(f.storeAddr); err != nil {
 		return err
 	}
 	e.config = filepath.Join(dir, e.name+".toml")
@@ -120,7 +120,7 @@
 		Directory:    e.address(portDirectory),
 		Store:        e.proxy.address(),
 		GraceSeconds: graceSeconds,
-		DrainSeconds: boundSeconds,
+		DrainSeconds: drainSeconds,
 	}.Text()
 	if err := os.WriteFile(e.config, []byte(text), 0o600); err != nil {
 		return err
@@ -129,7 +129,7 @@
 	return err
 }
 
-func (f *fleet) start(e *entryProc) error {
+func (f *fleet) startEntry(e *entryProc) error {
 	cmd := exec.Command(f.s.opts.Program)
 	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+e.config)
 	cmd.Stdout, cmd.Stderr = e.log, e.log
@@ -142,19 +142,20 @@
 	return nil
 }
 
-// signal sends a signal to the process of an entry, if it runs.
+// signal sends a signal to the entry's process if it is running.
 func (e *entryProc) signal(sig os.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd != nil {
-		_ = e.cmd.Process.Signal(sig) // it may have ended by itself
+		_ = e.cmd.Process.Signal(sig) // the process may have exited already
 	}
 }
 
-// endLimit is longer than a process takes that was told to stop.
-const endLimit = 8 * time.Second
+// stopTimeout bounds the wait for a process to exit after a signal. It exceeds the
+// shutdown grace in the processes' settings.
+const stopTimeout = 8 * time.Second
 
-// wait waits for the process to end and kills it if it does not.
+// wait waits for the process to exit and kills it after stopTimeout.
 func (e *entryProc) wait() {
 	e.mu.Lock()
 	cmd := e.cmd
@@ -163,36 +164,36 @@
 	if cmd == nil {
 		return
 	}
-	timer := time.AfterFunc(endLimit, func() { _ = cmd.Process.Kill() })
+	timer := time.AfterFunc(stopTimeout, func() { _ = cmd.Process.Kill() })
 	defer timer.Stop()
-	_ = cmd.Wait() // it was told to end, or killed
+	_ = cmd.Wait() // a signal ends the process, so an error is expected
 }
 
-// configure writes a new version of the configuration.
-func (f *fleet) configure() {
-	f.version += 3
+// publishConfig writes a new version of the configuration to the store.
+func (f *fleet) publishConfig() {
+	f.configVersion += 3
 	route := func(name, prefix, kind, service string) standin.Route {
-		return standin.Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Service: service, TimeoutMS: int(callTime.Milliseconds())}
+		return standin.Route{Name: name, Host: host, Prefix: prefix, Kind: kind, Service: service, TimeoutMS: int(callTimeout.Milliseconds())}
 	}
-	f.store.PutConfig(standin.Config(f.version, team, key, []string{"plain", "llm"}, []standin.Route{
-		route("once", paths[once], standin.KindNonIdempotent, "plain"),
+	f.store.PutConfig(standin.Config(f.configVersion, team, key, []string{"plain", "llm"}, []standin.Route{
+		route("once", paths[nonIdempotent], standin.KindNonIdempotent, "plain"),
 		route("idem", paths[idempotent], standin.KindIdempotent, "plain"),
 		route("stream", paths[stream], standin.KindStream, "llm"),
-		route(fmt.Sprintf("extra-%d", f.version), fmt.Sprintf("/extra%d/", f.version), standin.KindIdempotent, "plain"),
+		route(fmt.Sprintf("extra-%d", f.configVersion), fmt.Sprintf("/extra%d/", f.configVersion), standin.KindIdempotent, "plain"),
 	}))
 }
 
 func (f *fleet) addTarget(service string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.number++
-	t := &targetProc{service: service, Target: standin.NewTarget(fmt.Sprintf("i-%d", f.number), f.s.opts.Seed+uint64(f.number), f.s.books.ran)}
+	f.lastTargetNumber++
+	t := &targetProc{service: service, Target: standin.NewTarget(fmt.Sprintf("i-%d", f.lastTargetNumber), f.s.opts.Seed+uint64(f.lastTargetNumber), f.s.checker.recordExecution)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	t.server = &http.Server{Handler: t.Target}
-	go func() { _ = t.server.Serve(ln) }() // ends with the server
+	go func() { _ = t.server.Serve(ln) }() // serves until the server is closed
 	if t.proxy, err = startProxy(ln.Addr().String()); err != nil {
 		return err
 	}
@@ -203,16 +204,16 @@
 
 func (f *fleet) register(t *targetProc) {
 	f.store.PutTarget(t.ID, standin.TargetRecord{
-		Service: t.service, Address: t.proxy.address(), Leaving: t.leaving, Sequence: t.records.Add(1),
+		Service: t.service, Address: t.proxy.address(), Leaving: t.leaving, Sequence: t.lastSequence.Add(1),
 	}.Fields())
 }
 
-const heartbeat = 400 * time.Millisecond
+const heartbeatInterval = 400 * time.Millisecond
 
-// keepTargets renews the records of targets.
-func (f *fleet) keepTargets(ctx context.Context) {
+// renewTargets renews the targets' records at each heartbeat.
+func (f *fleet) renewTargets(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 		f.mu.Lock()
 		for _, t := range f.targets {
 			f.register(t)
@@ -221,24 +222,26 @@
 	}
 }
 
-// leaveTime is how long a target goes on serving after it said that it leaves.
-const leaveTime = 3 * time.Second
+// leaveDuration is the time for which a target keeps serving after it has announced
+// that it is leaving.
+const leaveDuration = 3 * time.Second
 
-// replaceTarget lets one target leave as another comes.
-func (f *fleet) replaceTarget(at int) error {
+// replaceTarget marks a target as leaving and adds a new target of the same service.
+// The old target is removed after leaveDuration.
+func (f *fleet) replaceTarget(index int) error {
 	f.mu.Lock()
-	t := f.targets[at%len(f.targets)]
-	already := t.leaving
+	t := f.targets[index%len(f.targets)]
+	wasLeaving := t.leaving
 	t.leaving = true
 	f.register(t)
 	f.mu.Unlock()
-	if already {
+	if wasLeaving {
 		return nil
 	}
 	if err := f.addTarget(t.service); err != nil {
 		return err
 	}
-	time.AfterFunc(leaveTime, func() {
+	time.AfterFunc(leaveDuration, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for i := range f.targets {
@@ -248,73 +251,75 @@
 			}
 		}
 		f.store.PutTarget(t.ID, nil)
-		_ = t.server.Close() // nothing is left to be served
+		_ = t.server.Close() // no entry uses the target any more
 		t.proxy.close()
 	})
 	return nil
 }
 
-func (f *fleet) setTargetFaults(at int, faults standin.TargetFaults) {
+func (f *fleet) setTargetFaults(index int, faults standin.TargetFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.targets[at%len(f.targets)].SetFaults(faults)
+	f.targets[index%len(f.targets)].SetFaults(faults)
 }
 
-// nameRate has a target name another rate; 0: none.
-func (f *fleet) nameRate(at int, rate float64) {
+// setRateLimit sets the rate limit of a target in requests per second; 0 removes it.
+func (f *fleet) setRateLimit(index int, rate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.targets[at%len(f.targets)]
+	t := f.targets[index%len(f.targets)]
 	t.SetRateLimit(rate)
-	if !slices.Contains(f.named, t) {
-		f.named = append(f.named, t)
+	if !slices.Contains(f.rateLimited, t) {
+		f.rateLimited = append(f.rateLimited, t)
 	}
 }
 
-// overrun returns the targets that got more than the rate that they named.
-func (f *fleet) overrun() []string {
+// rateLimitViolations lists the targets that received more requests than their rate
+// limit allows.
+func (f *fleet) rateLimitViolations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var broken []string
-	for _, t := range f.named {
+	var violations []string
+	for _, t := range f.rateLimited {
 		for _, n := range t.RateLimits() {
 			allowed := rateSlack*n.PerSecond*rateWindow.Seconds() + rateBurst
-			if most := n.MaxInWindow(rateWindow, rateSettles); float64(most) > allowed {
-				broken = append(broken, fmt.Sprintf("%s named %.1f requests a second and got %d in %s, allowed %.0f", t.ID, n.PerSecond, most, rateWindow, allowed))
+			if received := n.MaxInWindow(rateWindow, rateSettleTime); float64(received) > allowed {
+				violations = append(violations, fmt.Sprintf("%s set a rate limit of %.1f requests/s and received %d in %s, allowed %.0f", t.ID, n.PerSecond, received, rateWindow, allowed))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// What a target may get that names a rate, from all entries together. Source: the platform's
-// rule; it excuses entries that were restarted or stood still, and this does not.
+// Requests that a target with a rate limit may receive from all entries together.
+// Source: the platform's rule. The rule exempts entries that were restarted or
+// suspended; this check exempts none.
 const (
-	rateWindow  = 4 * time.Second
-	rateSlack   = 1.5 // times the rate
-	rateBurst   = 5
-	rateSettles = 3 * time.Second // after the rate was named
+	rateWindow     = 4 * time.Second
+	rateSlack      = 1.5             // factor on the rate limit
+	rateBurst      = 5               // requests allowed in a window beyond the rate
+	rateSettleTime = 3 * time.Second // after a change of the rate limit, before the check applies
 )
 
-// proxyOf returns the proxy before one of the targets.
-func (f *fleet) proxyOf(at int) *proxy {
+// proxyOf returns the proxy in front of a target.
+func (f *fleet) proxyOf(index int) *proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.targets[at%len(f.targets)].proxy
+	return f.targets[index%len(f.targets)].proxy
 }
 
-// heal ends all faults.
-func (f *fleet) heal() {
+// clearFaults ends all faults and resumes suspended processes.
+func (f *fleet) clearFaults() {
 	f.store.SetFaults(standin.StoreFaults{})
 	f.mu.Lock()
 	for _, t := range f.targets {
 		t.SetFaults(standin.TargetFaults{})
 		t.SetRateLimit(0)
-		t.proxy.set(proxyFaults{})
+		t.proxy.setFaults(proxyFaults{})
 	}
 	f.mu.Unlock()
 	for _, e := range f.entries {
-		e.proxy.set(proxyFaults{})
+		e.proxy.setFaults(proxyFaults{})
 		e.signal(syscall.SIGCONT)
 	}
 }
@@ -325,7 +330,7 @@
 		e.signal(syscall.SIGKILL)
 		e.wait()
 		e.proxy.close()
-		_ = e.log.Close() // its text is dropped with the folder
+		_ = e.log.Close() // the directory of the log is removed with the run
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// proxy carries connections on loopback and does to them what networks do.
+// proxy forwards TCP connections on loopback and simulates network faults.
 type proxy struct {
 	ln     net.Listener
 	target string
@@ -16,12 +16,12 @@
 	conns  map[net.Conn]bool
 }
 
-// proxyFaults are what happens to connections from now on.
+// proxyFaults lists the faults that apply to all connections, open ones included.
 type proxyFaults struct {
-	Delay  time.Duration // of each piece
-	Refuse bool          // new connections are reset
-	Silent bool          // nothing is carried, and connections stay open
-	OneWay bool          // nothing is carried back
+	Delay       time.Duration // added to each chunk
+	Refuse      bool          // new connections are reset
+	Blackhole   bool          // bytes of both directions are dropped; connections stay open
+	DropReplies bool          // bytes towards the client are dropped
 }
 
 func startProxy(target string) (*proxy, error) {
@@ -36,25 +36,25 @@
 
 func (p *proxy) address() string { return p.ln.Addr().String() }
 
-func (p *proxy) set(f proxyFaults) {
+func (p *proxy) setFaults(f proxyFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-func (p *proxy) get() proxyFaults {
+func (p *proxy) currentFaults() proxyFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// reset resets all open connections.
+// reset closes all open connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for nc := range p.conns {
-		_ = nc.(*net.TCPConn).SetLinger(0) // a connection that is gone already needs none
-		_ = nc.Close()
+	for conn := range p.conns {
+		_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
+		_ = conn.Close()
 	}
 	clear(p.conns)
 }
@@ -66,38 +66,40 @@
 
 func (p *proxy) accept() {
 	for {
-		nc, err := p.ln.Accept()
+		client, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		if p.get().Refuse {
-			_ = nc.(*net.TCPConn).SetLinger(0)
-			_ = nc.Close()
+		if p.currentFaults().Refuse {
+			_ = client.(*net.TCPConn).SetLinger(0)
+			_ = client.Close()
 			continue
 		}
-		out, err := net.Dial("tcp", p.target)
+		upstream, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = nc.Close()
+			_ = client.Close()
 			continue
 		}
 		p.mu.Lock()
-		p.conns[nc], p.conns[out] = true, true
+		p.conns[client], p.conns[upstream] = true, true
 		p.mu.Unlock()
-		go p.carry(out, nc, false)
-		go p.carry(nc, out, true)
+		go p.forward(upstream, client, false)
+		go p.forward(client, upstream, true)
 	}
 }
 
-const proxyBuffer = 16 << 10
+const proxyBuffer = 16 << 10 // bytes
 
-func (p *proxy) carry(to, from net.Conn, back bool) {
+// forward copies bytes in one direction until either connection ends; isReply marks
+// the direction towards the client.
+func (p *proxy) forward(to, from net.Conn, isReply bool) {
 	defer to.Close()
 	buf := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buf)
-		f := p.get()
+		f := p.currentFaults()
 		time.Sleep(f.Delay)
-		if n > 0 && !f.Silent && !(f.OneWay && back) {
+		if n > 0 && !f.Blackhole && !(f.DropReplies && isReply) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,7 +1,8 @@
-// Package soak runs the real programs as separate processes on loopback, against
-// stand-ins, and injects faults from outside them while callers check what was
-// promised. A seed fixes which faults come and when; the moments at which they meet
-// the programs are the machine's.
+// Package soak runs the real programs as separate processes on loopback against
+// stand-ins and injects faults into processes, connections and stand-ins, while
+// callers check the service guarantees. The seed determines the sequence of faults
+// and their intervals. Their exact timing relative to the work in the processes
+// varies from run to run.
 package soak
 
 import (
@@ -17,48 +18,50 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Options are what a soak is started with.
+// Options configures a soak run.
 type Options struct {
 	Program string // path of heatherrail-gateway
 	Seed    uint64
-	For     time.Duration
-	Entries int
-	Targets int // of each of the two services
-	Callers int
-	Out     io.Writer // progress, and the time line of a failure
-	// Config changes the configuration that entries get; for tests that must convict.
+	For     time.Duration // length of the run
+	Entries int           // gateway processes
+	Targets int           // per service; there are two services
+	Callers int           // concurrent callers
+	Out     io.Writer     // receives the summary and, after a violation, the timeline
+	// Corrupt, if set, alters each record before it is stored. Tests use it to
+	// verify that the checker detects violations.
 	Corrupt func(r Record) Record
 }
 
-// Report is the outcome of a soak.
+// Report is the result of a soak run.
 type Report struct {
-	Seed     uint64
-	Requests int
-	Whole    int // answered with a whole success
-	Refused  int // with the promise that they did not run
-	Faults   int
-	Broken   []string // promises, with what was seen
+	Seed       uint64
+	Requests   int
+	Succeeded  int      // requests answered 200 with a complete body
+	Refused    int      // requests answered with a status that means "not run"
+	Faults     int      // injected faults
+	Violations []string // violated guarantees, each with the values seen
 }
 
-// Soak is a running soak.
+// soak is the state of one run.
 type soak struct {
-	opts  Options
-	begun time.Time
-	rng   *rand.Rand
-	fleet *fleet
-	books *books
+	opts      Options
+	startedAt time.Time
+	rng       *rand.Rand
+	fleet     *fleet
+	checker   *checker
 
-	mu     sync.Mutex
-	line   []string
-	faults int
+	mu       sync.Mutex
+	timeline []string
+	faults   int
 }
 
-// ErrBroken: a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrViolation is returned if at least one guarantee was violated.
+var ErrViolation = errors.New("guarantee violated")
 
-// Run runs one soak.
+// Run runs one soak and writes its summary to o.Out. It returns ErrViolation if a
+// guarantee was violated.
 func Run(ctx context.Context, o Options) (Report, error) {
-	s := &soak{opts: o, begun: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 5)), books: newBooks(o.Corrupt)}
+	s := &soak{opts: o, startedAt: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 5)), checker: newChecker(o.Corrupt)}
 	dir, err := os.MkdirTemp("", "heatherrail-soak")
 	if err != nil {
 		return Report{}, err
@@ -69,63 +72,64 @@
 		return Report{}, err
 	}
 	defer s.fleet.stop()
-	s.play(ctx)
+	s.run(ctx)
 	return s.report(o.Out)
 }
 
-// calmAtEnd is how long no fault comes before the end, so that the last requests
-// show whether the system has recovered.
-const calmAtEnd = 3 * time.Second
+// faultFreePeriod is the time without faults at the end of a run. Requests sent in
+// it show whether the system has recovered.
+const faultFreePeriod = 3 * time.Second
 
-func (s *soak) play(ctx context.Context) {
+func (s *soak) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.For)
 	defer cancel()
 	var tasks conc.WaitGroup
 	for i := range s.opts.Callers {
 		seed := s.rng.Uint64()
-		tasks.Go(func() { s.call(ctx, i, seed) })
+		tasks.Go(func() { s.runCaller(ctx, i, seed) })
 	}
-	tasks.Go(func() { s.fleet.keepTargets(ctx) })
-	end := s.begun.Add(s.opts.For - calmAtEnd)
-	troubled, calm := context.WithDeadline(ctx, end)
-	defer calm()
+	tasks.Go(func() { s.fleet.renewTargets(ctx) })
+	end := s.startedAt.Add(s.opts.For - faultFreePeriod)
+	faultCtx, cancelFaults := context.WithDeadline(ctx, end)
+	defer cancelFaults()
 	var rates conc.WaitGroup
-	for series := range rateSeries {
-		rates.Go(func() { s.nameRates(troubled, series) })
+	for series := range numRateSeries {
+		rates.Go(func() { s.injectRateLimits(faultCtx, series) })
 	}
-	for troubled.Err() == nil {
-		s.fault(ctx)
+	for faultCtx.Err() == nil {
+		s.injectFault(ctx)
 	}
 	rates.Wait()
-	s.fleet.heal()
-	s.note("calm until the end")
+	s.fleet.clearFaults()
+	s.logEvent("no more faults")
 	tasks.Wait()
 }
 
-// note adds to the time line.
-func (s *soak) note(format string, args ...any) {
+// logEvent appends a line with the elapsed time to the timeline.
+func (s *soak) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.line = append(s.line, fmt.Sprintf("%8.3f  ", time.Since(s.begun).Seconds())+fmt.Sprintf(format, args...))
+	s.timeline = append(s.timeline, fmt.Sprintf("%8.3f  ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (s *soak) report(out io.Writer) (Report, error) {
-	r := s.books.check(s.begun.Add(s.opts.For - calmAtEnd + recovery))
+	r := s.checker.check(s.startedAt.Add(s.opts.For - faultFreePeriod + recoveryTime))
 	r.Seed, r.Faults = s.opts.Seed, s.faults
-	r.Broken = append(r.Broken, s.fleet.overrun()...)
+	r.Violations = append(r.Violations, s.fleet.rateLimitViolations()...)
 	fmt.Fprintf(out, "seed %d: %d requests, %d whole, %d refused, %d faults, %d broken promises\n",
-		r.Seed, r.Requests, r.Whole, r.Refused, r.Faults, len(r.Broken))
-	if len(r.Broken) == 0 {
+		r.Seed, r.Requests, r.Succeeded, r.Refused, r.Faults, len(r.Violations))
+	if len(r.Violations) == 0 {
 		return r, nil
 	}
-	for _, line := range s.line {
+	for _, line := range s.timeline {
 		fmt.Fprintln(out, line)
 	}
-	for _, b := range r.Broken {
-		fmt.Fprintln(out, "BROKEN:", b)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(out, "BROKEN:", violation)
 	}
-	return r, fmt.Errorf("%w: seed %d: %s", ErrBroken, r.Seed, r.Broken[0])
+	return r, fmt.Errorf("%w: seed %d: %s", ErrViolation, r.Seed, r.Violations[0])
 }
 
-// recovery is how long after the last fault requests may still fail.
-const recovery = 2 * time.Second
+// recoveryTime is the time after the last fault within which requests may still
+// fail without a violation.
+const recoveryTime = 2 * time.Second
