--- a/story/cause.go
+++ b/story/cause.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// Cause says in a sentence why a request was refused, failed or late, from its last
-// line and what was known about then. It is empty if the request fared well, and
-// says so if the lines do not tell.
+// Cause states in one sentence why a request was refused, failed or late, based on its
+// last line and its context. It returns an empty text for a request that was answered
+// in time without a failed attempt, and a text that starts with "unknown" if the lines
+// do not show the cause.
 func (s *Story) Cause() string {
 	if len(s.Lines) == 0 {
 		return ""
@@ -12,20 +13,21 @@
 	last := &s.Lines[len(s.Lines)-1]
 	switch last.Event {
 	case "refused":
-		return "refused: " + last.Get("reason") + ": " + last.Get("detail") + s.groupThen(last)
+		return "refused: " + last.Get("reason") + ": " + last.Get("detail") + s.groupContext(last)
 	case "broken off":
 		return "broken off: " + last.Get("reason") + ": " + last.Get("detail")
 	case "answered":
-		return s.lateness(last)
+		return s.lateCause(last)
 	case "try failed", "placed":
-		return "no answer: the entry ended while the request ran at target " + last.Get("target")
+		return "no answer: the entry stopped while the request ran at target " + last.Get("target")
 	}
-	return "not told by the lines"
+	return "unknown: the log lines do not show it"
 }
 
-// lateness tells why an answer was late.
-func (s *Story) lateness(last *Line) string {
-	failed := s.failedTry()
+// lateCause states why an answer was late or which attempt failed before it. It is
+// empty if the answer was in time and no attempt failed.
+func (s *Story) lateCause(last *Line) string {
+	failed := s.firstFailedAttempt()
 	switch last.Get("late") {
 	case "first event":
 		first, wait := last.Int("first_ms"), last.Int("wait_ms")
@@ -33,16 +35,16 @@
 		case failed != "":
 			return fmt.Sprintf("late first event, %d ms: %s", first, failed)
 		case 2*wait >= first:
-			return fmt.Sprintf("late first event, %d ms: it waited %d ms for a place%s", first, wait, s.groupThen(last))
+			return fmt.Sprintf("late first event, %d ms: it waited %d ms for a place%s", first, wait, s.groupContext(last))
 		}
-		return fmt.Sprintf("late first event, %d ms: the target took %d ms of it%s", first, first-wait, s.groupThen(last))
+		return fmt.Sprintf("late first event, %d ms: the target took %d ms of it%s", first, first-wait, s.groupContext(last))
 	case "answer":
 		if failed != "" {
 			return fmt.Sprintf("late answer, %s ms: %s", last.Get("ms"), failed)
 		}
 		return fmt.Sprintf("late answer: target %s took %s ms", last.Get("target"), last.Get("ms"))
 	case "pause":
-		return fmt.Sprintf("a pause of %s ms between events%s%s", last.Get("gap_ms"), because(failed), s.groupThen(last))
+		return fmt.Sprintf("a pause of %s ms between events%s%s", last.Get("gap_ms"), causeSuffix(failed), s.groupContext(last))
 	}
 	if status := last.Get("status"); status != "" && status[0] != '2' {
 		return "the target's own failure, status " + status
@@ -53,15 +55,16 @@
 	return ""
 }
 
-func because(failed string) string {
+// causeSuffix formats a failed attempt for the end of a sentence.
+func causeSuffix(failed string) string {
 	if failed == "" {
 		return ""
 	}
 	return ": " + failed
 }
 
-// failedTry tells of the first try that failed.
-func (s *Story) failedTry() string {
+// firstFailedAttempt describes the first failed attempt; empty if there is none.
+func (s *Story) firstFailedAttempt() string {
 	for i := range s.Lines {
 		if l := &s.Lines[i]; l.Event == "try failed" {
 			return "try " + l.Get("try") + " failed: " + l.Get("reason") + ": " + l.Get("detail")
@@ -70,39 +73,40 @@
 	return ""
 }
 
-// groupThen tells how the request's group fared while the request was there: its
-// longest passes, and whether demand had moved.
-func (s *Story) groupThen(last *Line) string {
+// groupContext describes the load of the request's group during the request: the
+// longest pass, and whether demand had shifted between experts.
+func (s *Story) groupContext(last *Line) string {
 	if kind := last.Get("kind"); kind != "" && kind != "stream" {
 		return "" // plain services have no group
 	}
-	var worst *Line
-	moved := false
-	for i := range s.Around {
-		l := &s.Around[i]
+	var longest *Line
+	demandMoved := false
+	for i := range s.Context {
+		l := &s.Context[i]
 		switch l.Event {
 		case "group load":
-			if worst == nil || l.Float("pass_ms") > worst.Float("pass_ms") {
-				worst = l
+			if longest == nil || l.Float("pass_ms") > longest.Float("pass_ms") {
+				longest = l
 			}
 		case "demand moved":
-			moved = true
+			demandMoved = true
 		}
 	}
 	text := ""
-	if worst != nil {
+	if longest != nil {
 		text = fmt.Sprintf("; passes of the group took %s ms, imbalance %s, %s streams, %s waiting",
-			worst.Get("pass_ms"), worst.Get("imbalance"), worst.Get("running"), worst.Get("waiting"))
-	} else if placed := s.placed(); placed != nil && last.Event == "answered" {
-		text = fmt.Sprintf("; the target's load was %s, imbalance %s, pace %s", placed.Get("load"), placed.Get("imbalance"), placed.Get("pace"))
+			longest.Get("pass_ms"), longest.Get("imbalance"), longest.Get("running"), longest.Get("waiting"))
+	} else if placement := s.firstPlacement(); placement != nil && last.Event == "answered" {
+		text = fmt.Sprintf("; the target's load was %s, imbalance %s, pace %s", placement.Get("load"), placement.Get("imbalance"), placement.Get("pace"))
 	}
-	if moved {
-		text += "; demand had moved and the map did not fit yet"
+	if demandMoved {
+		text += "; demand had moved and the expert map was not yet adjusted"
 	}
 	return text
 }
 
-func (s *Story) placed() *Line {
+// firstPlacement returns the line of the first placement, nil if there is none.
+func (s *Story) firstPlacement() *Line {
 	for i := range s.Lines {
 		if s.Lines[i].Event == "placed" {
 			return &s.Lines[i]
--- a/story/story.go
+++ b/story/story.go
@@ -1,5 +1,5 @@
-// Package story puts together what the log lines of several processes say of one
-// request.
+// Package story collects the log lines of several processes that concern one request
+// and derives the cause of its failure or delay from them.
 package story
 
 import (
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// Line is one event of a log.
+// Line is one parsed log line.
 type Line struct {
 	At     time.Time
-	Source string // what stood before the event: the VM, as a collector puts it
+	Source string // last word before the time, where a log collector puts the name of the VM
 	Event  string
-	Fields []Field // in the line's order, without time, level and event
+	Fields []Field // in the order of the line, without time, level and event
 }
 
-// Field is one key and its value.
+// Field is one key=value pair.
 type Field struct{ Key, Value string }
 
-// Get returns the value of a key; empty if it is not there.
+// Get returns the value of a key, empty if the line does not have the key.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// Int returns the whole number that a key has; 0 if it has none.
+// Int returns the value of a key as an integer, 0 if it is absent or not an integer.
 func (l *Line) Int(key string) int {
 	n, err := strconv.Atoi(l.Get(key))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// Float returns the number that a key has; 0 if it has none.
+// Float returns the value of a key as a number, 0 if it is absent or not a number.
 func (l *Line) Float(key string) float64 {
 	v, err := strconv.ParseFloat(l.Get(key), 64)
 	if err != nil {
@@ -53,17 +53,18 @@
 	return v
 }
 
-// ErrLine: a line is no event of ours.
-var ErrLine = errors.New("no event")
+// ErrLine is returned for a line that is not a heatherrail log event.
+var ErrLine = errors.New("not a heatherrail log event")
 
-// Parse reads one line of a log; what stands before its time names its source.
+// Parse parses one log line. It returns an error that wraps ErrLine if the line has no
+// time or event or is malformed.
 func Parse(text string) (Line, error) {
-	before, rest, ok := strings.Cut(text, "time=")
+	prefix, rest, ok := strings.Cut(text, "time=")
 	if !ok {
 		return Line{}, ErrLine
 	}
 	l := Line{}
-	if words := strings.Fields(before); len(words) > 0 {
+	if words := strings.Fields(prefix); len(words) > 0 {
 		l.Source = words[len(words)-1]
 	}
 	rest = "time=" + rest
@@ -72,12 +73,12 @@
 		if !ok || key == "" || strings.ContainsAny(key, " \"") {
 			return Line{}, ErrLine
 		}
-		value, left, err := cutValue(after)
+		value, remaining, err := cutValue(after)
 		if err != nil {
 			return Line{}, err
 		}
-		rest = strings.TrimLeft(left, " \r\n")
-		if err := l.put(key, value); err != nil {
+		rest = strings.TrimLeft(remaining, " \r\n")
+		if err := l.setField(key, value); err != nil {
 			return Line{}, err
 		}
 	}
@@ -87,7 +88,7 @@
 	return l, nil
 }
 
-func (l *Line) put(key, value string) error {
+func (l *Line) setField(key, value string) error {
 	switch key {
 	case "time":
 		at, err := time.Parse(time.RFC3339, value)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// cutValue takes a value, quoted or plain, from the beginning of a text.
+// cutValue splits a quoted or plain value off the start of a text.
 func cutValue(text string) (value, rest string, err error) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
@@ -121,40 +122,41 @@
 	return value, text[len(quoted):], nil
 }
 
-// around is how far before and after a request's own lines others may bear on it.
-const around = 2 * time.Second
+// contextWindow is how long before the start of a request an event may happen and
+// still be listed as its context.
+const contextWindow = 2 * time.Second
 
-// context are events that concern all requests at a time.
-var context = []string{
+// contextEvents are events that concern all requests in progress at that time.
+var contextEvents = []string{
 	"store lost", "store regained", "targets known again after an outage", "configuration in force", "target gone",
 	"entry lost", "stopping", "stopped", "started", "reload", "demand moved", "map switched", "group led",
 	"group stands still", "this rank is left held", "group let go without its leader", "agent lost", "engine lost",
 	"group load", "loads not read", "log lines dropped",
 }
 
-// Story is what is known of one request.
+// Story holds the log lines that concern one request.
 type Story struct {
-	Request string
-	Lines   []Line // of the request itself, in order
-	Around  []Line // of what else happened about then
-	Bad     int    // lines that could not be read
+	Request       string
+	Lines         []Line // lines of the request itself, by time
+	Context       []Line // lines of context events near the request, by time
+	UnparsedLines int    // number of lines that could not be parsed
 }
 
-// Read reads logs and tells the story of a request.
+// Read reads log lines in any order and collects those that concern a request.
 func Read(r io.Reader, request string) (*Story, error) {
 	s := &Story{Request: request}
-	var others []Line
+	var candidates []Line
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 64<<10), 1<<20)
 	for sc.Scan() {
 		l, err := Parse(sc.Text())
 		switch {
 		case err != nil:
-			s.Bad++
+			s.UnparsedLines++
 		case l.Get("request") == request:
 			s.Lines = append(s.Lines, l)
-		case slices.Contains(context, l.Event):
-			others = append(others, l)
+		case slices.Contains(contextEvents, l.Event):
+			candidates = append(candidates, l)
 		}
 	}
 	if err := sc.Err(); err != nil {
@@ -165,19 +167,19 @@
 	}
 	byTime := func(a, b Line) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) }
 	slices.SortStableFunc(s.Lines, byTime)
-	from, to := s.begun().Add(-around), s.Lines[len(s.Lines)-1].At
-	for _, l := range others {
+	from, to := s.startTime().Add(-contextWindow), s.Lines[len(s.Lines)-1].At
+	for _, l := range candidates {
 		if !l.At.Before(from) && !l.At.After(to) {
-			s.Around = append(s.Around, l)
+			s.Context = append(s.Context, l)
 		}
 	}
-	slices.SortStableFunc(s.Around, byTime)
+	slices.SortStableFunc(s.Context, byTime)
 	return s, nil
 }
 
-// begun returns when the request came: lines are written at its end and tell how
-// long it took.
-func (s *Story) begun() time.Time {
+// startTime returns when the request arrived. A line is written at the end of the
+// step that it reports, so its duration is subtracted from its time.
+func (s *Story) startTime() time.Time {
 	first := &s.Lines[0]
 	for _, key := range []string{"ms", "wait_ms"} {
 		if first.Get(key) != "" {
@@ -187,29 +189,29 @@
 	return first.At
 }
 
-// Write writes the story.
+// Write writes the lines of the request, its cause and its context as text.
 func (s *Story) Write(w io.Writer) error {
 	b := &strings.Builder{}
 	if len(s.Lines) == 0 {
-		fmt.Fprintf(b, "no line of request %s; %d lines could not be read\n", s.Request, s.Bad)
+		fmt.Fprintf(b, "no line of request %s; %d lines could not be read\n", s.Request, s.UnparsedLines)
 		_, err := io.WriteString(w, b.String())
 		return err
 	}
-	fmt.Fprintf(b, "request %s came at %s\n", s.Request, s.begun().Format("15:04:05.000"))
+	fmt.Fprintf(b, "request %s came at %s\n", s.Request, s.startTime().Format("15:04:05.000"))
 	for _, l := range s.Lines {
 		l.write(b)
 	}
 	if cause := s.Cause(); cause != "" {
 		fmt.Fprintf(b, "cause: %s\n", cause)
 	}
-	if len(s.Around) > 0 {
-		fmt.Fprintf(b, "about then, from %s before it:\n", around)
-		for _, l := range s.Around {
+	if len(s.Context) > 0 {
+		fmt.Fprintf(b, "other events, from %s before the request to its last line:\n", contextWindow)
+		for _, l := range s.Context {
 			l.write(b)
 		}
 	}
-	if s.Bad > 0 {
-		fmt.Fprintf(b, "%d lines could not be read\n", s.Bad)
+	if s.UnparsedLines > 0 {
+		fmt.Fprintf(b, "%d lines could not be read\n", s.UnparsedLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -18,29 +18,28 @@
   12.0000 side-1 time=2026-04-20T08:45:18.000Z level=info event="map switched" version=3
 `
 
-// A request was refused by one entry and answered by another when it came back.
-// Its lines come in order, with what else happened about then and nothing that was
-// long over; lines that can't be read are counted.
-func TestAStoryIsPutTogether(t *testing.T) {
+// One entry refuses a request and another entry answers its retry. The lines are sorted
+// by time, context events outside the window are left out, unparsable lines are counted.
+func TestReadCollectsLinesAndContextInOrder(t *testing.T) {
 	g := NewWithT(t)
 	s, err := story.Read(strings.NewReader(recorded), "r7")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.Bad).To(Equal(1))
+	g.Expect(s.UnparsedLines).To(Equal(1))
 	g.Expect(s.Lines).To(HaveLen(2))
 	g.Expect(s.Lines[0].Source).To(Equal("front-1"))
 	g.Expect(s.Lines[0].Get("detail")).To(Equal("waited 1500 ms"))
-	var around []string
-	for _, l := range s.Around {
-		around = append(around, l.Event)
+	var events []string
+	for _, l := range s.Context {
+		events = append(events, l.Event)
 	}
-	g.Expect(around).To(Equal([]string{"group stands still", "store lost"}))
+	g.Expect(events).To(Equal([]string{"group stands still", "store lost"}))
 	var b strings.Builder
 	g.Expect(s.Write(&b)).To(Succeed())
 	g.Expect(b.String()).To(HavePrefix("request r7 came at 08:45:40.700\n"))
 }
 
-// An id that no line has is said to be unknown, not passed over in silence.
-func TestAnUnknownRequest(t *testing.T) {
+// No log line has the requested id. The output must say so.
+func TestUnknownRequestIsReported(t *testing.T) {
 	g := NewWithT(t)
 	s, err := story.Read(strings.NewReader(recorded), "r99")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -49,7 +48,8 @@
 	g.Expect(b.String()).To(ContainSubstring("no line of request r99"))
 }
 
-// Logs are cut, mixed and forged; a line either is an event or an error.
+// Log lines may be truncated, mixed up or forged. Parse returns an event with a name
+// or an error.
 func FuzzParse(f *testing.F) {
 	for line := range strings.Lines(recorded) {
 		f.Add(line)
@@ -57,7 +57,7 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		l, err := story.Parse(line)
 		if err == nil && l.Event == "" {
-			t.Error("an event without a name")
+			t.Error("Parse returned an event without a name")
 		}
 	})
 }
@@ -75,9 +75,9 @@
 front-1 time=2026-04-20T08:45:42.300Z level=info event=refused request=a7 kind=once code=301 reason=target_lost detail="i-5: EOF" ms=53
 `
 
-// An engineer has the id of a request that was late, refused or cut, and the logs.
-// The cause must be named by them, and none be made up for one that fared well.
-func TestTheCauseIsNamed(t *testing.T) {
+// Requests are late, refused or broken off for different reasons. Cause must name the
+// reason from the log lines, and none for a request that was answered in time.
+func TestCauseNamesReasonOfFailureOrDelay(t *testing.T) {
 	g := NewWithT(t)
 	for id, cause := range map[string]string{
 		"a1": "late first event, 610 ms: it waited 400 ms for a place; passes of the group took 190.5 ms, imbalance 2.71, 60 streams, 3 waiting; demand had moved",
@@ -96,7 +96,7 @@
 		}
 		g.Expect(s.Cause()).To(HavePrefix(cause), id)
 		if id == "a7" {
-			g.Expect(s.Cause()).To(Equal(cause), "a plain service has no group")
+			g.Expect(s.Cause()).To(Equal(cause), "requests to plain services have no group context")
 		}
 	}
 }
