--- a/losses/cause.go
+++ b/losses/cause.go
@@ -9,136 +9,140 @@
 // Cause is why a request was late, refused or failed.
 type Cause uint8
 
-// Causes, the ones that outweigh others first: a request during whose time several
-// things happened is put down to the first of them.
+// Causes in order of precedence: a request during which several of them apply is
+// attributed to the first.
 const (
-	CallersOwn    Cause = iota // the caller left, or asked for what it may not have
-	NoConfig                   // the entry did not know a configuration or a target yet
-	EntryStopping              // the entry was about to stop
-	TargetFailed               // a target was lost, or spoilt or failed its answer
-	RateNamed                  // all targets named a rate that was used up
-	Restarted                  // most processes had just started
-	GroupBroken                // a rank was lost
-	SlowRank                   // a rank took many times as long as usual
-	GroupHeld                  // a switch of maps was left half done
-	LeaderSilent               // nobody reported the group's loads
-	MapBehind                  // the map did not fit demand
-	TargetSlow                 // a plain target took its time
-	Backlog                    // none of these: more waited than there was room for
+	CallerFault       Cause = iota // the caller disconnected, or its request was invalid or not allowed
+	NoConfig                       // the entry had no configuration or no target yet
+	EntryStopping                  // the entry was shutting down
+	TargetFailed                   // a target was lost, or its answer failed or was incomplete
+	TargetRateLimited              // the rate limits of all targets were used up
+	AfterRestart                   // most processes had just restarted
+	GroupBroken                    // a rank was lost
+	SlowRank                       // a rank took many times its usual step time
+	GroupHeld                      // a switch of the expert map was left incomplete
+	LoadReportStale                // placements used old load reports of the group
+	MapOutdated                    // the expert map was not adjusted to demand
+	TargetSlow                     // a plain target answered slowly
+	Backlog                        // none of the above: the queue exceeded the capacity
 	causeCount
 )
 
-// Causes is the number of causes.
-const Causes = int(causeCount)
+// NumCauses is the number of causes.
+const NumCauses = int(causeCount)
 
-// String returns the name used in reports.
+// String returns the cause's name in reports.
 func (c Cause) String() string {
 	return [...]string{"callers' own", "no configuration or target", "entry stopping", "target failed", "rates of targets", "all restarted", "group broken",
 		"slow rank", "group held", "leader silent", "map behind demand", "target slow", "backlog"}[c]
 }
 
-// Savable tells whether an all-knowing system could have served the request in time:
-// not so if it had no working group, or none whose passes are short enough.
+// Savable reports whether a load balancer with perfect information could have served
+// the request in time. That is impossible without a working target or group whose
+// passes are short enough.
 func (c Cause) Savable() bool {
 	switch c {
-	case CallersOwn, NoConfig, RateNamed, GroupBroken, SlowRank, TargetSlow:
+	case CallerFault, NoConfig, TargetRateLimited, GroupBroken, SlowRank, TargetSlow:
 		return false
 	}
 	return true
 }
 
-// Bounds beyond which what lines tell counts as a cause.
+// Thresholds from which a logged value counts as a cause.
 const (
-	slowPace      = 2.0 // times as long as usual
-	badImbalance  = 1.5 // longest rank over the mean
-	oldReport     = 2 * time.Second
-	restartWindow = 6 * time.Second // after which what a restart left is worked off
-	restartShare  = 0.5             // of all processes
+	slowdownThreshold  = 2.0 // step time over the usual step time
+	imbalanceThreshold = 1.5 // load of the most loaded rank over the mean
+	staleReportAge     = 2 * time.Second
+	restartWindow      = 6 * time.Second // time to work off the backlog of a restart
+	restartShare       = 0.5             // share of all processes that start at about the same time
 )
 
-// refusals are the causes of refusals that their reason tells.
-var refusals = map[string]Cause{
-	"unauthorized": CallersOwn, "unknown_path": CallersOwn, "caller_gone": CallersOwn, "bad_request": CallersOwn,
-	"headers_too_large": CallersOwn, "body_too_large": CallersOwn, "request_timeout": CallersOwn,
+// causeByReason maps the logged reason of a refusal or failure to its cause.
+var causeByReason = map[string]Cause{
+	"unauthorized": CallerFault, "unknown_path": CallerFault, "caller_gone": CallerFault, "bad_request": CallerFault,
+	"headers_too_large": CallerFault, "body_too_large": CallerFault, "request_timeout": CallerFault,
 	"no_config": NoConfig, "no_target": NoConfig, "entry_leaving": EntryStopping,
 	"target_lost": TargetFailed, "engine_lost": TargetFailed, "answer_broken": TargetFailed, "target_leaving": TargetFailed,
-	"unreachable": TargetFailed, "rank_lost": GroupBroken, "target_limit": RateNamed,
+	"unreachable": TargetFailed, "rank_lost": GroupBroken, "target_limit": TargetRateLimited,
 }
 
-// cause finds why a request did not fare well. failed tells that a try of it failed.
-func (l *ledger) cause(line *story.Line, failed bool) Cause {
-	if c, ok := refusals[line.Get("reason")]; ok {
+// cause returns why a request was lost. attemptFailed says that one of its attempts
+// failed.
+func (a *analyser) cause(line *story.Line, attemptFailed bool) Cause {
+	if c, ok := causeByReason[line.Get("reason")]; ok {
 		return c
 	}
-	if failed {
+	if attemptFailed {
 		return TargetFailed
 	}
 	if line.Get("kind") != "stream" {
 		return TargetSlow
 	}
-	took := time.Duration(line.Int("ms")) * time.Millisecond
-	m := l.during(line.At.Add(-took), line.At)
+	duration := time.Duration(line.Int("ms")) * time.Millisecond
+	m := a.statsBetween(line.At.Add(-duration), line.At)
 	switch {
 	case m.restarted:
-		return Restarted
-	case m.broken:
+		return AfterRestart
+	case m.groupBroken:
 		return GroupBroken
-	case m.pace >= slowPace:
+	case m.slowdown >= slowdownThreshold:
 		return SlowRank
-	case m.held:
+	case m.groupHeld:
 		return GroupHeld
-	case m.report >= oldReport:
-		return LeaderSilent
-	case m.imbalance >= badImbalance:
-		return MapBehind
+	case m.reportAge >= staleReportAge:
+		return LoadReportStale
+	case m.imbalance >= imbalanceThreshold:
+		return MapOutdated
 	}
 	return Backlog
 }
 
-// moment is what the lines of one second tell.
-type moment struct {
-	pace, imbalance float64
-	report          time.Duration // age of the oldest report that a placement went by
-	held, broken    bool
-	restarted       bool
-	starts          int
+// secondStats sums up the log lines of one second.
+type secondStats struct {
+	slowdown, imbalance    float64
+	reportAge              time.Duration // age of the oldest load report used by a placement
+	groupHeld, groupBroken bool
+	restarted              bool
+	starts                 int
 }
 
-func (m *moment) add(o *moment) {
-	m.pace, m.imbalance, m.report = max(m.pace, o.pace), max(m.imbalance, o.imbalance), max(m.report, o.report)
-	m.held, m.broken, m.restarted = m.held || o.held, m.broken || o.broken, m.restarted || o.restarted
+// merge adds the stats of another second.
+func (m *secondStats) merge(o *secondStats) {
+	m.slowdown, m.imbalance, m.reportAge = max(m.slowdown, o.slowdown), max(m.imbalance, o.imbalance), max(m.reportAge, o.reportAge)
+	m.groupHeld, m.groupBroken, m.restarted = m.groupHeld || o.groupHeld, m.groupBroken || o.groupBroken, m.restarted || o.restarted
 }
 
-// note takes what a line tells of its second.
-func (l *ledger) note(line *story.Line) {
-	m := l.moment(line.At)
+// recordStats adds what a line reports about the system to the stats of its second.
+func (a *analyser) recordStats(line *story.Line) {
+	m := a.statsAt(line.At)
 	switch line.Event {
 	case "placed", "group load":
-		m.pace = max(m.pace, line.Float("pace"))
+		m.slowdown = max(m.slowdown, line.Float("pace"))
 		m.imbalance = max(m.imbalance, line.Float("imbalance"))
-		m.report = max(m.report, time.Duration(line.Int("report_ms"))*time.Millisecond)
+		m.reportAge = max(m.reportAge, time.Duration(line.Int("report_ms"))*time.Millisecond)
 	case "this rank is left held", "group stands still", "group held by nobody", "group let go without its leader":
-		m.held = true
+		m.groupHeld = true
 	case "try failed":
-		m.broken = m.broken || line.Get("reason") == "rank_lost"
+		m.groupBroken = m.groupBroken || line.Get("reason") == "rank_lost"
 	case "started":
 		m.starts++
-		l.processes[line.Source] = true
+		a.processes[line.Source] = true
 		if dc := line.Get("data_centre"); dc != "" {
-			l.dataCentres[line.Source] = dc
+			a.dataCentres[line.Source] = dc
 		}
 	}
 }
 
-// spreadRestarts marks the time after most processes have started at once.
-func (l *ledger) spreadRestarts() {
-	first := l.first()
-	for second, m := range l.moments {
-		if second <= first || float64(m.starts+l.startsAt(second-1)) < restartShare*float64(len(l.processes)) {
-			continue // the first start of all is no restart
+// markRestarts marks the seconds within restartWindow after most processes have started
+// within two seconds.
+func (a *analyser) markRestarts() {
+	first := a.firstSecond()
+	for second, m := range a.statsBySecond {
+		if second <= first || float64(m.starts+a.startsIn(second-1)) < restartShare*float64(len(a.processes)) {
+			continue // the initial start of the system is not a restart
 		}
 		for s := second; s < second+int64(restartWindow/time.Second); s++ {
-			if later := l.moments[s]; later != nil {
+			if later := a.statsBySecond[s]; later != nil {
 				later.restarted = true
 			}
 		}
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses reads the logs of all processes and puts down each request that was
-// late, refused or failed to one cause, by second, kind and data centre.
+// Package losses reads the logs of all processes and attributes each request that was
+// late, refused or failed to one cause. It counts these losses by cause, second, kind
+// and data centre.
 package losses
 
 import (
@@ -13,103 +14,107 @@
 	"github.com/heatherrail/heatherrail/story"
 )
 
-// Loss is one request that did not fare well.
+// Loss is one request that was late, refused or failed.
 type Loss struct {
-	Second     int // of the logs' first one
-	Kind       string
-	DataCentre string // of the entry
+	Second     int    // seconds since the first second of the logs
+	Kind       string // request kind, as logged
+	DataCentre string // data centre of the entry; empty if unknown
 	Cause      Cause
 	Outcome    Outcome
 }
 
-// Outcome is what the caller got.
+// Outcome is the result of a lost request for its caller.
 type Outcome string
 
-// Outcomes.
+// Values of Outcome.
 const (
 	Late    Outcome = "late"
 	Refused Outcome = "refused"
-	Failed  Outcome = "failed" // after it may have run
+	Failed  Outcome = "failed" // the request may have run
 )
 
-// Ledger is what the logs tell of all requests.
-type Ledger struct {
-	Seconds  int
-	Answered int // in time
-	Losses   []Loss
-	Unread   int // lines that are no events
+// Analysis holds the requests found in the logs and the cause of each loss.
+type Analysis struct {
+	Seconds       int // length of the logs
+	Answered      int // requests answered in time
+	Losses        []Loss
+	UnparsedLines int // lines that could not be parsed
 }
 
-// ledger is a Ledger that is being put together.
-type ledger struct {
-	lines       []story.Line // of requests that have ended
-	failed      map[string]bool
-	moments     map[int64]*moment // by Unix second
-	processes   map[string]bool   // that have started
-	dataCentres map[string]string // by VM
-	unread      int
+// analyser collects log lines and derives an Analysis from them.
+type analyser struct {
+	finished       []story.Line           // last lines of requests
+	failedRequests map[string]bool        // ids of requests with a failed attempt
+	statsBySecond  map[int64]*secondStats // by Unix time in seconds
+	processes      map[string]bool        // sources that logged a start
+	dataCentres    map[string]string      // by source
+	unparsed       int
 }
 
-// lineMax bounds one line of a log.
-const lineMax = 1 << 20
-
-// Read reads logs of any number of processes, in any order.
-func Read(r io.Reader) (*Ledger, error) {
-	l := &ledger{
-		failed:      make(map[string]bool),
-		moments:     make(map[int64]*moment),
-		processes:   make(map[string]bool),
-		dataCentres: make(map[string]string),
+// maxLineBytes is the largest log line that is read; a longer one is an error.
+const maxLineBytes = 1 << 20
+
+// Read reads the logs of any number of processes and analyses them. The lines may be
+// in any order.
+func Read(r io.Reader) (*Analysis, error) {
+	a := &analyser{
+		failedRequests: make(map[string]bool),
+		statsBySecond:  make(map[int64]*secondStats),
+		processes:      make(map[string]bool),
+		dataCentres:    make(map[string]string),
 	}
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, lineMax)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
 		line, err := story.Parse(sc.Text())
 		if err != nil {
-			l.unread++
+			a.unparsed++
 			continue
 		}
-		l.take(line)
+		a.addLine(line)
 	}
 	if err := sc.Err(); err != nil {
 		return nil, fmt.Errorf("read log: %w", err)
 	}
-	return l.close(), nil
+	return a.finish(), nil
 }
 
-func (l *ledger) take(line story.Line) {
-	l.note(&line)
+// addLine records the context that a line gives and keeps the last lines of requests.
+func (a *analyser) addLine(line story.Line) {
+	a.recordStats(&line)
 	switch line.Event {
 	case "answered", "refused", "broken off":
-		l.lines = append(l.lines, line)
+		a.finished = append(a.finished, line)
 	case "try failed":
-		l.failed[line.Get("request")] = true
+		a.failedRequests[line.Get("request")] = true
 	}
 }
 
-func (l *ledger) moment(at time.Time) *moment {
-	m := l.moments[at.Unix()]
+// statsAt returns the stats of the second of a time and creates them if necessary.
+func (a *analyser) statsAt(at time.Time) *secondStats {
+	m := a.statsBySecond[at.Unix()]
 	if m == nil {
-		m = new(moment)
-		l.moments[at.Unix()] = m
+		m = new(secondStats)
+		a.statsBySecond[at.Unix()] = m
 	}
 	return m
 }
 
-// during sums up what happened in a time.
-func (l *ledger) during(from, to time.Time) *moment {
-	sum := new(moment)
+// statsBetween merges the stats of all seconds from one time to another.
+func (a *analyser) statsBetween(from, to time.Time) *secondStats {
+	sum := new(secondStats)
 	for s := from.Unix(); s <= to.Unix(); s++ {
-		if m := l.moments[s]; m != nil {
-			sum.add(m)
+		if m := a.statsBySecond[s]; m != nil {
+			sum.merge(m)
 		}
 	}
 	return sum
 }
 
-func (l *ledger) first() int64 {
+// firstSecond returns the earliest second in the logs, 0 if there is none.
+func (a *analyser) firstSecond() int64 {
 	first := int64(0)
-	for second := range l.moments {
+	for second := range a.statsBySecond {
 		if first == 0 || second < first {
 			first = second
 		}
@@ -117,31 +122,33 @@
 	return first
 }
 
-func (l *ledger) startsAt(second int64) int {
-	if m := l.moments[second]; m != nil {
+// startsIn returns how many processes started in a second.
+func (a *analyser) startsIn(second int64) int {
+	if m := a.statsBySecond[second]; m != nil {
 		return m.starts
 	}
 	return 0
 }
 
-func (l *ledger) close() *Ledger {
-	l.spreadRestarts()
-	first := l.first()
-	out := &Ledger{Unread: l.unread}
-	for i := range l.lines {
-		line := &l.lines[i]
+// finish determines the cause of each loss and returns the analysis.
+func (a *analyser) finish() *Analysis {
+	a.markRestarts()
+	first := a.firstSecond()
+	out := &Analysis{UnparsedLines: a.unparsed}
+	for i := range a.finished {
+		line := &a.finished[i]
 		second := int(line.At.Unix() - first)
 		out.Seconds = max(out.Seconds, second+1)
-		outcome, lost := outcomeOf(line)
-		if !lost {
+		outcome, isLoss := outcomeOf(line)
+		if !isLoss {
 			out.Answered++
 			continue
 		}
 		out.Losses = append(out.Losses, Loss{
 			Second:     second,
 			Kind:       line.Get("kind"),
-			DataCentre: l.dataCentres[line.Source],
-			Cause:      l.cause(line, l.failed[line.Get("request")]),
+			DataCentre: a.dataCentres[line.Source],
+			Cause:      a.cause(line, a.failedRequests[line.Get("request")]),
 			Outcome:    outcome,
 		})
 	}
@@ -149,7 +156,8 @@
 	return out
 }
 
-// outcomeOf tells what a request's last line says of it; false if it fared well.
+// outcomeOf returns the outcome from a request's last line, and false if the request
+// was answered in time.
 func outcomeOf(line *story.Line) (Outcome, bool) {
 	switch line.Event {
 	case "refused":
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -13,7 +13,7 @@
 	"github.com/heatherrail/heatherrail/losses"
 )
 
-const day = `front-1 time=2026-04-20T08:45:00.000Z level=info event=started vm=front-1 data_centre=a
+const logLines = `front-1 time=2026-04-20T08:45:00.000Z level=info event=started vm=front-1 data_centre=a
 front-2 time=2026-04-20T08:45:00.000Z level=info event=started vm=front-2 data_centre=b
 garbage that is no event
 front-1 time=2026-04-20T08:45:12.000Z level=info event=answered request=r1 kind=stream ms=900 late=no
@@ -37,14 +37,14 @@
 front-1 time=2026-04-20T08:45:32.500Z level=info event=answered request=r11 kind=stream ms=400 late="first event"
 `
 
-// Requests of a day went wrong for different reasons. Each is put down to one, which
-// the lines about then tell; what weighs most goes first where several happened.
-func TestEachLossHasItsCause(t *testing.T) {
+// Requests are lost for different reasons, some of them at the same time. Each loss must
+// be attributed to one cause, the one with the highest precedence.
+func TestEachLossIsAttributedToOneCause(t *testing.T) {
 	g := NewWithT(t)
-	l, err := losses.Read(strings.NewReader(day))
+	a, err := losses.Read(strings.NewReader(logLines))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(l.Answered).To(Equal(1))
-	g.Expect(l.Unread).To(Equal(1))
+	g.Expect(a.Answered).To(Equal(1))
+	g.Expect(a.UnparsedLines).To(Equal(1))
 	type want struct {
 		second     int
 		cause      losses.Cause
@@ -52,30 +52,31 @@
 		dataCentre string
 	}
 	var got []want
-	for _, loss := range l.Losses {
+	for _, loss := range a.Losses {
 		got = append(got, want{loss.Second, loss.Cause, loss.Outcome, loss.DataCentre})
 	}
 	g.Expect(got).To(Equal([]want{
 		{12, losses.Backlog, losses.Late, "a"},
-		{12, losses.CallersOwn, losses.Refused, "a"},
-		{15, losses.MapBehind, losses.Late, "a"},
+		{12, losses.CallerFault, losses.Refused, "a"},
+		{15, losses.MapOutdated, losses.Late, "a"},
 		{18, losses.GroupHeld, losses.Refused, "b"},
 		{18, losses.GroupHeld, losses.Late, "b"},
 		{21, losses.SlowRank, losses.Failed, "b"},
 		{24, losses.TargetFailed, losses.Late, "b"},
 		{24, losses.TargetSlow, losses.Failed, "b"},
-		{27, losses.RateNamed, losses.Refused, "b"},
+		{27, losses.TargetRateLimited, losses.Refused, "b"},
 		{30, losses.NoConfig, losses.Refused, "a"},
-		{32, losses.Restarted, losses.Late, "a"},
+		{32, losses.AfterRestart, losses.Late, "a"},
 	}))
 }
 
-// The report counts each loss once, in each of its tables, and in all three forms.
-func TestReportsCountEachLossOnce(t *testing.T) {
+// A report has several tables and three formats. Each table must count each loss once,
+// and each format must be well-formed.
+func TestReportCountsEachLossOnce(t *testing.T) {
 	g := NewWithT(t)
-	l, err := losses.Read(strings.NewReader(day))
+	a, err := losses.Read(strings.NewReader(logLines))
 	g.Expect(err).NotTo(HaveOccurred())
-	r := l.Report()
+	r := a.Report()
 	causes, savable, seconds := 0, 0, 0
 	for _, row := range r.Causes {
 		causes += row.Late + row.Refused + row.Failed
@@ -86,21 +87,21 @@
 			seconds += n
 		}
 	}
-	g.Expect(causes).To(Equal(len(l.Losses)))
-	g.Expect(seconds).To(Equal(len(l.Losses)))
+	g.Expect(causes).To(Equal(len(a.Losses)))
+	g.Expect(seconds).To(Equal(len(a.Losses)))
 	g.Expect(savable).To(Equal(6))
 	g.Expect(r.DataCentres).To(Equal(map[string]int{"a": 5, "b": 6}))
 	g.Expect(r.Kinds).To(Equal(map[string]int{"stream": 8, "idempotent": 1, "once": 2}))
 
-	var text, picture, encoded bytes.Buffer
+	var text, svg, encoded bytes.Buffer
 	g.Expect(r.WriteText(&text)).To(Succeed())
 	g.Expect(text.String()).To(MatchRegexp(`slow rank +0 +0 +1 +0`))
 	g.Expect(r.WriteJSON(&encoded)).To(Succeed())
 	var back losses.Report
 	g.Expect(json.Unmarshal(encoded.Bytes(), &back)).To(Succeed())
 	g.Expect(&back).To(Equal(r))
-	g.Expect(r.WriteSVG(&picture)).To(Succeed())
-	dec := xml.NewDecoder(&picture)
+	g.Expect(r.WriteSVG(&svg)).To(Succeed())
+	dec := xml.NewDecoder(&svg)
 	for {
 		if _, err = dec.Token(); err != nil {
 			break
--- a/losses/report.go
+++ b/losses/report.go
@@ -7,36 +7,36 @@
 	"strings"
 )
 
-// Row sums up the losses of one cause.
+// Row holds the number of losses of one cause, by outcome.
 type Row struct {
 	Cause   string `json:"cause"`
 	Late    int    `json:"late"`
 	Refused int    `json:"refused"`
 	Failed  int    `json:"failed"`
-	Savable int    `json:"savable"` // of them, that an all-knowing system could have served in time
+	Savable int    `json:"savable"` // losses that a load balancer with perfect information could have avoided
 }
 
-// Report is a ledger summed up.
+// Report holds the numbers of losses of an Analysis.
 type Report struct {
-	Answered    int            `json:"answered_in_time"`
-	Unread      int            `json:"lines_not_read"`
-	Causes      []Row          `json:"causes"`
-	Kinds       map[string]int `json:"by_kind"`
-	DataCentres map[string]int `json:"by_data_centre"`
-	Seconds     []Second       `json:"by_second"` // those with losses
+	Answered      int            `json:"answered_in_time"`
+	UnparsedLines int            `json:"lines_not_read"`
+	Causes        []Row          `json:"causes"`
+	Kinds         map[string]int `json:"by_kind"`
+	DataCentres   map[string]int `json:"by_data_centre"`
+	Seconds       []Second       `json:"by_second"` // seconds with losses, in order
 }
 
-// Second is one second of the logs.
+// Second holds the number of losses of one second, by cause.
 type Second struct {
 	Second int            `json:"second"`
 	Causes map[string]int `json:"causes"`
 }
 
-// Report sums the ledger up.
-func (l *Ledger) Report() *Report {
-	r := &Report{Answered: l.Answered, Unread: l.Unread, Kinds: make(map[string]int), DataCentres: make(map[string]int)}
+// Report counts the losses by cause, kind, data centre and second.
+func (a *Analysis) Report() *Report {
+	r := &Report{Answered: a.Answered, UnparsedLines: a.UnparsedLines, Kinds: make(map[string]int), DataCentres: make(map[string]int)}
 	var rows [causeCount]Row
-	for _, loss := range l.Losses {
+	for _, loss := range a.Losses {
 		row := &rows[loss.Cause]
 		switch loss.Outcome {
 		case Late:
@@ -72,10 +72,10 @@
 	return enc.Encode(r)
 }
 
-// WriteText writes the report as tables.
+// WriteText writes the report as text tables.
 func (r *Report) WriteText(w io.Writer) error {
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "answered in time: %d; lines not read: %d\n\n", r.Answered, r.Unread)
+	fmt.Fprintf(b, "answered in time: %d; lines not read: %d\n\n", r.Answered, r.UnparsedLines)
 	fmt.Fprintf(b, "%-28s %6s %8s %7s %8s\n", "cause", "late", "refused", "failed", "savable")
 	for _, row := range r.Causes {
 		fmt.Fprintf(b, "%-28s %6d %8d %7d %8d\n", row.Cause, row.Late, row.Refused, row.Failed, row.Savable)
@@ -85,7 +85,7 @@
 	fmt.Fprintf(b, "\n%6s  losses by cause\n", "second")
 	for _, s := range r.Seconds {
 		fmt.Fprintf(b, "%6d ", s.Second)
-		for c := range Causes {
+		for c := range NumCauses {
 			if n := s.Causes[Cause(c).String()]; n > 0 {
 				fmt.Fprintf(b, " %s %d", Cause(c), n)
 			}
@@ -96,13 +96,14 @@
 	return err
 }
 
+// writeCounts writes one table of losses by name.
 func writeCounts(b *strings.Builder, title string, counts map[string]int) {
 	fmt.Fprintf(b, "\n%-28s %6s\n", title, "losses")
 	for _, name := range sortedKeys(counts) {
-		shown := name
-		if shown == "" {
-			shown = "not known"
+		label := name
+		if label == "" {
+			label = "not known"
 		}
-		fmt.Fprintf(b, "%-28s %6d\n", shown, counts[name])
+		fmt.Fprintf(b, "%-28s %6d\n", label, counts[name])
 	}
 }
