--- a/logging/async.go
+++ b/logging/async.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Async hands lines to one goroutine through a bounded queue, so that whoever
-// logs never waits for the log's reader. When the queue is full a line is dropped
-// and counted, and the count is told when there is room again.
+// Async is a writer that passes log lines to one goroutine through a bounded queue, so
+// that a slow or blocked log reader never delays the goroutines that log. While the
+// queue is full, lines are dropped and counted. The next batch that is written ends
+// with a "log lines dropped" event that has the count.
 type Async struct {
 	w       io.Writer
 	lines   chan string
@@ -19,20 +20,23 @@
 }
 
 const (
-	asyncLines = 2048
-	// asyncPause lets lines gather: one system call then writes some dozen of them.
-	asyncPause = 50 * time.Millisecond
-	asyncBatch = 64 << 10 // bytes
+	asyncQueueLines = 2048
+	// asyncBatchDelay is the pause between batches. Lines collect during it, so that one
+	// system call writes about a dozen of them.
+	asyncBatchDelay = 50 * time.Millisecond
+	asyncBatchBytes = 64 << 10 // bytes
 )
 
-// NewAsync returns a writer in front of w. Each Write must be one line.
+// NewAsync returns an Async that writes to w. Each call of Write must pass exactly one
+// line. The caller must call Close.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{w: w, lines: make(chan string, asyncLines), quit: make(chan struct{}), done: make(chan struct{})}
+	a := &Async{w: w, lines: make(chan string, asyncQueueLines), quit: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer; it never blocks and never fails.
+// Write implements io.Writer. It queues or drops the line; it never blocks and never
+// returns an error.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- string(line):
@@ -42,7 +46,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped and not told yet.
+// Dropped returns the number of dropped lines that have not been logged yet.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
 func (a *Async) run() {
@@ -51,30 +55,32 @@
 	for {
 		select {
 		case line := <-a.lines:
-			batch = a.write(append(batch[:0], line...))
-			time.Sleep(asyncPause)
+			batch = a.writeBatch(append(batch[:0], line...))
+			time.Sleep(asyncBatchDelay)
 		case <-a.quit:
 			for len(a.lines) > 0 {
-				batch = a.write(batch[:0])
+				batch = a.writeBatch(batch[:0])
 			}
 			return
 		}
 	}
 }
 
-// write writes a batch, with the lines that wait, and returns it for its memory.
-func (a *Async) write(batch []byte) []byte {
-	batch = a.gather(batch)
+// writeBatch adds queued lines to a batch and writes it. It returns the batch so that
+// its memory can be reused.
+func (a *Async) writeBatch(batch []byte) []byte {
+	batch = a.appendQueued(batch)
 	if n := a.dropped.Swap(0); n > 0 {
 		batch = fmt.Appendf(batch, "level=info event=\"log lines dropped\" lines=%d\n", n)
 	}
-	_, _ = a.w.Write(batch) // a process must not stop because its log does
+	_, _ = a.w.Write(batch) // the process must go on when its log can't be written
 	return batch
 }
 
-// gather appends the lines that wait, up to a batch.
-func (a *Async) gather(batch []byte) []byte {
-	for len(batch) < asyncBatch {
+// appendQueued appends queued lines until the queue is empty or the batch has
+// asyncBatchBytes.
+func (a *Async) appendQueued(batch []byte) []byte {
+	for len(batch) < asyncBatchBytes {
 		select {
 		case line := <-a.lines:
 			batch = append(batch, line...)
@@ -85,8 +91,9 @@
 	return batch
 }
 
-// Close writes what waits. Lines that come later are lost: goroutines that still
-// run as the process ends may go on logging.
+// Close writes the queued lines and stops the goroutine. Lines written after Close are
+// lost but cause no error, because other goroutines may still log while the process
+// exits.
 func (a *Async) Close() {
 	close(a.quit)
 	<-a.done
--- a/logging/async_test.go
+++ b/logging/async_test.go
@@ -11,7 +11,8 @@
 	"github.com/heatherrail/heatherrail/logging"
 )
 
-// blockedWriter stands for a reader of the log that has stopped reading.
+// blockedWriter blocks writes until release is closed, like a pipe whose reader has
+// stopped reading.
 type blockedWriter struct {
 	mu      sync.Mutex
 	release chan struct{}
@@ -25,9 +26,9 @@
 	return w.text.Write(p)
 }
 
-// The process ends and closes its log while a goroutine still logs. That must not
-// end the process in a panic, and what was logged before is written.
-func TestALogThatIsClosedCanStillBeWrittenTo(t *testing.T) {
+// A goroutine still logs after the exiting process has closed its log. The write must
+// not panic, and lines from before Close must be written.
+func TestWriteAfterCloseDoesNotPanic(t *testing.T) {
 	g := NewWithT(t)
 	w := &blockedWriter{release: make(chan struct{})}
 	close(w.release)
@@ -40,9 +41,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// Nobody reads the log. Whoever logs must go on all the same; when it is read
-// again, it says how many lines are missing.
-func TestALogThatNobodyReadsHoldsNobodyUp(t *testing.T) {
+// The log reader has stopped reading. Writes must not block, and once the reader goes
+// on, the log must state how many lines were dropped.
+func TestBlockedReaderDropsLinesWithoutBlockingWrites(t *testing.T) {
 	g := NewWithT(t)
 	w := &blockedWriter{release: make(chan struct{})}
 	a := logging.NewAsync(w)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -13,11 +13,13 @@
 	"github.com/go-logr/logr"
 )
 
-// New returns a logger that writes to w events up to the given verbosity.
+// New returns a logger that writes events up to the given verbosity to w. Writes are
+// serialised, so w need not be safe for concurrent use.
 func New(w io.Writer, verbosity int) logr.Logger {
 	return logr.New(&sink{out: &lockedWriter{w: w}, verbosity: verbosity})
 }
 
+// lockedWriter serialises writes.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -26,14 +28,15 @@
 func (l *lockedWriter) write(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _ = io.WriteString(l.w, line) // a process must not stop because its log does
+	_, _ = io.WriteString(l.w, line) // the process must go on when its log can't be written
 }
 
+// sink implements logr.LogSink.
 type sink struct {
 	out       *lockedWriter
 	verbosity int
 	name      string
-	pairs     string
+	pairs     string // formatted pairs of WithValues
 }
 
 // Init implements logr.LogSink.
@@ -51,7 +54,7 @@
 // WithValues implements logr.LogSink.
 func (s *sink) WithValues(kv ...any) logr.LogSink {
 	clone := *s
-	clone.pairs += pairs(kv)
+	clone.pairs += formatPairs(kv)
 	return &clone
 }
 
@@ -65,6 +68,7 @@
 	return &clone
 }
 
+// emit writes one event as one line.
 func (s *sink) emit(level, msg string, err error, kv []any) {
 	var b strings.Builder
 	b.WriteString("time=")
@@ -78,12 +82,13 @@
 		b.WriteString(" error=" + quote(err.Error()))
 	}
 	b.WriteString(s.pairs)
-	b.WriteString(pairs(kv))
+	b.WriteString(formatPairs(kv))
 	b.WriteByte('\n')
 	s.out.write(b.String())
 }
 
-func pairs(kv []any) string {
+// formatPairs formats alternating keys and values, each pair with a leading space.
+func formatPairs(kv []any) string {
 	var b strings.Builder
 	for i := 0; i+1 < len(kv); i += 2 {
 		fmt.Fprintf(&b, " %v=%s", kv[i], quote(fmt.Sprint(kv[i+1])))
@@ -91,7 +96,8 @@
 	return b.String()
 }
 
-// quote keeps one event on one line: values from callers may hold anything.
+// quote quotes a value unless it is plain printable ASCII without spaces, quotes and
+// '='. Values come from callers too, and a line feed in one must not start a new event.
 func quote(s string) string {
 	if s == "" || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == '"' || r == '=' || r > '~' }) {
 		return strconv.Quote(s)
@@ -99,5 +105,5 @@
 	return s
 }
 
-// Round2 rounds a figure for a line to two decimals.
+// Round2 rounds a number for logging to two decimals.
 func Round2(v float64) float64 { return math.Round(v*100) / 100 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -10,9 +10,9 @@
 	"github.com/heatherrail/heatherrail/logging"
 )
 
-// An event is one line, whatever a caller puts into its values: a line end in a
-// model's name would otherwise let a caller write events of its own.
-func TestAnEventIsOneLine(t *testing.T) {
+// A caller sends a model name with a line feed. Unquoted, it would let the caller write
+// forged events into the log.
+func TestEventWithLineFeedInValueIsOneLine(t *testing.T) {
 	g := NewWithT(t)
 	var b strings.Builder
 	l := logging.New(&b, 0).WithName("entry").WithValues("entry", "e-1")
