--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps tally counters and writes them in the text format that
-// metric collectors read.
+// Package metrics collects the counters, gauges and histograms of a process with tally
+// and writes them in the Prometheus text format.
 package metrics
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Set is the metrics of one process.
+// Set holds the metrics of one process. It is safe for concurrent use.
 type Set struct {
 	scope         tally.TestScope
-	results       sync.Map // result.Code to tally.Counter
+	results       sync.Map // tally.Counter by result.Code
 	firstToken    tally.Histogram
 	betweenTokens tally.Histogram
 }
 
-// Bounds of the histograms around the aims of our users: first token within
-// 0.76 s and 49 ms between tokens for 95 in 100.
+// Bucket bounds of the histograms. They include the users' objectives for the 95th
+// percentile: first token within 0.76 s and 49 ms between tokens.
 var (
 	firstTokenBounds = tally.DurationBuckets{
 		10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
@@ -41,8 +41,8 @@
 	}
 )
 
-// New returns an empty set. tally's scope without a reporter keeps running
-// totals, which is what a pulled endpoint needs.
+// New returns an empty set. It uses tally's test scope, which has no reporter and
+// keeps running totals, as an endpoint that collectors poll needs them.
 func New() *Set {
 	scope := tally.NewTestScope("heatherrail", nil)
 	return &Set{
@@ -52,13 +52,13 @@
 	}
 }
 
-// FirstToken records the time from a request's arrival to its first token.
+// FirstToken records the time from the arrival of a request to its first token.
 func (s *Set) FirstToken(d time.Duration) { s.firstToken.RecordDuration(d) }
 
-// BetweenTokens records the time from one token to the next.
+// BetweenTokens records the time between two consecutive tokens.
 func (s *Set) BetweenTokens(d time.Duration) { s.betweenTokens.RecordDuration(d) }
 
-// Result counts one outcome of a request.
+// Result counts one finished request by its result code.
 func (s *Set) Result(c result.Code) {
 	counter, ok := s.results.Load(c)
 	if !ok {
@@ -67,29 +67,29 @@
 	counter.(tally.Counter).Inc(1)
 }
 
-// Retry counts one retry by the reason of the failed try.
+// Retry counts one retry by the result code of the failed attempt.
 func (s *Set) Retry(c result.Code) {
 	s.scope.Tagged(map[string]string{"reason": c.Info().Name}).Counter("retries_total").Inc(1)
 }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (s *Set) Count(name string, n int64) { s.scope.Counter(name).Inc(n) }
 
-// Gauge sets a gauge.
+// Gauge sets the value of a gauge.
 func (s *Set) Gauge(name string, v float64) { s.scope.Gauge(name).Update(v) }
 
-// Write writes all counters, gauges and histograms, sorted, one a line.
+// Write writes the current values of all metrics as sorted text lines.
 func (s *Set) Write(w io.Writer) error {
 	snap := s.scope.Snapshot()
 	var lines []string
 	for _, c := range snap.Counters() {
-		lines = append(lines, line(c.Name(), c.Tags(), fmt.Sprint(c.Value())))
+		lines = append(lines, formatLine(c.Name(), c.Tags(), fmt.Sprint(c.Value())))
 	}
 	for _, g := range snap.Gauges() {
-		lines = append(lines, line(g.Name(), g.Tags(), fmt.Sprint(g.Value())))
+		lines = append(lines, formatLine(g.Name(), g.Tags(), fmt.Sprint(g.Value())))
 	}
 	for _, h := range snap.Histograms() {
-		lines = append(lines, histogram(h.Name(), h.Tags(), h.Durations())...)
+		lines = append(lines, formatHistogram(h.Name(), h.Tags(), h.Durations())...)
 	}
 	slices.Sort(lines)
 	if _, err := io.WriteString(w, strings.Join(lines, "")); err != nil {
@@ -98,8 +98,9 @@
 	return nil
 }
 
-// histogram returns cumulative counts, as collectors expect them.
-func histogram(name string, tags map[string]string, counts map[time.Duration]int64) []string {
+// formatHistogram returns the lines of a histogram. Bucket counts are cumulative, as
+// the text format requires.
+func formatHistogram(name string, tags map[string]string, counts map[time.Duration]int64) []string {
 	bounds := slices.Sorted(maps.Keys(counts))
 	var lines []string
 	total := int64(0)
@@ -114,12 +115,13 @@
 			withBound = make(map[string]string)
 		}
 		withBound["le"] = le
-		lines = append(lines, line(name+"_bucket", withBound, strconv.FormatInt(total, 10)))
+		lines = append(lines, formatLine(name+"_bucket", withBound, strconv.FormatInt(total, 10)))
 	}
-	return append(lines, line(name+"_count", tags, strconv.FormatInt(total, 10)))
+	return append(lines, formatLine(name+"_count", tags, strconv.FormatInt(total, 10)))
 }
 
-func line(name string, tags map[string]string, value string) string {
+// formatLine formats one sample with its labels in sorted order.
+func formatLine(name string, tags map[string]string, value string) string {
 	name = strings.ReplaceAll(name, ".", "_")
 	if len(tags) == 0 {
 		return name + " " + value + "\n"
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-func TestEveryResultIsCountedByItsName(t *testing.T) {
+func TestResultsAndRetriesAreCountedByName(t *testing.T) {
 	g := NewWithT(t)
 	s := metrics.New()
 	for _, info := range result.All() {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestServe(t *testing.T) {
+func TestServerServesMetrics(t *testing.T) {
 	g := NewWithT(t)
 	s := metrics.New()
 	s.Result(result.TargetBusy)
--- a/metrics/serve.go
+++ b/metrics/serve.go
@@ -8,21 +8,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Limits of the server: collectors ask little and seldom.
+// Limits of the server. Collectors send few and small requests.
 const (
-	serveConns   = 64
-	serveTimeout = 10 * time.Second
-	serveHeaders = 4 << 10
+	serveMaxConns       = 64
+	serveTimeout        = 10 * time.Second
+	serveMaxHeaderBytes = 4 << 10
 )
 
-// Server serves a set on an address of its own, for processes that have no
-// callers.
+// Server serves a Set over HTTP on its own address, for processes whose other listeners
+// don't serve metrics.
 type Server struct {
 	ln  net.Listener
 	srv *fasthttp.Server
 }
 
-// Serve starts to serve /metrics and /healthz.
+// Serve starts an HTTP server on addr for /metrics and /healthz.
 func (s *Set) Serve(addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -30,15 +30,15 @@
 	}
 	m := &Server{ln: ln, srv: &fasthttp.Server{
 		Handler:               s.handle,
-		Concurrency:           serveConns,
+		Concurrency:           serveMaxConns,
 		ReadTimeout:           serveTimeout,
 		WriteTimeout:          serveTimeout,
 		IdleTimeout:           serveTimeout,
-		ReadBufferSize:        serveHeaders,
+		ReadBufferSize:        serveMaxHeaderBytes,
 		MaxRequestBodySize:    1,
 		NoDefaultServerHeader: true,
 	}}
-	go func() { _ = m.srv.Serve(ln) }() // ends with Close
+	go func() { _ = m.srv.Serve(ln) }() // returns after Close
 	return m, nil
 }
 
@@ -51,12 +51,12 @@
 			ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		}
 	default:
-		ctx.Error("there are /metrics and /healthz", fasthttp.StatusNotFound)
+		ctx.Error("not found, available: /metrics and /healthz", fasthttp.StatusNotFound)
 	}
 }
 
-// Addr returns the address that is served.
+// Addr returns the address of the listener.
 func (m *Server) Addr() string { return m.ln.Addr().String() }
 
-// Close stops the server.
+// Close closes the listener. Open connections are not closed.
 func (m *Server) Close() { _ = m.ln.Close() }
