--- a/result/codes.go
+++ b/result/codes.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// 1xx: the request is wrong; sending it again unchanged does not help.
+// 1xx: the request is invalid or not allowed. A retry of the same request does not
+// help.
 const (
 	OK              Code = 0
 	BadRequest      Code = 101
@@ -24,7 +25,7 @@
 	RequestTimeout   Code = 113
 )
 
-// 2xx: the system refuses the request now; it did not run.
+// 2xx: the request is refused for now and did not run.
 const (
 	NoConfig       Code = 201
 	NoTarget       Code = 202
@@ -48,7 +49,7 @@
 	TargetIsolated    Code = 221
 )
 
-// 23x: orders and configuration; nothing was done.
+// 23x and 24x: an order or a configuration change is refused and had no effect.
 const (
 	BallotOld          Code = 240
 	BallotVoid         Code = 241
@@ -63,13 +64,14 @@
 	ChangeRefused Code = 234
 )
 
-// 33x: orders and configuration; ask again with the same id.
+// 33x: the outcome of an order or a configuration change is unknown. The sender must
+// repeat it with the same id.
 const (
 	OrderUnknown  Code = 330
 	ChangeUnknown Code = 331
 )
 
-// 250 to 259: placement and admission.
+// 250 to 259: the request is refused by placement or admission.
 const (
 	WaitTooLong  Code = 250
 	LimitShare   Code = 251
@@ -77,7 +79,7 @@
 	TargetLimit  Code = 253
 )
 
-// 3xx: honest doubt; the request may have run.
+// 3xx: the outcome is unknown; the request may have run.
 const (
 	RankUnknown  Code = 340
 	TargetLost   Code = 301
@@ -89,7 +91,8 @@
 	Internal     Code = 399
 )
 
-// 4xx: faults between our own processes; callers see them only as a cause.
+// 4xx: faults on connections between heatherrail processes. Callers see them only as
+// the cause of another result.
 const (
 	WireFrameTooLarge Code = 401
 	WireMalformed     Code = 402
@@ -103,7 +106,8 @@
 	WirePlain         Code = 410
 )
 
-const shortWait = time.Second
+// shortRetryAfter is the delay before a retry after a refusal that usually ends soon.
+const shortRetryAfter = time.Second
 
 var table = []Info{
 	{OK, "ok", http.StatusOK, RunDone, 0, "The whole answer was delivered.", "Nothing."},
@@ -120,40 +124,40 @@
 	{MethodNotAllowed, "method_not_allowed", http.StatusMethodNotAllowed, RunNot, 0, "The path does not take this method.", "Tell the team."},
 	{HeadersTooLarge, "headers_too_large", http.StatusRequestHeaderFieldsTooLarge, RunNot, 0, "The request's headers are larger than the limit.", "Tell the team."},
 	{RequestTimeout, "request_timeout", http.StatusRequestTimeout, RunNot, 0, "The request did not arrive whole in time.", "A slow network, or a caller that holds connections open on purpose."},
-	{NoConfig, "no_config", http.StatusServiceUnavailable, RunNot, shortWait, "This process knows no configuration yet.", "Check that the log service or a peer can be reached."},
-	{NoTarget, "no_target", http.StatusServiceUnavailable, RunNot, shortWait, "No target of the service can take work.", "Look at status: targets leaving, ejected or lost."},
-	{TargetLeaving, "target_leaving", http.StatusServiceUnavailable, RunNot, shortWait, "The target is leaving.", "Expected during a drain; entries retry elsewhere."},
-	{TargetBusy, "target_busy", http.StatusServiceUnavailable, RunNot, shortWait, "The target's queue is full.", "Compare the agent's queue-limit with the load."},
-	{StaleVersion, "stale_version", http.StatusServiceUnavailable, RunNot, shortWait, "The entry works under an overtaken configuration.", "The entry hears from nobody; check its links."},
-	{StaleAgent, "stale_agent", http.StatusServiceUnavailable, RunNot, shortWait, "The request was meant for an earlier incarnation of the agent.", "Expected once after an agent restarts."},
-	{Unreachable, "unreachable", http.StatusServiceUnavailable, RunNot, shortWait, "The target could not be reached; no byte was sent.", "Check the agent's process and address."},
-	{LimitTeam, "team_limit", http.StatusTooManyRequests, RunNot, shortWait, "The team is over its limit.", "Compare the team's limits with its demand."},
+	{NoConfig, "no_config", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "This process knows no configuration yet.", "Check that the log service or a peer can be reached."},
+	{NoTarget, "no_target", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "No target of the service can take work.", "Look at status: targets leaving, ejected or lost."},
+	{TargetLeaving, "target_leaving", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The target is leaving.", "Expected during a drain; entries retry elsewhere."},
+	{TargetBusy, "target_busy", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The target's queue is full.", "Compare the agent's queue-limit with the load."},
+	{StaleVersion, "stale_version", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The entry works under an overtaken configuration.", "The entry hears from nobody; check its links."},
+	{StaleAgent, "stale_agent", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The request was meant for an earlier incarnation of the agent.", "Expected once after an agent restarts."},
+	{Unreachable, "unreachable", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The target could not be reached; no byte was sent.", "Check the agent's process and address."},
+	{LimitTeam, "team_limit", http.StatusTooManyRequests, RunNot, shortRetryAfter, "The team is over its limit.", "Compare the team's limits with its demand."},
 	{Overloaded, "overloaded", http.StatusTooManyRequests, RunNot, 2 * time.Second, "The service is overloaded.", "Add targets or shed load."},
-	{DeadlineUnmet, "deadline_unmet", http.StatusServiceUnavailable, RunNot, shortWait, "The deadline cannot be met, so the request was not started.", "Compare the expected wait with the callers' deadlines."},
-	{EntryLeaving, "entry_leaving", http.StatusServiceUnavailable, RunNot, shortWait, "This entry is shutting down.", "Expected while an entry is replaced."},
+	{DeadlineUnmet, "deadline_unmet", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The deadline cannot be met, so the request was not started.", "Compare the expected wait with the callers' deadlines."},
+	{EntryLeaving, "entry_leaving", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "This entry is shutting down.", "Expected while an entry is replaced."},
 	{DedupFull, "dedup_full", http.StatusServiceUnavailable, RunNot, 5 * time.Second, "The target remembers as many non-repeatable requests as it may.", "Raise dedup-keys, or shorten dedup-window."},
-	{RetryExhausted, "retry_budget", http.StatusServiceUnavailable, RunNot, shortWait, "The retry budget is spent.", "A service is failing widely; look at its targets."},
+	{RetryExhausted, "retry_budget", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The retry budget is spent.", "A service is failing widely; look at its targets."},
 	{SuspectHeld, "suspect_held", http.StatusServiceUnavailable, RunNot, 2 * time.Second, "The request is suspected of crashing its target and waits to be tried alone.", "Look at the quarantine events."},
-	{WaitTooLong, "wait_too_long", http.StatusServiceUnavailable, RunNot, shortWait, "The target's queue is longer than the entry believed.", "Entries place again at once; frequent ones mean that load reports come late."},
-	{LimitShare, "team_limit_elsewhere", http.StatusTooManyRequests, RunNot, shortWait, "Other entries serve this team's limit; ask GET /v1/entries with the team's key.", "The team's callers don't ask which entries to use."},
+	{WaitTooLong, "wait_too_long", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The target's queue is longer than the entry believed.", "Entries place again at once; frequent ones mean that load reports come late."},
+	{LimitShare, "team_limit_elsewhere", http.StatusTooManyRequests, RunNot, shortRetryAfter, "Other entries serve this team's limit; ask GET /v1/entries with the team's key.", "The team's callers don't ask which entries to use."},
 	{LimitTracked, "team_limit_states", http.StatusServiceUnavailable, RunNot, 5 * time.Second, "This entry counts as many teams as it may.", "Spread the callers over more entries."},
-	{TargetLimit, "target_limit", http.StatusServiceUnavailable, RunNot, shortWait, "All targets of the service name a rate, and none takes the request in time.", "The targets are in need; look at `rate limit of a target changed` and at the demand."},
+	{TargetLimit, "target_limit", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "All targets of the service name a rate, and none takes the request in time.", "The targets are in need; look at `rate limit of a target changed` and at the demand."},
 	{FenceStale, "fence_stale", http.StatusConflict, RunNot, 0, "An order carries an overtaken fencing number.", "Its sender lost the lease; nothing to do unless it repeats."},
-	{FenceUnknown, "fence_unknown", http.StatusServiceUnavailable, RunNot, shortWait, "The agent does not know the fencing floor yet.", "Look at the links between entries and this agent."},
+	{FenceUnknown, "fence_unknown", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The agent does not know the fencing floor yet.", "Look at the links between entries and this agent."},
 	{LeaseLost, "lease_lost", http.StatusConflict, RunNot, 0, "The sender no longer holds the lease.", "Nothing; the next holder goes on."},
-	{OrderLimited, "order_limited", http.StatusTooManyRequests, RunNot, shortWait, "The weight store's rate is used up.", "Orders wait; raise the store's rate if it is often full."},
+	{OrderLimited, "order_limited", http.StatusTooManyRequests, RunNot, shortRetryAfter, "The weight store's rate is used up.", "Orders wait; raise the store's rate if it is often full."},
 	{ChangeRefused, "change_refused", http.StatusConflict, RunNot, 0, "A configuration change was refused.", "The detail names the change that won; diff again and apply on top of it."},
 	{OrderUnknown, "order_unknown", http.StatusBadGateway, RunMaybe, 0, "The answer to an order was lost.", "The agent reads the engine's state back and settles it."},
 	{ChangeUnknown, "change_unknown", http.StatusGatewayTimeout, RunMaybe, 0, "It is not known whether a change was accepted.", "Run apply --resume with the id."},
-	{WireStreams, "wire_streams", http.StatusServiceUnavailable, RunNot, shortWait, "A connection between two processes has as many streams as it may.", "Spread the load over more entries, or look for requests that never end."},
-	{ConnsFull, "connections_full", http.StatusServiceUnavailable, RunNot, shortWait, "The process has as many connections as it may.", "Look for peers or callers that open connections and leave them idle."},
-	{EntryUnregistered, "entry_unregistered", http.StatusServiceUnavailable, RunNot, shortWait, "This entry may not yet dispatch requests that must not run twice.", "The entry started and could not write its presence to the log service."},
-	{TargetIsolated, "target_isolated", http.StatusServiceUnavailable, RunNot, shortWait, "The target runs a suspected request alone.", "Expected for a moment after a target crashed; entries retry elsewhere."},
-	{RankLost, "rank_lost", http.StatusServiceUnavailable, RunNot, shortWait, "The rank group that would run the request is broken.", "A rank of the group is dead or cut off; the group opens when it is back."},
+	{WireStreams, "wire_streams", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "A connection between two processes has as many streams as it may.", "Spread the load over more entries, or look for requests that never end."},
+	{ConnsFull, "connections_full", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The process has as many connections as it may.", "Look for peers or callers that open connections and leave them idle."},
+	{EntryUnregistered, "entry_unregistered", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "This entry may not yet dispatch requests that must not run twice.", "The entry started and could not write its presence to the log service."},
+	{TargetIsolated, "target_isolated", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The target runs a suspected request alone.", "Expected for a moment after a target crashed; entries retry elsewhere."},
+	{RankLost, "rank_lost", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "The rank group that would run the request is broken.", "A rank of the group is dead or cut off; the group opens when it is back."},
 	{BallotOld, "ballot_old", http.StatusConflict, RunNot, 0, "A rank has promised a higher ballot.", "Two entries ordered a map switch; the later one wins."},
 	{BallotVoid, "ballot_void", http.StatusConflict, RunNot, 0, "The order belongs to a hold that is over, or to an earlier run of agent or engine.", "Expected after a rank restarts; the owner begins anew."},
-	{RankBusy, "rank_busy", http.StatusServiceUnavailable, RunNot, shortWait, "Orders wait for a rank's engine.", "The engine does not answer; look at its VM."},
-	{WeightsUnavailable, "weights_unavailable", http.StatusServiceUnavailable, RunNot, shortWait, "A rank could not load expert weights.", "Check the weight store; rebalancing pauses until it answers."},
+	{RankBusy, "rank_busy", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "Orders wait for a rank's engine.", "The engine does not answer; look at its VM."},
+	{WeightsUnavailable, "weights_unavailable", http.StatusServiceUnavailable, RunNot, shortRetryAfter, "A rank could not load expert weights.", "Check the weight store; rebalancing pauses until it answers."},
 	{MapBad, "map_bad", http.StatusBadRequest, RunNot, 0, "An expert map does not fit its shape.", "Compare layers, experts and slots of the group."},
 	{RankUnknown, "rank_unknown", http.StatusBadGateway, RunMaybe, 0, "It is not known whether a rank's engine took an order.", "Look at the engine; the next ballot asks all ranks again."},
 	{TargetLost, "target_lost", http.StatusBadGateway, RunMaybe, 0, "The target was lost after the request was sent.", "Look at the target's VM."},
@@ -183,10 +187,12 @@
 	return m
 }()
 
-// All returns the table in the order of the codes.
+// All returns the entries of all codes in the order of the table. The caller must not
+// modify them.
 func All() []Info { return table }
 
-// Info returns the table entry; an unlisted code is reported as Internal.
+// Info returns the table entry of the code, or that of Internal if the code is not in
+// the table.
 func (c Code) Info() Info {
 	if info, ok := byCode[c]; ok {
 		return info
--- a/result/codes_test.go
+++ b/result/codes_test.go
@@ -8,17 +8,18 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-func TestTable(t *testing.T) {
+// A duplicate, undocumented or contradictory table entry would mislead callers.
+func TestTableEntriesAreUniqueAndComplete(t *testing.T) {
 	g := NewWithT(t)
 	codes, names := make(map[result.Code]bool), make(map[string]bool)
 	for _, info := range result.All() {
-		g.Expect(codes[info.Code]).To(BeFalse(), "code %d stands twice", info.Code)
-		g.Expect(names[info.Name]).To(BeFalse(), "name %s stands twice", info.Name)
+		g.Expect(codes[info.Code]).To(BeFalse(), "duplicate code %d", info.Code)
+		g.Expect(names[info.Name]).To(BeFalse(), "duplicate name %s", info.Name)
 		codes[info.Code], names[info.Name] = true, true
 		g.Expect(info.Meaning).NotTo(BeEmpty())
 		g.Expect(info.Operator).NotTo(BeEmpty())
 		if info.Run == result.RunMaybe {
-			g.Expect(info.RetryAfter).To(BeZero(), "%s: waiting never settles a doubt", info.Name)
+			g.Expect(info.RetryAfter).To(BeZero(), "%s: a delay never resolves an unknown outcome", info.Name)
 		}
 	}
 }
--- a/result/result.go
+++ b/result/result.go
@@ -1,8 +1,8 @@
-// Package result holds the numbered result codes of heatherrail.
+// Package result defines the numbered result codes of heatherrail.
 //
-// A code answers three questions at once: what happened, whether the request
-// ran, and whether the caller gains anything by waiting. Callers, counters and
-// docs/RESULTS.md all use the same table.
+// Each code states what happened, whether the request ran, and whether the caller
+// should retry after a delay. Responses to callers, metrics and docs/RESULTS.md all
+// use the same table.
 package result
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Run says whether a request reached its target.
+// Run states whether a target ran the request.
 type Run uint8
 
-// The three honest statements about a request.
+// Values of Run.
 const (
-	// RunDone: the target ran the request and the whole answer follows.
+	// RunDone: the target ran the request and the complete answer was delivered.
 	RunDone Run = iota
-	// RunNot: the request certainly did not run.
+	// RunNot: the request did not run. Sending it again is safe.
 	RunNot
-	// RunMaybe: the request may have run; nobody can tell.
+	// RunMaybe: the request may have run; the outcome is unknown.
 	RunMaybe
 )
 
@@ -37,35 +37,35 @@
 	}
 }
 
-// Code is a numbered result. Numbers are never reused.
+// Code is the number of a result. Numbers of removed results are not reused.
 type Code uint16
 
-// Info describes one code.
+// Info is the table entry of one code.
 type Info struct {
 	Code       Code
 	Name       string        // metric tag and JSON "type"
-	Status     int           // HTTP status towards the caller
-	Run        Run           // what the code says about execution
-	RetryAfter time.Duration // zero: waiting does not help
-	Meaning    string        // one sentence for the caller
-	Operator   string        // what an operator should look at
+	Status     int           // HTTP status of the response to the caller
+	Run        Run           // whether the request ran
+	RetryAfter time.Duration // least delay before a retry; zero: a delay does not help
+	Meaning    string        // explanation for the caller
+	Operator   string        // advice for operators
 }
 
-// Error is a result as a Go error.
+// Error is a result code with a detail text, as a Go error.
 type Error struct {
 	Code       Code
 	Detail     string
-	RetryAfter time.Duration // overrides the table's value when set
+	RetryAfter time.Duration // overrides the table's value if positive
 	Cause      error
 }
 
-// New returns an Error with a formatted detail; %w records the cause, unless it
-// is an io.EOF.
+// New returns an Error with a formatted detail. An error passed with %w becomes the
+// cause, unless it wraps io.EOF.
 //
-// Failure: a connection is lost in mid-answer, and the loss wraps the io.EOF of
-// its socket. Symptom: a reader that asks errors.Is(err, io.EOF) for the end of
-// the answer takes the loss for it, and the caller gets half an answer that
-// looks whole. No result is an io.EOF, so none can be taken for one.
+// A connection that is lost in the middle of an answer returns an error that wraps the
+// socket's io.EOF. A reader that checks errors.Is(err, io.EOF) would take it for the
+// end of the answer, and the caller would get a truncated answer that looks complete.
+// Therefore no Error wraps io.EOF.
 func New(c Code, format string, args ...any) *Error {
 	wrapped := fmt.Errorf(format, args...)
 	e := &Error{Code: c, Detail: wrapped.Error(), Cause: errors.Unwrap(wrapped)}
@@ -80,13 +80,13 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code.Info().Name, e.Detail)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, nil if there is none.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Run tells whether the request ran, according to the code's table entry.
+// Run returns whether the request ran, according to the table entry of the code.
 func (e *Error) Run() Run { return e.Code.Info().Run }
 
-// Wait returns how long the caller should wait before asking again.
+// Wait returns the least delay before a retry; zero: a delay does not help.
 func (e *Error) Wait() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -94,9 +94,9 @@
 	return e.Code.Info().RetryAfter
 }
 
-// From returns err as an Error. An error that is no result means that a
-// safeguard is missing somewhere, so it becomes Internal, which claims nothing
-// about execution beyond "may have run".
+// From returns err as an Error. If err is not a result, some code failed to assign one.
+// It then becomes Internal, whose run state is "may have run" because nothing is known
+// about execution.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -10,10 +10,9 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// A lost connection is not the end of an answer.
-// The entry's socket to the agent ends in mid-answer; the loss wraps the socket's
-// io.EOF; whoever reads the answer looks for io.EOF as its clean end.
-func TestALossIsNoCleanEnd(t *testing.T) {
+// The connection to the agent is lost in the middle of an answer, and its error wraps
+// io.EOF. The reader of the answer must not take it for the end of the answer.
+func TestLostConnectionIsNotEOF(t *testing.T) {
 	g := NewWithT(t)
 	lost := result.New(result.WireClosed, "connection ended: %w", fmt.Errorf("read: %w", io.EOF))
 	g.Expect(lost).NotTo(MatchError(io.EOF))
