--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings holds the static settings of the daemons: what a process
-// must know before it can hear from anyone. Everything else is configuration.
+// Package settings reads the static settings of the daemons. A process needs them
+// before it can connect to other processes. Everything else is configuration, see
+// package config.
 package settings
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Entry is the [entry] section of heatherrail-entry.
+// Entry holds the [entry] section of the settings of heatherrail-entry.
 type Entry struct {
 	Name       string        `ini:"name" required:"true" doc:"name of this entry, unique"`
 	DataCentre string        `ini:"data-centre" required:"true" doc:"data centre of this VM"`
@@ -30,7 +31,7 @@
 	Verbosity  int           `ini:"verbosity" default:"0" min:"0" max:"4" doc:"detail of the log"`
 }
 
-// Agent is the [agent] section of heatherrail-agent.
+// Agent holds the [agent] section of the settings of heatherrail-agent.
 type Agent struct {
 	Target     string        `ini:"target" required:"true" doc:"name of the target, as the configuration declares it"`
 	DataCentre string        `ini:"data-centre" required:"true" doc:"data centre of this VM"`
@@ -45,29 +46,32 @@
 	Slots      int           `ini:"slots" default:"0" min:"0" max:"65536" doc:"requests that the engine decodes at once; others wait in the agent, by shares and priority; 0: as many as queue-limit"`
 }
 
-// Kinds of targets.
+// Values of Agent.Kind.
 const (
 	KindEngine = "engine"
 	KindPlain  = "plain"
 )
 
-// Platform is the [platform] section of both daemons.
+// Platform holds the [platform] section: addresses of the platform's services. Both
+// daemons and the operators' tool read it.
 type Platform struct {
 	Log string `ini:"log" required:"true" format:"address" doc:"address of the log service"`
 	VMs string `ini:"vms" required:"true" format:"address" doc:"address of the VM list"`
-	// Snapshots bounds how old the newest snapshot on the log may be.
+	// Snapshots is the largest age of the newest configuration snapshot in the log.
 	Snapshots time.Duration `ini:"snapshot-every" default:"30m" min:"1m" max:"24h" doc:"how often the configuration is published again; at most a quarter of the log's retention"`
 }
 
-// TLS is the [tls] section of both daemons: the keys for the connections between
-// heatherrail processes. Without it they speak plain TCP, on loopback only.
+// TLS holds the [tls] section: certificate and key files for connections between
+// heatherrail processes. Without them, processes use plain TCP and only on loopback
+// addresses.
 type TLS struct {
 	Cert string `ini:"cert" doc:"PEM file of this process's certificate, with the DNS names of its roles, see SECURITY.md"`
 	Key  string `ini:"key" doc:"PEM file of its private key"`
 	CA   string `ini:"ca" doc:"PEM file of the authorities that peers' certificates are accepted from; two during a rotation"`
 }
 
-// Network returns how processes connect.
+// Network loads the keys and returns the transport for connections to other processes.
+// An empty TLS gives plain TCP.
 func (t *TLS) Network() (*wire.Network, error) {
 	if *t == (TLS{}) {
 		return new(wire.Network), nil
@@ -79,41 +83,42 @@
 	return &wire.Network{Keys: keys}, nil
 }
 
-// EntryFile is a whole settings file of heatherrail-entry.
+// EntryFile holds the settings file of heatherrail-entry.
 type EntryFile struct {
 	Entry    Entry
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // made from TLS
+	Network  *wire.Network // derived from TLS
 }
 
-// AgentFile is a whole settings file of heatherrail-agent.
+// AgentFile holds the settings file of heatherrail-agent.
 type AgentFile struct {
 	Agent    Agent
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // made from TLS
+	Network  *wire.Network // derived from TLS
 }
 
-// ToolFile is a settings file of the operators' tool.
+// ToolFile holds the settings file of the operators' tool.
 type ToolFile struct {
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // made from TLS
+	Network  *wire.Network // derived from TLS
 }
 
-// toolAddress stands for the listener that the tool does not have.
-const toolAddress = "127.0.0.1:0"
+// toolListenAddr is passed to the check of [tls] for the tool, which has no listener. It
+// is on loopback, so that plain TCP is allowed.
+const toolListenAddr = "127.0.0.1:0"
 
-// LoadTool reads and checks a file; the error lists every fault.
+// LoadTool reads and validates a settings file. The error lists all faults.
 func LoadTool(path string) (*ToolFile, error) {
 	var f ToolFile
 	l := load(path, map[string]any{"platform": &f.Platform, "tls": &f.TLS})
-	f.Network = l.network(&f.TLS, "platform", toolAddress)
+	f.Network = l.network(&f.TLS, "platform", toolListenAddr)
 	return &f, l.err()
 }
 
-// LoadEntry reads and checks a file; the error lists every fault.
+// LoadEntry reads and validates a settings file. The error lists all faults.
 func LoadEntry(path string) (*EntryFile, error) {
 	var f EntryFile
 	l := load(path, map[string]any{"entry": &f.Entry, "platform": &f.Platform, "tls": &f.TLS})
@@ -121,7 +126,7 @@
 	return &f, l.err()
 }
 
-// LoadAgent reads and checks a file; the error lists every fault.
+// LoadAgent reads and validates a settings file. The error lists all faults.
 func LoadAgent(path string) (*AgentFile, error) {
 	var f AgentFile
 	l := load(path, map[string]any{"agent": &f.Agent, "platform": &f.Platform, "tls": &f.TLS})
@@ -129,58 +134,64 @@
 	return &f, l.err()
 }
 
-// loaded is a file that was read, with its faults.
-type loaded struct {
+// settingsFile is a parsed file with its faults.
+type settingsFile struct {
 	path     string
 	readErr  error
 	sections map[string]*ini.Section
 	errs     ini.Errors
 }
 
-func (l *loaded) err() error {
+// err returns the read error or all faults, nil if there are none.
+func (l *settingsFile) err() error {
 	if l.readErr != nil {
 		return l.readErr
 	}
 	return l.errs.Err()
 }
 
-// fail reports a fault at a key, or at the top of the file if it is not given.
-func (l *loaded) fail(section, key, what string) {
+// addError adds a fault at the line of a key, or at the section's line if the key is absent,
+// or at line 1 if the section is absent.
+func (l *settingsFile) addError(section, key, message string) {
 	line := 1
 	if sec := l.sections[section]; sec != nil {
 		line = sec.LineOf(key)
 	}
-	l.errs = append(l.errs, &ini.Error{File: l.path, Line: line, Where: section + "." + key, What: what})
+	l.errs = append(l.errs, &ini.Error{File: l.path, Line: line, Where: section + "." + key, What: message})
 }
 
-// network checks [tls] against the address that it protects.
-func (l *loaded) network(t *TLS, section, listen string) *wire.Network {
+// network loads the keys of [tls] and checks that they suffice for the listen address,
+// which belongs to the given section. It returns nil if the file or its keys have a
+// fault.
+func (l *settingsFile) network(t *TLS, section, listen string) *wire.Network {
 	if l.err() != nil {
 		return nil
 	}
-	given := 0
+	numGiven := 0
 	for _, file := range []string{t.Cert, t.Key, t.CA} {
 		if file != "" {
-			given++
+			numGiven++
 		}
 	}
-	if given != 0 && given != 3 {
-		l.fail("tls", "cert", "cert, key and ca belong together: give all three or none")
+	if numGiven != 0 && numGiven != 3 {
+		l.addError("tls", "cert", "cert, key and ca belong together: set all three or none")
 		return nil
 	}
 	n, err := t.Network()
 	if err != nil {
-		l.fail("tls", "cert", err.Error())
+		l.addError("tls", "cert", err.Error())
 		return nil
 	}
 	if err := n.Check(listen); err != nil {
-		l.fail(section, "listen", result.From(err).Detail)
+		l.addError(section, "listen", result.From(err).Detail)
 	}
 	return n
 }
 
-func load(path string, want map[string]any) *loaded {
-	l := &loaded{path: path, sections: make(map[string]*ini.Section)}
+// load parses a file and decodes each section into its struct in want, including
+// sections that are missing, so that their defaults and required keys apply.
+func load(path string, want map[string]any) *settingsFile {
+	l := &settingsFile{path: path, sections: make(map[string]*ini.Section)}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		l.readErr = fmt.Errorf("read settings: %w", err)
@@ -193,7 +204,7 @@
 		dst, known := want[sec.Title()]
 		switch {
 		case !known:
-			l.errs = append(l.errs, &ini.Error{File: path, Line: sec.Line, What: fmt.Sprintf("unknown section [%s], allowed: %s", sec.Title(), titles(want))})
+			l.errs = append(l.errs, &ini.Error{File: path, Line: sec.Line, What: fmt.Sprintf("unknown section [%s], allowed: %s", sec.Title(), sectionTitles(want))})
 		case l.sections[sec.Title()] != nil:
 			l.errs = append(l.errs, &ini.Error{File: path, Line: sec.Line, What: fmt.Sprintf("section [%s] is given twice", sec.Title())})
 		default:
@@ -209,7 +220,8 @@
 	return l
 }
 
-func titles(want map[string]any) string {
+// sectionTitles lists the allowed sections for an error message.
+func sectionTitles(want map[string]any) string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		names = append(names, "["+name+"]")
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,9 +27,9 @@
 	return "[agent]\ntarget = t\ndata-centre = a\nlisten = " + listen + "\nbackend = 127.0.0.1:3\nkind = engine\n" + platform + rest
 }
 
-// A daemon that can't be reached safely doesn't start: addresses off loopback
-// need keys, and keys must be whole and readable.
-func TestKeysAndAddressesAreCheckedAtTheStart(t *testing.T) {
+// Settings have a listen address off loopback without keys, unusable keys or invalid
+// sections. Loading them must fail with an error that names the fault.
+func TestLoadRejectsUnsafeAddressesAndBadKeys(t *testing.T) {
 	g := NewWithT(t)
 	a, err := testkeys.NewAuthority()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -40,12 +40,12 @@
 		{"loopback without keys", agent("127.0.0.1:0", ""), ""},
 		{"off loopback with keys", agent("10.0.0.1:7000", keys), ""},
 		{"off loopback without keys", agent("10.0.0.1:7000", ""), ":4: agent.listen: 10.0.0.1:7000 is not on loopback and there are no keys, see [tls]"},
-		{"a part of the keys", agent("127.0.0.1:0", "[tls]\nkey = k\n"), "cert, key and ca belong together"},
-		{"keys that can't be read", agent("127.0.0.1:0", "[tls]\ncert = none\nkey = none\nca = none\n"), "tls.cert: tls: stat none"},
-		{"authority that is none", agent("127.0.0.1:0", fmt.Sprintf("[tls]\ncert = %s\nkey = %s\nca = %s\n", f.Cert, f.Key, f.Key)), "holds no certificate"},
+		{"some of the keys", agent("127.0.0.1:0", "[tls]\nkey = k\n"), "cert, key and ca belong together"},
+		{"unreadable keys", agent("127.0.0.1:0", "[tls]\ncert = none\nkey = none\nca = none\n"), "tls.cert: tls: stat none"},
+		{"CA file without a certificate", agent("127.0.0.1:0", fmt.Sprintf("[tls]\ncert = %s\nkey = %s\nca = %s\n", f.Cert, f.Key, f.Key)), "holds no certificate"},
 		{"unknown section", agent("127.0.0.1:0", "[entry]\n"), "unknown section [entry], allowed: [agent] [platform] [tls]"},
-		{"section twice", agent("127.0.0.1:0", platform), "section [platform] is given twice"},
-		{"section missing", "[agent]\n", ":1: platform.log: missing"},
+		{"duplicate section", agent("127.0.0.1:0", platform), "section [platform] is given twice"},
+		{"missing section", "[agent]\n", ":1: platform.log: missing"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
