--- a/internal/ablate/ablate.go
+++ b/internal/ablate/ablate.go
@@ -1,37 +1,39 @@
-// Package ablate leaves out one mechanism of a build, to measure what it is worth:
+// Package ablate disables one mechanism at build time, so that its effect can be
+// measured:
 //
 //	go build -ldflags "-X github.com/heatherrail/heatherrail/internal/ablate.off=breaker" ./cmd/...
 //
-// No setting, flag or environment variable does so: a program that is built as
-// deploy/system.toml says has all mechanisms. tools/ablate builds and plays each.
+// No setting, flag or environment variable disables a mechanism: a program that is built
+// as deploy/system.toml specifies has all of them. tools/ablate builds and runs each
+// variant.
 package ablate
 
-// Mechanism is one that can be left out.
+// Mechanism is a mechanism that can be disabled.
 type Mechanism string
 
-// Mechanisms, by what is done without them.
+// Mechanisms. Each comment describes the behaviour without the mechanism.
 const (
-	Limit        Mechanism = "limit"         // streams fill all places of an engine
-	Room         Mechanism = "room"          // each entry takes all the room that it sees
-	LateShare    Mechanism = "late-share"    // late streams take all the room that is left
-	Breaker      Mechanism = "breaker"       // requests go to a group that is broken
-	InTimeFirst  Mechanism = "in-time-first" // requests go in the order of arrival
-	RefuseEarly  Mechanism = "refuse-early"  // requests wait though it will be too long
-	CannotFinish Mechanism = "cannot-finish" // streams are taken that can't end in time
+	Limit        Mechanism = "limit"         // streams fill all slots of an engine
+	Room         Mechanism = "room"          // each entry uses all the headroom that it sees
+	LateShare    Mechanism = "late-share"    // late streams use all remaining headroom
+	Breaker      Mechanism = "breaker"       // requests are sent to a broken group
+	InTimeFirst  Mechanism = "in-time-first" // requests are admitted in the order of arrival
+	RefuseEarly  Mechanism = "refuse-early"  // requests are queued although the expected wait is too long
+	CannotFinish Mechanism = "cannot-finish" // streams are admitted that can't finish in time
 	Sample       Mechanism = "sample"        // each placement compares all targets
-	SlowWeight   Mechanism = "slow-weight"   // a slow rank gets its share of work
-	SlowLeftOut  Mechanism = "slow-left-out" // a very slow rank may get work
-	Ejection     Mechanism = "ejection"      // targets that fail get work
-	Doubts       Mechanism = "doubts"        // what one entry has seen of a target stays with it
-	Resume       Mechanism = "resume"        // a broken stream ends
-	TwoMeans     Mechanism = "two-means"     // demand is one mean
-	Urgency      Mechanism = "urgency"       // plans rate copies as a busy group does
-	HeldSoon     Mechanism = "held-soon"     // a group left held is asked with the usual time limits
-	StoreTurns   Mechanism = "store-turns"   // every entry reads the store as the first one does
+	SlowWeight   Mechanism = "slow-weight"   // a slow rank gets the same share of work as others
+	SlowLeftOut  Mechanism = "slow-left-out" // a very slow rank gets work
+	Ejection     Mechanism = "ejection"      // failing targets get work
+	Doubts       Mechanism = "doubts"        // an entry does not send failure reports to other entries
+	Resume       Mechanism = "resume"        // a broken stream is not resumed
+	TwoMeans     Mechanism = "two-means"     // demand is estimated by one mean
+	Urgency      Mechanism = "urgency"       // plans price copies as for a busy group
+	HeldSoon     Mechanism = "held-soon"     // a group left on hold is queried with the usual time limits
+	StoreTurns   Mechanism = "store-turns"   // every entry reads the store as often as the first one
 )
 
-// off is set by the linker.
+// off is the disabled mechanism, set by the linker; empty: none.
 var off string
 
-// Off tells whether this build does without a mechanism.
+// Off reports whether a mechanism is disabled in this build.
 func Off(m Mechanism) bool { return off == string(m) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the mains of both daemons share: the command line,
-// signals and exit codes.
+// Package daemon contains the code that the daemons' main functions share: command
+// line, signal handling and exit codes.
 package daemon
 
 import (
@@ -18,16 +18,16 @@
 const (
 	ExitOK       = 0
 	ExitFail     = 1
-	ExitSettings = 2
+	ExitSettings = 2 // invalid settings or command line
 )
 
-// Flags are the command line of a daemon.
+// Flags holds the command line flags of a daemon.
 type Flags struct {
 	Settings string `long:"settings" value-name:"FILE" required:"yes" description:"static settings (INI)"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
-// Parse reads the command line; it exits for --help and bad usage.
+// Parse parses the command line. It exits the process after --help or a usage error.
 func Parse(about string) Flags {
 	var f Flags
 	p := flags.NewParser(&f, flags.HelpFlag|flags.PassDoubleDash)
@@ -47,26 +47,27 @@
 	return f
 }
 
-// Service is a started daemon.
+// Service is a running daemon.
 type Service interface {
-	// Shutdown stops gracefully; when ctx ends it cuts off what still runs and says so.
+	// Shutdown stops the daemon gracefully. If ctx ends first, it aborts the remaining
+	// work and returns an error.
 	Shutdown(ctx context.Context) error
 }
 
-// Wait blocks until SIGTERM or SIGINT, then shuts down within grace. A second
-// signal ends the grace at once. It returns the exit code.
+// Wait blocks until SIGTERM or SIGINT and then shuts the service down within grace. A
+// second signal ends the grace period at once. Wait returns the exit code.
 func Wait(s Service, grace time.Duration) int {
 	return WaitAndReload(s, grace, nil)
 }
 
-// WaitAndReload is Wait, and calls reload at each SIGHUP; without a function
-// SIGHUP ends the process, as is usual.
+// WaitAndReload works like Wait and also calls reload at each SIGHUP. If reload is nil,
+// SIGHUP ends the process, which is its default action.
 func WaitAndReload(s Service, grace time.Duration, reload func()) int {
 	if reload != nil {
-		hangups := make(chan os.Signal, 1)
-		signal.Notify(hangups, syscall.SIGHUP)
+		reloads := make(chan os.Signal, 1)
+		signal.Notify(reloads, syscall.SIGHUP)
 		go func() {
-			for range hangups {
+			for range reloads {
 				reload()
 			}
 		}()
@@ -87,6 +88,6 @@
 	return ExitOK
 }
 
-// Incarnation returns a number that differs at each start of a process. The
-// clock's nanoseconds suffice: a process can't start twice within one.
+// Incarnation returns a number that differs at each start of a process. It uses the
+// clock in nanoseconds, because a process can't start twice within one nanosecond.
 func Incarnation() uint64 { return uint64(time.Now().UnixNano()) }
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -1,5 +1,5 @@
-// Package hosted holds what the mains of the programs on the users' machines share:
-// settings, log, metrics and the address for peers.
+// Package hosted contains the code that the main functions of the programs on the users'
+// machines share: settings, log, metrics and the listener for peers.
 package hosted
 
 import (
@@ -18,31 +18,33 @@
 	"github.com/heatherrail/heatherrail/platform"
 )
 
-// Process is what a program is given to run with.
+// Process holds what Run sets up for a program.
 type Process struct {
 	Settings  *platform.Settings
 	Log       logr.Logger
 	Metrics   *metrics.Set
 	PeersPort string
-	PeersAddr string
+	PeersAddr string // IP address and port of Peers
 	Peers     net.Listener
 }
 
-// memoryShare: the collector works harder from half of the limit on; the rest is
-// for bytes that the kernel holds.
-const memoryShare = 2
+// memoryLimitDivisor is the memory limit of the process divided by the soft limit of
+// the Go runtime. The garbage collector works harder above the soft limit; the rest is
+// left for kernel buffers.
+const memoryLimitDivisor = 2
 
-// metricsPort is the port that the deploy file names for metrics.
+// metricsPort is the port for metrics in the deploy file.
 const metricsPort = "9464"
 
-// Run sets a process up and runs serve, whose exit code it returns.
+// Run sets up a process, calls serve and returns the exit code of serve. If the setup
+// fails, Run returns an exit code without a call of serve.
 func Run(serve func(p *Process) int) int {
 	s, err := platform.LoadSettings()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitSettings
 	}
-	debug.SetMemoryLimit(s.MemoryBytes / memoryShare)
+	debug.SetMemoryLimit(s.MemoryBytes / memoryLimitDivisor)
 	out := logging.NewAsync(os.Stdout)
 	defer out.Close()
 	p := &Process{Settings: s, Log: logging.New(out, 0), Metrics: metrics.New(), PeersPort: strconv.Itoa(s.PeerPort)}
@@ -57,7 +59,8 @@
 	return serve(p)
 }
 
-// Wait waits for the order to stop.
+// Wait blocks until a signal asks the process to stop, shuts the service down within the
+// grace period and returns the exit code. SIGHUP logs changed settings.
 func (p *Process) Wait(s daemon.Service) int {
 	return daemon.WaitAndReload(s, p.Settings.ShutdownGrace, func() { platform.LogSettingsChange(p.Log, p.Settings) })
 }
--- a/internal/ini/decode.go
+++ b/internal/ini/decode.go
@@ -10,17 +10,19 @@
 	"time"
 )
 
-// Decode fills the struct that dst points to from a section. Struct tags:
+// Decode sets the fields of the struct that dst points to from a section and returns
+// all faults. Struct tags:
 //
-//	ini:"key"          the key's name; fields without it are left alone
-//	default:"value"    used when the key is absent
-//	required:"true"    the key must be given
-//	oneof:"a b"        the allowed words
-//	min:"1" max:"9"    bounds, in the notation of the field's type
-//	format:"address"   IP number and port
-//	doc:"…"            a line for docs/SETTINGS.md
+//	ini:"key"          name of the key; fields without this tag are skipped
+//	default:"value"    value if the key is absent
+//	required:"true"    the key must be present
+//	oneof:"a b"        allowed values
+//	min:"1" max:"9"    inclusive bounds, in the notation of the field's type
+//	format:"address"   IP address and port
+//	doc:"…"            description for docs/SETTINGS.md
 //
-// Types: string, bool, int, int64, float64, time.Duration, Bytes, []string (by commas).
+// Types: string, bool, int, int64, float64, time.Duration, Bytes, []string (separated by
+// commas).
 func Decode(sec *Section, dst any) Errors {
 	d := decoder{sec: sec}
 	v := reflect.ValueOf(dst).Elem()
@@ -32,17 +34,18 @@
 			continue
 		}
 		known[name] = true
-		d.field(name, field, v.Field(i))
+		d.decodeField(name, field, v.Field(i))
 	}
 	for _, k := range sec.Keys {
 		if !known[k.Name] {
-			d.fail(k.Line, k.Name, "unknown key, allowed: %s", strings.Join(sortedKeys(known), ", "))
+			d.addError(k.Line, k.Name, "unknown key, allowed: %s", strings.Join(sortedKeys(known), ", "))
 		}
 	}
 	return d.errs
 }
 
-// Bytes is a size; written as 512, 64KB, 8MB or 2GB (powers of 1,024).
+// Bytes is a size in bytes. In a file it is written as 512, 64KB, 8MB or 2GB, with units
+// that are powers of 1,024.
 type Bytes int64
 
 func sortedKeys(m map[string]bool) []string {
@@ -59,16 +62,17 @@
 	errs Errors
 }
 
-func (d *decoder) fail(line int, key, format string, args ...any) {
+func (d *decoder) addError(line int, key, format string, args ...any) {
 	where := d.sec.Title() + "." + key
 	d.errs = append(d.errs, &Error{File: d.sec.File, Line: line, Where: where, What: fmt.Sprintf(format, args...)})
 }
 
-func (d *decoder) field(name string, field reflect.StructField, v reflect.Value) {
-	key, given := d.sec.find(name)
-	if !given {
+// decodeField sets one field from its key or its default.
+func (d *decoder) decodeField(name string, field reflect.StructField, v reflect.Value) {
+	key, found := d.sec.findKey(name)
+	if !found {
 		if field.Tag.Get("required") == "true" {
-			d.fail(d.sec.Line, name, "missing, and it has no default")
+			d.addError(d.sec.Line, name, "missing, and it has no default")
 			return
 		}
 		key = Key{Name: name, Value: field.Tag.Get("default"), Line: d.sec.Line}
@@ -77,15 +81,15 @@
 		}
 	}
 	if err := setValue(v, key.Value); err != nil {
-		d.fail(key.Line, name, "%v", err)
+		d.addError(key.Line, name, "%v", err)
 		return
 	}
 	if err := checkValue(field.Tag, v, key.Value); err != nil {
-		d.fail(key.Line, name, "%v", err)
+		d.addError(key.Line, name, "%v", err)
 	}
 }
 
-func (s *Section) find(name string) (Key, bool) {
+func (s *Section) findKey(name string) (Key, bool) {
 	for _, k := range s.Keys {
 		if k.Name == name {
 			return k, true
@@ -94,20 +98,21 @@
 	return Key{}, false
 }
 
-// LineOf returns the line of a key, or the section's own line.
+// LineOf returns the line of a key, or the line of the section if the key is absent.
 func (s *Section) LineOf(name string) int {
-	if k, ok := s.find(name); ok {
+	if k, ok := s.findKey(name); ok {
 		return k.Line
 	}
 	return s.Line
 }
 
+// setValue parses text according to the type of v and assigns the result.
 func setValue(v reflect.Value, text string) error {
 	switch v.Interface().(type) {
 	case time.Duration:
 		d, err := time.ParseDuration(text)
 		if err != nil || d < 0 {
-			return fmt.Errorf("%q is no duration, write for example 250ms, 30s or 10m", text)
+			return fmt.Errorf("%q is not a duration, write for example 250ms, 30s or 10m", text)
 		}
 		v.SetInt(int64(d))
 		return nil
@@ -139,13 +144,13 @@
 	case reflect.Int, reflect.Int64, reflect.Int32:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || v.OverflowInt(n) {
-			return fmt.Errorf("%q is no whole number in range", text)
+			return fmt.Errorf("%q is not an integer in range", text)
 		}
 		v.SetInt(n)
 	case reflect.Float64:
 		f, err := strconv.ParseFloat(text, 64)
 		if err != nil || f != f || f > 1e300 || f < -1e300 {
-			return fmt.Errorf("%q is no number", text)
+			return fmt.Errorf("%q is not a number", text)
 		}
 		v.SetFloat(f)
 	default:
@@ -171,7 +176,7 @@
 		}
 		return Bytes(n * u.factor), nil
 	}
-	return 0, fmt.Errorf("%q is no size, write for example 512, 64KB, 8MB or 2GB", text)
+	return 0, fmt.Errorf("%q is not a size, write for example 512, 64KB, 8MB or 2GB", text)
 }
 
 func splitList(text string) []string {
@@ -184,13 +189,14 @@
 	return items
 }
 
+// checkValue checks a value against the oneof, format, min and max tags of its field.
 func checkValue(tag reflect.StructTag, v reflect.Value, text string) error {
 	if words := tag.Get("oneof"); words != "" && !slices.Contains(strings.Fields(words), text) {
 		return fmt.Errorf("%q is not allowed, write one of: %s", text, words)
 	}
 	if tag.Get("format") == "address" {
 		if _, err := netip.ParseAddrPort(text); err != nil {
-			return fmt.Errorf("%q is no address, write IP number and port, for example 10.0.0.1:7000", text)
+			return fmt.Errorf("%q is not an address, write IP address and port, for example 10.0.0.1:7000", text)
 		}
 	}
 	return checkBounds(tag, v, text)
--- a/internal/ini/fuzz_test.go
+++ b/internal/ini/fuzz_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Files hold arbitrary text. Every error must have file, line and text, and a decoded
+// value without an error must be within its bounds.
 func FuzzParse(f *testing.F) {
 	f.Add("[team a]\nweight = 5\nservices = x, y\n")
 	f.Add("# c\n[a b c]\n=\nkey\n[]\n[x\n")
@@ -21,12 +23,12 @@
 			}
 			errs = append(errs, Decode(&sections[i], &dst)...)
 			if errs.Err() == nil && (dst.Deadline < time.Millisecond || dst.Body > 7<<20 || dst.Share > 1) {
-				t.Fatalf("out of bounds without an error: %+v", dst)
+				t.Fatalf("value out of bounds without an error: %+v", dst)
 			}
 		}
 		for _, e := range errs {
 			if e.File != "f.ini" || e.Line < 1 || e.What == "" {
-				t.Fatalf("error without a place: %+v", e)
+				t.Fatalf("error without file, line or text: %+v", e)
 			}
 		}
 	})
--- a/internal/ini/ini.go
+++ b/internal/ini/ini.go
@@ -1,8 +1,9 @@
-// Package ini reads INI files and keeps the line of every key, which the INI
-// libraries we looked at drop: operators get each error as file:line, all at once.
+// Package ini reads INI files. It records the line of every key, which other INI
+// libraries discard, so that operators get all errors of a file at once, each with file
+// and line.
 //
-// Syntax: "[kind]" or "[kind name]" sections, "key = value" lines, comments that
-// begin with '#' or ';' at the start of a line. No escapes, no continuation.
+// Syntax: sections "[kind]" or "[kind name]", lines "key = value", and comment lines that
+// start with '#' or ';'. There are no escapes and no continuation lines.
 package ini
 
 import (
@@ -10,10 +11,10 @@
 	"strings"
 )
 
-// Limits on a file.
+// Size limits.
 const (
-	MaxFile = 8 << 20 // bytes
-	maxLine = 64 << 10
+	MaxFile      = 8 << 20 // bytes
+	maxLineBytes = 64 << 10
 )
 
 // Key is one "key = value" line.
@@ -23,7 +24,7 @@
 	Line  int
 }
 
-// Section is one "[kind name]" with its keys.
+// Section is one section with its keys.
 type Section struct {
 	Kind string
 	Name string // empty for "[kind]"
@@ -32,12 +33,12 @@
 	Keys []Key
 }
 
-// Error is a fault at a place in a file.
+// Error is a fault in a file.
 type Error struct {
 	File  string
 	Line  int
 	Where string // "kind name.key"; may be empty
-	What  string
+	What  string // description of the fault
 }
 
 // Error implements error.
@@ -48,10 +49,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Where, e.What)
 }
 
-// Errors is every fault found in one pass.
+// Errors lists all faults of a file.
 type Errors []*Error
 
-// Error implements error, one fault a line.
+// Error implements error. The text has one line per fault.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -60,7 +61,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns es as an error, nil if there is none.
+// Err returns es as an error, or nil if es is empty.
 func (es Errors) Err() error {
 	if len(es) == 0 {
 		return nil
@@ -68,15 +69,16 @@
 	return es
 }
 
-// Parse reads the text of one file.
+// Parse parses the text of a file. Despite faults it returns the sections that it could
+// parse. The file name is used in errors only.
 func Parse(file, text string) ([]Section, Errors) {
 	p := parser{file: file}
 	if len(text) > MaxFile {
-		p.fail(1, "", "file of %d bytes, at most %d are allowed", len(text), MaxFile)
+		p.addError(1, "", "file of %d bytes, at most %d are allowed", len(text), MaxFile)
 		return nil, p.errs
 	}
 	for i, line := range strings.Split(text, "\n") {
-		p.line(i+1, strings.TrimSpace(line))
+		p.parseLine(i+1, strings.TrimSpace(line))
 	}
 	return p.sections, p.errs
 }
@@ -87,30 +89,30 @@
 	errs     Errors
 }
 
-func (p *parser) fail(line int, where, format string, args ...any) {
+func (p *parser) addError(line int, where, format string, args ...any) {
 	p.errs = append(p.errs, &Error{File: p.file, Line: line, Where: where, What: fmt.Sprintf(format, args...)})
 }
 
-func (p *parser) line(n int, s string) {
+func (p *parser) parseLine(n int, s string) {
 	switch {
 	case s == "" || s[0] == '#' || s[0] == ';':
-	case len(s) > maxLine:
-		p.fail(n, "", "line of %d bytes, at most %d are allowed", len(s), maxLine)
+	case len(s) > maxLineBytes:
+		p.addError(n, "", "line of %d bytes, at most %d are allowed", len(s), maxLineBytes)
 	case s[0] == '[':
-		p.section(n, s)
+		p.parseSection(n, s)
 	default:
-		p.key(n, s)
+		p.parseKey(n, s)
 	}
 }
 
-func (p *parser) section(n int, s string) {
+func (p *parser) parseSection(n int, s string) {
 	if !strings.HasSuffix(s, "]") {
-		p.fail(n, "", "section %q has no closing bracket", s)
+		p.addError(n, "", "section %q has no closing bracket", s)
 		return
 	}
 	fields := strings.Fields(s[1 : len(s)-1])
 	if len(fields) == 0 || len(fields) > 2 {
-		p.fail(n, "", "section %q: want [kind] or [kind name]", s)
+		p.addError(n, "", "section %q: want [kind] or [kind name]", s)
 		return
 	}
 	sec := Section{Kind: fields[0], File: p.file, Line: n}
@@ -120,28 +122,28 @@
 	p.sections = append(p.sections, sec)
 }
 
-func (p *parser) key(n int, s string) {
+func (p *parser) parseKey(n int, s string) {
 	name, value, ok := strings.Cut(s, "=")
 	if !ok {
-		p.fail(n, "", "%q: want key = value", s)
+		p.addError(n, "", "%q: want key = value", s)
 		return
 	}
 	if len(p.sections) == 0 {
-		p.fail(n, "", "key %q stands before the first section", strings.TrimSpace(name))
+		p.addError(n, "", "key %q is before the first section", strings.TrimSpace(name))
 		return
 	}
 	sec := &p.sections[len(p.sections)-1]
 	name = strings.TrimSpace(name)
 	for _, k := range sec.Keys {
 		if k.Name == name {
-			p.fail(n, sec.Title()+"."+name, "given twice, first on line %d", k.Line)
+			p.addError(n, sec.Title()+"."+name, "given twice, first on line %d", k.Line)
 			return
 		}
 	}
 	sec.Keys = append(sec.Keys, Key{Name: name, Value: strings.TrimSpace(value), Line: n})
 }
 
-// Title returns "kind name", or "kind".
+// Title returns "kind name", or "kind" for a section without a name.
 func (s *Section) Title() string {
 	if s.Name == "" {
 		return s.Kind
--- a/internal/ini/ini_test.go
+++ b/internal/ini/ini_test.go
@@ -31,7 +31,7 @@
 	return s, errs
 }
 
-func TestDecode(t *testing.T) {
+func TestDecodeReadsAllFieldTypes(t *testing.T) {
 	g := NewWithT(t)
 	s, errs := decode("; comment\n[x one]\n name = a=b \nwait=250ms\nsize = 64KB\non = yes\nlist = a, ,b\ncount=3\naddr=[::1]:80\r\n")
 	g.Expect(errs).To(BeEmpty())
@@ -41,21 +41,21 @@
 	}))
 }
 
-func TestFaultsNameFileLineKeyAndWhatIsAllowed(t *testing.T) {
+func TestErrorsNameFileLineKeyAndAllowedValues(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"missing", "[x]\n", "f.ini:1: x.name: missing, and it has no default"},
+		{"missing key", "[x]\n", "f.ini:1: x.name: missing, and it has no default"},
 		{"unknown key", "[x]\nname=a\nnmae=b", "f.ini:3: x.nmae: unknown key, allowed: addr, count"},
-		{"unit", "[x]\nname=a\nwait=5", `f.ini:3: x.wait: "5" is no duration, write for example 250ms`},
-		{"bound", "[x]\nname=a\n\nwait=2m", `f.ini:4: x.wait: "2m" is out of range, max is 1m`},
-		{"size", "[x]\nname=a\nsize=9MB", `f.ini:3: x.size: "9MB" is out of range, max is 8MB`},
-		{"size that overflows", "[x]\nname=a\nsize=99999999999GB", `is no size`},
-		{"word", "[x]\nname=a\nkind=other", `"other" is not allowed, write one of: engine plain`},
-		{"address by name", "[x]\nname=a\naddr=localhost:80", "write IP number and port"},
-		{"switch", "[x]\nname=a\non=true", `"true" is not allowed, write yes or no`},
-		{"number", "[x]\nname=a\nshare=NaN", `"NaN" is no number`},
-		{"twice", "[x]\nname=a\nname=b", "f.ini:3: x.name: given twice, first on line 2"},
-		{"before a section", "name=a", `f.ini:1: key "name" stands before the first section`},
-		{"no bracket", "[x", `f.ini:1: section "[x" has no closing bracket`},
+		{"missing unit", "[x]\nname=a\nwait=5", `f.ini:3: x.wait: "5" is not a duration, write for example 250ms`},
+		{"out of range", "[x]\nname=a\n\nwait=2m", `f.ini:4: x.wait: "2m" is out of range, max is 1m`},
+		{"size out of range", "[x]\nname=a\nsize=9MB", `f.ini:3: x.size: "9MB" is out of range, max is 8MB`},
+		{"overflowing size", "[x]\nname=a\nsize=99999999999GB", `is not a size`},
+		{"value not in oneof", "[x]\nname=a\nkind=other", `"other" is not allowed, write one of: engine plain`},
+		{"host name instead of address", "[x]\nname=a\naddr=localhost:80", "write IP address and port"},
+		{"boolean", "[x]\nname=a\non=true", `"true" is not allowed, write yes or no`},
+		{"number", "[x]\nname=a\nshare=NaN", `"NaN" is not a number`},
+		{"duplicate key", "[x]\nname=a\nname=b", "f.ini:3: x.name: given twice, first on line 2"},
+		{"key before the first section", "name=a", `f.ini:1: key "name" is before the first section`},
+		{"no closing bracket", "[x", `f.ini:1: section "[x" has no closing bracket`},
 		{"no value", "[x]\nname", `f.ini:2: "name": want key = value`},
 		{"long line", "[x]\nname=" + strings.Repeat("a", 70<<10), "f.ini:2: line of"},
 	}
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -1,17 +1,19 @@
-// Package safeguard names the safeguards that a test can switch off, to see that
-// its checker notices. Nothing outside this module can reach it.
+// Package safeguard lists the safeguards that a test can disable in order to verify
+// that its checker detects the resulting violations. The package is internal, so users
+// of the module can't disable a safeguard.
 package safeguard
 
-// Off lists safeguards that are switched off. The zero value is the product.
+// Off selects the safeguards that are disabled. In production it has its zero value: all
+// safeguards are enabled.
 type Off struct {
-	Ledger      bool // agent: remember keys
-	Witness     bool // agent: ask who may have run an unknown key
-	Roster      bool // agent: ask entries that are not linked
-	Incarnation bool // agent: refuse what was sent to an earlier process
-	Book        bool // entry: book dispatches and attest them
-	Supersede   bool // entry: go to no overtaken agent
-	Doubt       bool // entry: a later "not run" does not undo an earlier doubt
-	Home        bool // entry: one home for each key
+	Ledger      bool // agent: keep the deduplication table of idempotency keys
+	Witness     bool // agent: ask the entries that may have dispatched an unknown key
+	Roster      bool // agent: ask entries without a connection to the agent, too
+	Incarnation bool // agent: refuse requests sent to an earlier incarnation
+	Book        bool // entry: record dispatches and report them to agents that ask
+	Supersede   bool // entry: send nothing to a superseded agent
+	Doubt       bool // entry: a later "not run" does not clear an earlier "may have run"
+	Home        bool // entry: route each key to its home target
 	Deadline    bool // entry: end a request at its deadline
-	Continue    bool // entry: continue a text where it was cut
+	Continue    bool // entry: continue a broken stream where it ended
 }
--- a/internal/tcp/dial.go
+++ b/internal/tcp/dial.go
@@ -1,4 +1,5 @@
-// Package tcp opens and examines the TCP connections between processes.
+// Package tcp opens TCP connections between processes, with keepalive and a user
+// timeout, and checks whether idle connections are still open.
 package tcp
 
 import (
@@ -10,45 +11,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds within which a silent peer is noticed.
+// Limits for the detection of unreachable peers.
 //
-// Failure: a VM without power, or behind a partition, answers nothing, and the
-// kernel goes on sending for many minutes. Symptom: whoever reads from the
-// connection hangs. Probes and the user timeout end the connection within about
-// silentAfter, whether there is something to send or not.
+// A VM without power or behind a partition does not acknowledge anything, and the
+// kernel by default retransmits for many minutes. Reads from such a connection would
+// hang. Keepalive probes end an idle connection and the user timeout ends one with
+// unacknowledged data, both within about userTimeout.
 const (
-	probeIdle   = time.Second
-	probeEvery  = 500 * time.Millisecond
-	probeCount  = 3
-	silentAfter = 2500 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	userTimeout       = 2500 * time.Millisecond
 )
 
-// Dial connects to an IP number and port.
+// Dial connects to an IP address and port. The connection fails within about
+// userTimeout after the peer becomes unreachable.
 func Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: probes,
-		Control:         boundSilence,
+		KeepAliveConfig: keepAlive,
+		Control:         setUserTimeout,
 	}
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
-// Listen listens on an IP number and port; accepted connections notice silent
+// Listen listens on an IP address and port. Accepted connections detect unreachable
 // peers as dialled ones do.
 func Listen(addr string) (net.Listener, error) {
-	l := net.ListenConfig{KeepAliveConfig: probes, Control: boundSilence}
+	l := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return l.Listen(context.Background(), "tcp4", addr)
 }
 
-var probes = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay
+// unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return setErr
 }
--- a/internal/tcp/stillopen.go
+++ b/internal/tcp/stillopen.go
@@ -6,24 +6,24 @@
 	"syscall"
 )
 
-// StillOpen reports whether the peer of a kept connection has neither closed it
-// nor sent anything. It looks without waiting: a read with a short deadline
-// would cost each request the time of a timer.
+// StillOpen reports whether an idle connection is still usable: the peer has neither
+// closed it nor sent anything. It peeks without blocking, because a read with a short
+// deadline would delay each request by a timer.
 func StillOpen(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return true // no socket, so no peer that could have left unseen
+		return true // not a socket, so there is no undetected close by a peer
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	open := false
+	isOpen := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = errors.Is(peekErr, syscall.EAGAIN)
+		isOpen = errors.Is(peekErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && open
+	return err == nil && isOpen
 }
--- a/internal/testkeys/testkeys.go
+++ b/internal/testkeys/testkeys.go
@@ -1,4 +1,4 @@
-// Package testkeys makes short-lived certificates for tests.
+// Package testkeys creates short-lived certificates and keys for tests.
 package testkeys
 
 import (
@@ -14,15 +14,15 @@
 	"time"
 )
 
-const life = 24 * time.Hour
+const certLifetime = 24 * time.Hour
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  ed25519.PrivateKey
 }
 
-// NewAuthority returns a fresh authority.
+// NewAuthority returns an authority with a new self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -31,8 +31,8 @@
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "test authority"},
-		NotBefore:             time.Now().Add(-life),
-		NotAfter:              time.Now().Add(life),
+		NotBefore:             time.Now().Add(-certLifetime),
+		NotAfter:              time.Now().Add(certLifetime),
 		IsCA:                  true,
 		KeyUsage:              x509.KeyUsageCertSign,
 		BasicConstraintsValid: true,
@@ -48,13 +48,13 @@
 	return &Authority{cert: cert, key: key}, nil
 }
 
-// Files are the paths of PEM files.
+// Files holds the paths of PEM files.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// Write makes a key and a certificate for DNS names and writes them, with the
-// authority's certificate, into dir.
+// Write creates a key and a certificate for the given DNS names and writes them to dir,
+// together with the certificate of the authority.
 func (a *Authority) Write(dir string, names ...string) (Files, error) {
 	f := Files{
 		Cert: filepath.Join(dir, "cert.pem"),
@@ -68,8 +68,8 @@
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		DNSNames:     names,
-		NotBefore:    time.Now().Add(-life),
-		NotAfter:     time.Now().Add(life),
+		NotBefore:    time.Now().Add(-certLifetime),
+		NotAfter:     time.Now().Add(certLifetime),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
--- a/internal/tools/gendocs/results.go
+++ b/internal/tools/gendocs/results.go
@@ -20,6 +20,7 @@
 least ` + "`Retry-After`" + `; none means that waiting does not help.
 `
 
+// resultGroups are the sections of the page, by range of codes.
 var resultGroups = []struct {
 	first, last result.Code
 	title       string
@@ -45,12 +46,13 @@
 		}
 		fmt.Fprintf(b, "\n## %s\n\n| code | name | HTTP | run | wait | meaning | operator |\n|---|---|---|---|---|---|---|\n", g.title)
 		for _, r := range rows {
-			fmt.Fprintf(b, "| %d | `%s` | %d | %s | %s | %s | %s |\n", r.Code, r.Name, r.Status, r.Run, wait(r.RetryAfter), r.Meaning, r.Operator)
+			fmt.Fprintf(b, "| %d | `%s` | %d | %s | %s | %s | %s |\n", r.Code, r.Name, r.Status, r.Run, formatWait(r.RetryAfter), r.Meaning, r.Operator)
 		}
 	}
 }
 
-func wait(d time.Duration) string {
+// formatWait formats a delay; empty for none.
+func formatWait(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
--- a/internal/tools/gendocs/settings.go
+++ b/internal/tools/gendocs/settings.go
@@ -24,7 +24,7 @@
 comments.
 `
 
-// section is one INI section and the struct that it is read into.
+// section is one INI section with the struct that it is decoded into.
 type section struct {
 	title string
 	about string
@@ -57,7 +57,7 @@
 
 func writeSections(b *bytes.Buffer, sections []section) {
 	for _, s := range sections {
-		fmt.Fprintf(b, "\n### `%s`\n\n%s.\n\n| key | type | default | allowed | meaning |\n|---|---|---|---|---|\n", s.title, capital(s.about))
+		fmt.Fprintf(b, "\n### `%s`\n\n%s.\n\n| key | type | default | allowed | meaning |\n|---|---|---|---|---|\n", s.title, capitalise(s.about))
 		t := reflect.TypeOf(s.value)
 		for i := range t.NumField() {
 			writeKey(b, t.Field(i))
@@ -74,9 +74,10 @@
 	if f.Tag.Get("required") == "true" {
 		def = "**required**"
 	}
-	fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", name, typeName(f), def, allowed(f.Tag), capital(f.Tag.Get("doc")))
+	fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", name, typeName(f), def, allowedValues(f.Tag), capitalise(f.Tag.Get("doc")))
 }
 
+// typeName names the type of a field for operators.
 func typeName(f reflect.StructField) string {
 	if f.Tag.Get("format") == "address" {
 		return "IP number and port"
@@ -101,7 +102,8 @@
 	}
 }
 
-func allowed(tag reflect.StructTag) string {
+// allowedValues describes the values that the tags of a field allow.
+func allowedValues(tag reflect.StructTag) string {
 	if words := tag.Get("oneof"); words != "" {
 		return strings.Join(strings.Fields(words), ", ")
 	}
@@ -118,7 +120,8 @@
 	}
 }
 
-func capital(s string) string {
+// capitalise changes the first letter of an ASCII text to upper case.
+func capitalise(s string) string {
 	if s == "" {
 		return s
 	}
