--- a/internal/fake/completion.go
+++ b/internal/fake/completion.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// engineBody turns tokens into an answer as the reader asks for it.
+// engineBody is the response body of a completion. It encodes tokens as the engine
+// produces them, as one JSON document or as a stream of events.
 type engineBody struct {
 	engine *Engine
 	gen    *generation
-	kill   chan struct{}
+	kill   chan struct{} // closed when the engine is killed
 	cancel context.CancelFunc
 	chat   bool
 	stream bool
@@ -35,14 +36,15 @@
 	return n, nil
 }
 
+// fill encodes the next event of a stream, or the complete answer, into buf.
 func (b *engineBody) fill() error {
 	if b.stream {
-		token, ok, err := b.next()
+		token, ok, err := b.nextToken()
 		if err != nil {
 			return err
 		}
 		if ok {
-			b.buf = fmt.Appendf(nil, "data: %s\n\n", b.chunk(token))
+			b.buf = fmt.Appendf(nil, "data: %s\n\n", b.encodeChunk(token))
 			return nil
 		}
 		b.buf = []byte("data: [DONE]\n\n")
@@ -51,7 +53,7 @@
 	}
 	var text strings.Builder
 	for {
-		token, ok, err := b.next()
+		token, ok, err := b.nextToken()
 		if err != nil {
 			return err
 		}
@@ -60,19 +62,20 @@
 		}
 		text.WriteString(token)
 	}
-	b.buf = b.whole(text.String())
+	b.buf = b.encodeAnswer(text.String())
 	b.ended = true
 	return nil
 }
 
-func (b *engineBody) next() (string, bool, error) {
+// nextToken waits for the next token; false after the last one.
+func (b *engineBody) nextToken() (string, bool, error) {
 	select {
-	case token, ok := <-b.gen.out:
+	case token, ok := <-b.gen.tokens:
 		return token, ok, nil
 	default:
 	}
 	select {
-	case token, ok := <-b.gen.out:
+	case token, ok := <-b.gen.tokens:
 		return token, ok, nil
 	case <-b.kill:
 		return "", false, errEngineDown
@@ -94,27 +97,27 @@
 	Choices []choice `json:"choices"`
 }
 
-func (b *engineBody) chunk(token string) []byte {
+func (b *engineBody) encodeChunk(token string) []byte {
 	c := completion{Object: "text_completion", Model: b.engine.Model, Choices: []choice{{Text: token}}}
 	if b.chat {
 		c.Object = "chat.completion.chunk"
 		c.Choices[0] = choice{Delta: &chatMessage{Role: "assistant", Content: token}}
 	}
-	text, _ := json.Marshal(c) // plain structs always encode
+	text, _ := json.Marshal(c) // encoding these structs can't fail
 	return text
 }
 
-func (b *engineBody) whole(text string) []byte {
+func (b *engineBody) encodeAnswer(text string) []byte {
 	c := completion{Object: "text_completion", Model: b.engine.Model, Choices: []choice{{Text: text}}}
 	if b.chat {
 		c.Object = "chat.completion"
 		c.Choices[0] = choice{Message: &chatMessage{Role: "assistant", Content: text}}
 	}
-	out, _ := json.Marshal(c) // plain structs always encode
+	out, _ := json.Marshal(c) // encoding these structs can't fail
 	return out
 }
 
-// Close implements io.Closer; an unfinished request leaves the engine.
+// Close implements io.Closer. It cancels the request if it is unfinished.
 func (b *engineBody) Close() error {
 	b.cancel()
 	return nil
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -12,18 +12,18 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// Control is the HTTP address through which scenarios put faults into the
-// stand-ins and read what they did. docs/STANDINS.md lists its requests.
+// Control is the HTTP handler through which scenarios inject faults into the stand-ins
+// and read their state. docs/STANDINS.md lists its requests.
 type Control struct {
 	mux    *http.ServeMux
 	mu     sync.Mutex
 	relays []*Relay
 }
 
-// ErrUnknown is answered for names that there are not.
-var ErrUnknown = errors.New("there is nothing of this name")
+// ErrUnknown is returned for an unknown target, group, relay or action.
+var ErrUnknown = errors.New("unknown name")
 
-// NewControl returns an empty control.
+// NewControl returns a Control that only has the requests for relays.
 func NewControl() *Control {
 	c := &Control{mux: http.NewServeMux()}
 	c.Handle("POST /relays", c.addRelay)
@@ -34,7 +34,8 @@
 // ServeHTTP implements http.Handler.
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) { c.mux.ServeHTTP(w, r) }
 
-// Handle adds a request; what f returns is answered as JSON.
+// Handle registers f for a pattern of http.ServeMux. The response is the value that f
+// returns, as JSON, or status 400 with the text of the error.
 func (c *Control) Handle(pattern string, f func(r *http.Request) (any, error)) {
 	c.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		v, err := f(r)
@@ -43,37 +44,37 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(v) // a scenario that left needs no answer
+		_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 	})
 }
 
-// done is the answer of requests that only change something.
-var done = map[string]bool{"done": true}
+// doneReply is the response to requests that only change state.
+var doneReply = map[string]bool{"done": true}
 
-// AddLog puts the log's faults on the control.
+// AddLog adds requests for the state and faults of the log.
 func (c *Control) AddLog(l *Log) {
 	c.Handle("GET /log", func(*http.Request) (any, error) { return l.State(), nil })
 	c.Handle("POST /log", func(r *http.Request) (any, error) {
 		f := formReader{r: r}
-		faults := LogFaults{Down: f.yes("down"), LoseAnswers: f.number("lose-answers"), Delay: f.duration("delay")}
+		faults := LogFaults{Down: f.isYes("down"), LoseAnswers: f.number("lose-answers"), Delay: f.duration("delay")}
 		if f.err == nil {
 			l.SetFaults(faults)
 		}
-		return done, f.err
+		return doneReply, f.err
 	})
 	c.Handle("POST /log/trim", func(r *http.Request) (any, error) {
 		f := formReader{r: r}
 		l.Trim(uint64(f.number("before")))
-		return done, f.err
+		return doneReply, f.err
 	})
 }
 
-// AddVMs puts the VM list on the control.
+// AddVMs adds requests that change the VM list.
 func (c *Control) AddVMs(l *VMList) {
 	c.Handle("POST /vms/lag", func(r *http.Request) (any, error) {
 		f := formReader{r: r}
 		l.SetLag(f.duration("lag"))
-		return done, f.err
+		return doneReply, f.err
 	})
 	c.Handle("PUT /vms", func(r *http.Request) (any, error) {
 		var vm outside.VM
@@ -81,23 +82,23 @@
 			return nil, fmt.Errorf("vm: %w", err)
 		}
 		l.Put(vm)
-		return done, nil
+		return doneReply, nil
 	})
 	c.Handle("DELETE /vms/{id}", func(r *http.Request) (any, error) {
 		l.Remove(r.PathValue("id"))
-		return done, nil
+		return doneReply, nil
 	})
 }
 
-// GroupState is what a rank group in lock-step has done so far.
+// GroupState is the progress of a rank group in lockstep.
 type GroupState struct {
-	Steps uint64 `json:"steps"`
-	Idle  uint64 `json:"idle"`  // ticks without a step though all engines could run
-	Map   string `json:"map"`   // in use, hexadecimal
-	Mixed string `json:"mixed"` // the first step that used two maps; empty: none did
+	Steps uint64 `json:"steps"` // completed steps
+	Idle  uint64 `json:"idle"`  // ticks without a completed step although all engines could run
+	Map   string `json:"map"`   // id of the current expert map, hexadecimal
+	Mixed string `json:"mixed"` // error of the first step that used two maps or a map not loaded; empty: none
 }
 
-// AddGroups puts rank groups on the control.
+// AddGroups adds requests for the state and expert loads of rank groups.
 func (c *Control) AddGroups(groups map[string]*LockStep) {
 	c.Handle("GET /groups", func(*http.Request) (any, error) {
 		states := make(map[string]GroupState, len(groups))
@@ -120,7 +121,7 @@
 		if f.err == nil {
 			g.SetPopular(expert)
 		}
-		return done, f.err
+		return doneReply, f.err
 	})
 }
 
@@ -143,18 +144,18 @@
 		return nil, ErrUnknown
 	}
 	f := formReader{r: r}
-	faults := RelayFaults{Delay: f.duration("delay"), Freeze: f.yes("freeze"), Duplicate: f.number("duplicate")}
+	faults := RelayFaults{Delay: f.duration("delay"), Freeze: f.isYes("freeze"), Duplicate: f.number("duplicate")}
 	if f.err != nil {
 		return nil, f.err
 	}
 	c.relays[id].SetFaults(faults)
-	if f.yes("cut") {
+	if f.isYes("cut") {
 		c.relays[id].Cut()
 	}
-	return done, nil
+	return doneReply, nil
 }
 
-// Close ends the relays.
+// Close closes the relays.
 func (c *Control) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,26 +164,29 @@
 	}
 }
 
-// formReader reads typed values and keeps the first error.
+// formReader parses form values of a request and records the first error.
 type formReader struct {
 	r   *http.Request
 	err error
 }
 
-func (f *formReader) fail(name, value, want string) {
+// addError records an invalid value unless there is an error already.
+func (f *formReader) addError(name, value, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s=%q: want %s", name, value, want)
 	}
 }
 
-func (f *formReader) yes(name string) bool {
+// isYes parses yes or no; false if the value is absent.
+func (f *formReader) isYes(name string) bool {
 	v := f.r.FormValue(name)
 	if v != "" && v != "yes" && v != "no" {
-		f.fail(name, v, "yes or no")
+		f.addError(name, v, "yes or no")
 	}
 	return v == "yes"
 }
 
+// number parses a non-negative integer; 0 if the value is absent.
 func (f *formReader) number(name string) int {
 	v := f.r.FormValue(name)
 	if v == "" {
@@ -190,11 +194,12 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < 0 {
-		f.fail(name, v, "a number")
+		f.addError(name, v, "a number")
 	}
 	return n
 }
 
+// duration parses a non-negative duration; 0 if the value is absent.
 func (f *formReader) duration(name string) time.Duration {
 	v := f.r.FormValue(name)
 	if v == "" {
@@ -202,7 +207,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < 0 {
-		f.fail(name, v, "a duration")
+		f.addError(name, v, "a duration")
 	}
 	return d
 }
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -15,42 +15,43 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// Run is one request that a stand-in really ran.
+// Run is one request that a stand-in executed.
 type Run struct {
 	Key      string `json:"key,omitempty"` // idempotency key
 	Body     string `json:"body"`
 	Finished bool   `json:"finished"`
 }
 
-// Engine is a model engine. Its next token depends on the whole text so far, so
-// an answer can be checked, and a continued one equals an uncut one.
+// Engine is a stand-in for a model engine. Each token is a function of the complete text
+// before it. Tests can therefore verify an answer, and an answer that is continued after
+// a break equals an unbroken one.
 type Engine struct {
 	Name  string
 	Model string
 
 	mu         sync.Mutex
-	maxRunning int
+	maxRunning int           // requests decoded per step
 	requests   []*generation // running first, then queued
 	runs       []*Run
 	stalled    bool
 	down       bool
 	delay      time.Duration
-	kill       chan struct{} // closed when the engine dies
-	rank       *Rank         // nil outside of a LockStep
+	kill       chan struct{} // closed by Kill
+	rank       *Rank         // nil unless the engine is in a LockStep
 }
 
-// NewEngine returns an engine that decodes up to maxRunning requests in a step.
+// NewEngine returns an engine that decodes up to maxRunning requests per step.
 func NewEngine(name, model string, maxRunning int) *Engine {
 	return &Engine{Name: name, Model: model, maxRunning: maxRunning, kill: make(chan struct{})}
 }
 
-// generation is one request inside the engine.
+// generation is one request that is queued or running in the engine.
 type generation struct {
-	ctx  context.Context
-	text string // prompt and tokens so far
-	left int
-	out  chan string // as many places as tokens, so a step never waits
-	run  *Run
+	ctx        context.Context
+	text       string // prompt and tokens so far
+	tokensLeft int
+	tokens     chan string // capacity for all tokens, so that a step never blocks
+	run        *Run
 }
 
 type completionRequest struct {
@@ -82,15 +83,15 @@
 	return b.String()
 }
 
-// words is the vocabulary of the stand-in.
+// words is the vocabulary of the engine.
 var words = strings.Fields("check fridge oven clean log shift door probe batch cool heat rest proof knead label date")
 
-// NextToken returns the token that follows a text.
+// NextToken returns the token that an engine generates after a text.
 func NextToken(text string) string {
 	return " " + words[xxhash.Sum64String(text)%uint64(len(words))]
 }
 
-// Generate returns the text that an engine produces for a prompt.
+// Generate returns the answer that an engine generates for a prompt, without the prompt.
 func Generate(prompt string, tokens int) string {
 	text := prompt
 	for range tokens {
@@ -99,28 +100,28 @@
 	return text[len(prompt):]
 }
 
-// Stall holds the engine's steps, or lets them go on.
+// Stall stops the engine's steps if on is true and resumes them otherwise.
 func (e *Engine) Stall(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stalled = on
 }
 
-// Stalled reports whether the engine holds its steps.
+// Stalled reports whether the engine is running but its steps are stopped.
 func (e *Engine) Stalled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stalled && !e.down
 }
 
-// SetDelay makes each request wait for d before the engine takes it.
+// SetDelay delays each request by d before it is queued.
 func (e *Engine) SetDelay(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.delay = d
 }
 
-// Kill ends all requests and refuses new ones until Restart.
+// Kill aborts all requests and makes the engine refuse new ones until Restart.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +133,7 @@
 	close(e.kill)
 }
 
-// Restart brings a killed engine back, empty.
+// Restart starts a killed engine again, without requests.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,7 +153,7 @@
 	e.rank = r
 }
 
-// Rank returns the rank side, nil outside of a LockStep.
+// Rank returns the engine's rank, nil unless the engine is in a LockStep.
 func (e *Engine) Rank() *Rank {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -165,7 +166,7 @@
 	return e.down
 }
 
-// Runs returns what the engine has started so far.
+// Runs returns all requests that the engine has accepted so far.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,11 +177,12 @@
 	return runs
 }
 
-// step computes one token for each running request.
+// step generates one token for each running request and removes requests that are
+// finished or cancelled.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var kept []*generation
+	var unfinished []*generation
 	for i, g := range e.requests {
 		if g.ctx.Err() != nil {
 			continue
@@ -188,25 +190,26 @@
 		if i < e.maxRunning {
 			g.emit()
 		}
-		if g.left > 0 {
-			kept = append(kept, g)
+		if g.tokensLeft > 0 {
+			unfinished = append(unfinished, g)
 		}
 	}
-	e.requests = kept
+	e.requests = unfinished
 }
 
+// emit generates the next token.
 func (g *generation) emit() {
 	token := NextToken(g.text)
 	g.text += token
-	g.left--
-	g.out <- token
-	if g.left == 0 {
+	g.tokensLeft--
+	g.tokens <- token
+	if g.tokensLeft == 0 {
 		g.run.Finished = true
-		close(g.out)
+		close(g.tokens)
 	}
 }
 
-// Active returns how many requests the engine holds.
+// Active returns the number of queued and running requests.
 func (e *Engine) Active() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,7 +218,7 @@
 
 var errEngineDown = errors.New("engine is down")
 
-// Run implements outside.Backend.
+// Run implements outside.Backend. It accepts completion and chat completion requests.
 func (e *Engine) Run(ctx context.Context, call *outside.Call) (*outside.Reply, error) {
 	var req completionRequest
 	if err := json.Unmarshal(call.Body, &req); err != nil {
@@ -227,11 +230,11 @@
 	req.MaxTokens = min(req.MaxTokens, maxTokens)
 	ctx, cancel := context.WithCancel(ctx)
 	g := &generation{
-		ctx:  ctx,
-		text: req.text(),
-		left: req.MaxTokens,
-		out:  make(chan string, req.MaxTokens),
-		run:  &Run{Key: outside.Header(call.Headers, "Idempotency-Key"), Body: string(call.Body)},
+		ctx:        ctx,
+		text:       req.text(),
+		tokensLeft: req.MaxTokens,
+		tokens:     make(chan string, req.MaxTokens),
+		run:        &Run{Key: outside.Header(call.Headers, "Idempotency-Key"), Body: string(call.Body)},
 	}
 	if err := e.waitDelay(ctx); err != nil {
 		cancel()
@@ -275,7 +278,7 @@
 }
 
 func jsonReply(status int, v any) *outside.Reply {
-	text, _ := json.Marshal(v) // maps of strings always encode
+	text, _ := json.Marshal(v) // encoding a map of strings can't fail
 	return &outside.Reply{
 		Status:  status,
 		Headers: [][2]string{{"Content-Type", "application/json"}},
--- a/internal/fake/group.go
+++ b/internal/fake/group.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RankGroup runs engines in lock-step: in each step every rank computes one
-// token for each of its running requests, and the slowest rank sets the pace.
+// RankGroup runs engines in lockstep. In each step, every rank computes one token for
+// each of its running requests. A stalled rank blocks the whole group.
 type RankGroup struct {
 	mu    sync.Mutex
 	ranks []*Engine
@@ -15,7 +15,7 @@
 	done  chan struct{}
 }
 
-// NewRankGroup starts a group whose steps take stepTime.
+// NewRankGroup starts a group that takes a step every stepTime.
 func NewRankGroup(stepTime time.Duration, ranks ...*Engine) *RankGroup {
 	g := &RankGroup{ranks: ranks, stop: make(chan struct{}), done: make(chan struct{})}
 	go g.run(stepTime)
@@ -36,7 +36,7 @@
 	}
 }
 
-// step runs one step on all ranks; a stalled rank holds the whole group.
+// step runs one step on all ranks, or none if a rank is stalled.
 func (g *RankGroup) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,14 +51,14 @@
 	}
 }
 
-// Steps returns how many steps the group has taken.
+// Steps returns the number of completed steps.
 func (g *RankGroup) Steps() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.steps
 }
 
-// Close stops the group.
+// Close stops the group and waits for its goroutine.
 func (g *RankGroup) Close() {
 	close(g.stop)
 	<-g.done
--- a/internal/fake/http.go
+++ b/internal/fake/http.go
@@ -13,7 +13,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// BackendHandler serves a backend over HTTP.
+// BackendHandler serves a backend over HTTP. If the backend returns an error, the
+// handler closes the connection without a response, like a crashed backend.
 func BackendHandler(b outside.Backend) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -26,14 +27,16 @@
 		}
 		reply, err := b.Run(r.Context(), call)
 		if err != nil {
-			panic(http.ErrAbortHandler) // a dead backend cuts its connections
+			panic(http.ErrAbortHandler) // closes the connection
 		}
 		defer func() { _ = reply.Body.Close() }()
-		relay(w, reply)
+		writeReply(w, reply)
 	})
 }
 
-func relay(w http.ResponseWriter, reply *outside.Reply) {
+// writeReply copies a reply to the response and flushes each piece, so that streams
+// arrive without delay.
+func writeReply(w http.ResponseWriter, reply *outside.Reply) {
 	for _, h := range reply.Headers {
 		w.Header().Set(h[0], h[1])
 	}
@@ -46,7 +49,7 @@
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return
 			}
-			_ = flusher.Flush() // a client that left shows at the next write
+			_ = flusher.Flush() // if the client has disconnected, the next write fails
 		}
 		if errors.Is(err, io.EOF) {
 			return
@@ -57,7 +60,7 @@
 	}
 }
 
-// PlatformHandler serves the log and the VM list.
+// PlatformHandler serves the log and the VM list over HTTP.
 func PlatformHandler(log *Log, vms *VMList) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+outside.PathAppend, func(w http.ResponseWriter, r *http.Request) {
@@ -67,14 +70,14 @@
 			return
 		}
 		offset, err := log.Append(r.Context(), req.Records)
-		answer(w, outside.AppendReply{Offset: offset}, err)
+		writeJSON(w, outside.AppendReply{Offset: offset}, err)
 	})
 	mux.HandleFunc("GET "+outside.PathRead, func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.ParseUint(r.FormValue("from"), 10, 64)
 		max, _ := strconv.Atoi(r.FormValue("max"))
 		waitMs, _ := strconv.Atoi(r.FormValue("wait_ms"))
 		page, err := log.Read(r.Context(), from, max, time.Duration(waitMs)*time.Millisecond)
-		answer(w, outside.ReadReply(page), err)
+		writeJSON(w, outside.ReadReply(page), err)
 	})
 	mux.HandleFunc("GET "+outside.PathVMs, func(w http.ResponseWriter, r *http.Request) {
 		serveVMs(w, r, vms)
@@ -82,12 +85,12 @@
 	return mux
 }
 
-// serveVMs answers with the list, or with 304 if the client holds it already.
+// serveVMs responds with the list, or with 304 if the client's ETag is current.
 func serveVMs(w http.ResponseWriter, r *http.Request, vms *VMList) {
 	list, err := vms.List(r.Context())
 	text, jsonErr := json.Marshal(list)
 	if err = errors.Join(err, jsonErr); err != nil {
-		answer(w, nil, err)
+		writeJSON(w, nil, err)
 		return
 	}
 	etag := strconv.Quote(strconv.FormatUint(xxhash.Sum64(text), 16))
@@ -96,17 +99,18 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	_, _ = w.Write(text) // a client that left needs no answer
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+// writeJSON responds with v as JSON, or with the status for err.
+func writeJSON(w http.ResponseWriter, v any, err error) {
 	switch {
 	case errors.Is(err, outside.ErrTrimmed):
 		w.WriteHeader(http.StatusGone)
-		_ = json.NewEncoder(w).Encode(v) // says which offset is the oldest
+		_ = json.NewEncoder(w).Encode(v) // contains the oldest offset
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		_ = json.NewEncoder(w).Encode(v) // a client that left needs no answer
+		_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 	}
 }
--- a/internal/fake/lockstep.go
+++ b/internal/fake/lockstep.go
@@ -8,34 +8,35 @@
 	"github.com/heatherrail/heatherrail/expert"
 )
 
-// LockStep is a rank group that runs on expert maps. In each tick every rank that
-// may enters its next step; a step ends when all ranks are in it. An engine that
-// is down does not hold the group; one that has come back does, until it is told
-// where to join.
+// LockStep is a rank group that uses expert maps. In each tick, every rank that is
+// allowed to enters its next step; a step completes when all live ranks have entered it.
+// An engine that is down does not block the group. A restarted engine blocks it until
+// the engine gets the step at which to join.
 type LockStep struct {
-	ExpertBytes int64
-
-	weights *WeightStore
-	mu      sync.Mutex
-	shape   expert.Shape
-	ranks   []*Rank
-	loads   []float64 // of experts, tokens of a step
-	speeds  []float64
-	steps   uint64
-	idle    uint64 // ticks without a step although no engine was stalled or down
-	used    map[uint64]expert.MapID
-	mixed   error
-	stop    chan struct{}
-	done    chan struct{}
-}
-
-// keptSteps bounds how long the map of a step is remembered.
-const keptSteps = 1024
-
-// firstStep is where groups begin; 0 stays free for ranks that know no step.
+	ExpertBytes int64 // size of the weights of one expert
+
+	weights   *WeightStore
+	mu        sync.Mutex
+	shape     expert.Shape
+	ranks     []*Rank
+	loads     []float64 // per expert, in tokens per step
+	speeds    []float64 // per rank; 1 is normal
+	steps     uint64
+	idle      uint64 // ticks without a completed step although no engine was stalled or down
+	mapOfStep map[uint64]expert.MapID
+	mixed     error // see Mixed
+	stop      chan struct{}
+	done      chan struct{}
+}
+
+// retainedSteps is the number of recent steps whose maps are recorded.
+const retainedSteps = 1024
+
+// firstStep is the number of a group's first step. Ranks that know no step use 0.
 const firstStep = 1
 
-// NewLockStep starts a group on its first map, which all ranks hold.
+// NewLockStep starts a group that takes a step every step interval. All ranks have
+// loaded the initial map.
 func NewLockStep(step time.Duration, s expert.Shape, w *WeightStore, engines ...*Engine) *LockStep {
 	g := &LockStep{
 		ExpertBytes: 1 << 20,
@@ -43,17 +44,17 @@
 		shape:       s,
 		loads:       make([]float64, s.Layers*s.Experts),
 		speeds:      make([]float64, s.Ranks),
-		used:        make(map[uint64]expert.MapID),
+		mapOfStep:   make(map[uint64]expert.MapID),
 		stop:        make(chan struct{}),
 		done:        make(chan struct{}),
 	}
-	first := expert.InitialMap(s)
+	initial := expert.InitialMap(s)
 	for i := range g.loads {
 		g.loads[i] = 1
 	}
 	for i, e := range engines {
-		r := &Rank{group: g, index: i, engine: e, maps: []*expert.Map{first}}
-		r.pos = expert.Position{Start: 1, Joined: true, Next: firstStep, Map: first.ID()}
+		r := &Rank{group: g, index: i, engine: e, maps: []*expert.Map{initial}}
+		r.pos = expert.Position{Start: 1, Joined: true, Next: firstStep, Map: initial.ID()}
 		e.setRank(r)
 		g.ranks = append(g.ranks, r)
 		g.speeds[i] = 1
@@ -79,37 +80,39 @@
 func (g *LockStep) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	live, quiet := g.live()
+	live, impaired := g.live()
 	for _, r := range live {
 		if !r.engine.Stalled() {
-			g.enter(r)
+			g.enterStep(r)
 		}
 	}
-	if g.complete(live) {
+	if g.completeStep(live) {
 		g.steps++
 		for _, r := range live {
 			r.engine.step()
 		}
-	} else if !quiet {
+	} else if !impaired {
 		g.idle++
 	}
 }
 
-// live returns the ranks whose engines run; quiet tells that one of them stands
-// still by itself or is down.
-func (g *LockStep) live() (live []*Rank, quiet bool) {
+// live returns the ranks whose engines run. impaired reports that at least one engine
+// of the group is stalled or down.
+func (g *LockStep) live() (live []*Rank, impaired bool) {
 	for _, r := range g.ranks {
 		if r.engine.isDown() {
-			quiet = true
+			impaired = true
 			continue
 		}
-		quiet = quiet || r.engine.Stalled()
+		impaired = impaired || r.engine.Stalled()
 		live = append(live, r)
 	}
-	return live, quiet
+	return live, impaired
 }
 
-func (g *LockStep) enter(r *Rank) {
+// enterStep lets a rank enter its next step if it may, and checks that the rank has
+// loaded its map and that all ranks use the same map in that step.
+func (g *LockStep) enterStep(r *Rank) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.pos.CanEnterStep() {
@@ -117,19 +120,20 @@
 	}
 	step := r.pos.Next
 	m := r.pos.EnterStep()
-	if r.find(m) == nil && g.mixed == nil {
+	if r.findMap(m) == nil && g.mixed == nil {
 		g.mixed = fmt.Errorf("step %d: rank %d has not loaded map %016x", step, r.index, uint64(m))
 	}
-	if u, ok := g.used[step]; ok && u != m && g.mixed == nil {
+	if u, ok := g.mapOfStep[step]; ok && u != m && g.mixed == nil {
 		g.mixed = fmt.Errorf("step %d: rank %d uses map %016x, others %016x", step, r.index, uint64(m), uint64(u))
 	}
-	g.used[step] = m
-	delete(g.used, step-keptSteps)
+	g.mapOfStep[step] = m
+	delete(g.mapOfStep, step-retainedSteps)
 }
 
-// complete ends the step that the last ranks have entered.
-func (g *LockStep) complete(live []*Rank) bool {
-	least, most := ^uint64(0), uint64(0)
+// completeStep completes the lowest step that all live ranks have entered. It reports
+// whether the ranks completed a step and are all at the same position.
+func (g *LockStep) completeStep(live []*Rank) bool {
+	minStep, maxStep := ^uint64(0), uint64(0)
 	for _, r := range live {
 		r.mu.Lock()
 		joined, next := r.pos.Joined, r.pos.Next
@@ -137,44 +141,44 @@
 		if !joined {
 			return false
 		}
-		least, most = min(least, next), max(most, next)
+		minStep, maxStep = min(minStep, next), max(maxStep, next)
 	}
-	ended := false
+	completed := false
 	for _, r := range live {
 		r.mu.Lock()
-		if r.pos.Inside && r.pos.Next <= least {
+		if r.pos.Inside && r.pos.Next <= minStep {
 			r.pos.CompleteStep()
-			ended = true
+			completed = true
 		}
 		r.mu.Unlock()
 	}
-	return ended && least == most
+	return completed && minStep == maxStep
 }
 
-// Steps returns how many steps the group has taken.
+// Steps returns the number of completed steps.
 func (g *LockStep) Steps() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.steps
 }
 
-// Idle returns how many ticks passed without a step although every engine could
-// have run: the stall that holds have caused, in steps.
+// Idle returns the number of ticks without a completed step although every engine could
+// run. That is the delay caused by holds, in steps.
 func (g *LockStep) Idle() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle
 }
 
-// Mixed returns the first step with two maps, or without weights; nil if all were
-// right.
+// Mixed returns an error for the first step in which ranks used two maps or a map whose
+// weights were not loaded, nil if there was none.
 func (g *LockStep) Mixed() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.mixed
 }
 
-// Map returns the map of the newest step.
+// Map returns the id of the current map, as rank 0 knows it.
 func (g *LockStep) Map() expert.MapID {
 	r := g.ranks[0]
 	r.mu.Lock()
@@ -182,16 +186,16 @@
 	return r.pos.Map
 }
 
-// SetLoads sets the loads of all experts, in tokens of a step.
+// SetLoads sets the loads of all experts of all layers, in tokens per step.
 func (g *LockStep) SetLoads(loads []float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.loads = append([]float64(nil), loads...)
 }
 
-// Loads of SetPopular, in tokens of a step.
+// Loads set by SetPopular, in tokens per step.
 const (
-	usualLoad   = 10
+	normalLoad  = 10
 	popularLoad = 100
 )
 
@@ -199,7 +203,7 @@
 func (g *LockStep) SetPopular(popular int) {
 	loads := make([]float64, g.shape.Layers*g.shape.Experts)
 	for i := range loads {
-		loads[i] = usualLoad
+		loads[i] = normalLoad
 		if i%g.shape.Experts == popular {
 			loads[i] = popularLoad
 		}
@@ -207,20 +211,21 @@
 	g.SetLoads(loads)
 }
 
-// SetSpeed makes a rank compute slower or faster than 1.
+// SetSpeed sets the computing speed of a rank; 1 is normal.
 func (g *LockStep) SetSpeed(rank int, speed float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.speeds[rank] = speed
 }
 
-func (g *LockStep) loadsOf(rank int, m *expert.Map) (tokens []float64, speed float64) {
+// loadsOfRank returns the loads of a rank under a map, and the rank's speed.
+func (g *LockStep) loadsOfRank(rank int, m *expert.Map) (tokens []float64, speed float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return m.RankLoads(rank, m.SplitLoads(g.loads)), g.speeds[rank]
 }
 
-// Close stops the group.
+// Close stops the group and waits for its goroutine.
 func (g *LockStep) Close() {
 	close(g.stop)
 	<-g.done
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -1,5 +1,5 @@
-// Package fake holds small stand-ins for the platform and for targets. Tests,
-// the demo and the benches use them, in the process or over HTTP.
+// Package fake contains stand-ins for the platform's services and for targets. Tests,
+// the demo and the benchmarks use them in process or over HTTP.
 package fake
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// ErrDown is what a stand-in answers while it is down.
+// ErrDown is the error of a stand-in that is down.
 var ErrDown = errors.New("stand-in is down")
 
-// LogFaults says how the log misbehaves.
+// LogFaults configures the faults of a Log.
 type LogFaults struct {
-	Down        bool
-	LoseAnswers int           // this many appends take effect and answer with an error
+	Down        bool          // every call fails
+	LoseAnswers int           // number of appends that take effect but return an error
 	Delay       time.Duration // added to each call
 }
 
 // Log is an append-only log in memory.
 type Log struct {
 	mu      sync.Mutex
-	first   uint64
+	first   uint64 // offset of the oldest record
 	records [][]byte
-	changed chan struct{}
+	changed chan struct{} // closed and replaced at each append
 	faults  LogFaults
-	appends int
+	appends int // calls that took effect
 }
 
 // NewLog returns an empty log.
@@ -36,14 +36,14 @@
 	return &Log{changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the current faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Trim drops all records before an offset.
+// Trim removes all records before an offset.
 func (l *Log) Trim(before uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,21 +53,21 @@
 	}
 }
 
-// LogState is what the log holds.
+// LogState is the range of offsets in a Log and its number of appends.
 type LogState struct {
-	First   uint64 `json:"first"`
-	Next    uint64 `json:"next"`
-	Appends int    `json:"appends"`
+	First   uint64 `json:"first"`   // offset of the oldest record
+	Next    uint64 `json:"next"`    // offset of the next append
+	Appends int    `json:"appends"` // append calls that took effect
 }
 
-// State returns what the log holds.
+// State returns the current state of the log.
 func (l *Log) State() LogState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return LogState{First: l.first, Next: l.first + uint64(len(l.records)), Appends: l.appends}
 }
 
-// Appends returns how many append calls took effect.
+// Appends returns the number of append calls that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,6 +120,8 @@
 	}
 }
 
+// page returns the records from an offset on and the channel that is closed at the next
+// append.
 func (l *Log) page(from uint64, max int) (outside.Page, chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,6 +141,7 @@
 	}, l.changed, nil
 }
 
+// delay waits for the configured delay or until ctx ends.
 func (l *Log) delay(ctx context.Context) error {
 	l.mu.Lock()
 	d := l.faults.Delay
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -8,29 +8,30 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// errAnswerLost is what a caller sees when an order took effect unheard.
+// errAnswerLost is the error of an order that took effect but whose answer was lost.
 var errAnswerLost = errors.New("answer lost")
 
-// OrderedEngine is the side of an engine that takes orders.
+// OrderedEngine is a stand-in for the order interface of an engine.
 type OrderedEngine struct {
-	// Fenced engines refuse old fencing numbers; others run whatever comes.
+	// Fenced makes the engine refuse orders with a fencing token lower than the highest
+	// one it has seen. Without it the engine executes every order.
 	Fenced bool
 
-	mu      sync.Mutex
-	state   outside.EngineState
-	highest map[string]uint64
-	fences  []uint64 // of the orders that took effect, in order
-	lose    int
+	mu            sync.Mutex
+	state         outside.EngineState
+	highest       map[string]uint64 // highest fencing token seen, by resource
+	fences        []uint64          // tokens of the executed orders, in order of execution
+	answersToLose int
 }
 
-// LoseAnswers makes the next n orders take effect and answer with an error.
+// LoseAnswers makes the next n orders take effect but return an error.
 func (e *OrderedEngine) LoseAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lose = n
+	e.answersToLose = n
 }
 
-// Fences returns the numbers of the orders that took effect, in order.
+// Fences returns the fencing tokens of the executed orders, in order of execution.
 func (e *OrderedEngine) Fences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,8 +51,8 @@
 	e.highest[resource] = max(e.highest[resource], fence)
 	e.state = want
 	e.fences = append(e.fences, fence)
-	if e.lose > 0 {
-		e.lose--
+	if e.answersToLose > 0 {
+		e.answersToLose--
 		return errAnswerLost
 	}
 	return ctx.Err()
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -10,7 +10,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// Plain is an ordinary service: POST adds an entry, GET counts them.
+// Plain is a stand-in for a plain service. POST adds an entry. The response to every
+// request has the number of entries.
 type Plain struct {
 	Name string
 
@@ -18,25 +19,25 @@
 	runs   []Run
 	delay  time.Duration
 	down   bool
-	active int
-	resume chan struct{} // not nil while stalled; closed at the end of the stall
+	active int           // calls in progress
+	resume chan struct{} // non-nil while stalled; closed at the end of the stall
 }
 
-// NewPlain returns an empty service.
+// NewPlain returns a service without entries.
 func NewPlain(name string) *Plain { return &Plain{Name: name} }
 
 // Kill makes the service refuse connections until Restart.
-func (p *Plain) Kill() { p.set(func() { p.down = true }) }
+func (p *Plain) Kill() { p.update(func() { p.down = true }) }
 
-// Restart brings a killed service back; its entries stay, as in a database.
-func (p *Plain) Restart() { p.set(func() { p.down = false }) }
+// Restart ends the effect of Kill. The entries remain, as in a database.
+func (p *Plain) Restart() { p.update(func() { p.down = false }) }
 
-// SetDelay makes each call take at least d.
-func (p *Plain) SetDelay(d time.Duration) { p.set(func() { p.delay = d }) }
+// SetDelay delays each call by d.
+func (p *Plain) SetDelay(d time.Duration) { p.update(func() { p.delay = d }) }
 
-// Stall holds all calls, or lets them go on.
+// Stall blocks all calls if on is true and resumes them otherwise.
 func (p *Plain) Stall(on bool) {
-	p.set(func() {
+	p.update(func() {
 		switch {
 		case on && p.resume == nil:
 			p.resume = make(chan struct{})
@@ -47,20 +48,21 @@
 	})
 }
 
-// Active returns how many calls are inside.
+// Active returns the number of calls in progress.
 func (p *Plain) Active() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.active
 }
 
-func (p *Plain) set(change func()) {
+// update runs a change of the state under the lock.
+func (p *Plain) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// Runs returns the entries added so far.
+// Runs returns the entries that were added so far.
 func (p *Plain) Runs() []Run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,9 +77,9 @@
 	if down {
 		return nil, &outside.SendError{MayHaveRun: false, Err: errEngineDown}
 	}
-	p.set(func() { p.active++ })
-	defer p.set(func() { p.active-- })
-	if err := p.wait(ctx); err != nil {
+	p.update(func() { p.active++ })
+	defer p.update(func() { p.active-- })
+	if err := p.awaitTurn(ctx); err != nil {
 		return nil, &outside.SendError{MayHaveRun: true, Err: err}
 	}
 	p.mu.Lock()
@@ -92,8 +94,8 @@
 	}), nil
 }
 
-// wait holds a call for the delay and for as long as the service is stalled.
-func (p *Plain) wait(ctx context.Context) error {
+// awaitTurn blocks a call until the stall and then the delay are over, or ctx ends.
+func (p *Plain) awaitTurn(ctx context.Context) error {
 	p.mu.Lock()
 	delay, resume := p.delay, p.resume
 	p.mu.Unlock()
--- a/internal/fake/rank.go
+++ b/internal/fake/rank.go
@@ -10,18 +10,18 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// keptMaps is how many maps' weights fit beside each other: the one in use, the
-// next, and one that a finished switch has left behind.
-const keptMaps = 3
+// maxMaps is the number of maps whose weights fit in memory: the current map, the next
+// map, and one map left over from a completed switch.
+const maxMaps = 3
 
-// Rank is the rank side of an engine in a LockStep.
+// Rank is a stand-in for the rank interface of an engine in a LockStep.
 type Rank struct {
 	group  *LockStep
 	index  int
 	engine *Engine
 
-	mu   sync.Mutex // taken after the group's
-	maps []*expert.Map
+	mu   sync.Mutex    // locked after the mutex of the group if both are needed
+	maps []*expert.Map // maps whose weights are loaded, oldest first
 	pos  expert.Position
 }
 
@@ -35,19 +35,19 @@
 	return r.pos, ctx.Err()
 }
 
-// Prepare implements outside.Rank: it fetches what the maps here don't hold.
+// Prepare implements outside.Rank. It fetches the weights that the loaded maps lack.
 func (r *Rank) Prepare(ctx context.Context, _ int, m *expert.Map) error {
 	if r.engine.isDown() {
 		return errEngineDown
 	}
 	r.mu.Lock()
 	missing := m.Shape.Layers * m.Shape.SlotsOfRank
-	for _, have := range r.maps {
-		if have.ID() == m.ID() {
+	for _, loaded := range r.maps {
+		if loaded.ID() == m.ID() {
 			r.mu.Unlock()
 			return nil
 		}
-		missing = min(missing, have.MovesOfRank(r.index, m))
+		missing = min(missing, loaded.MovesOfRank(r.index, m))
 	}
 	start := r.pos.Start
 	r.mu.Unlock()
@@ -59,14 +59,15 @@
 	if r.pos.Start != start {
 		return expert.ErrEngineRestarted
 	}
-	r.keep(m)
+	r.addMap(m)
 	return nil
 }
 
-// keep adds a map and forgets the oldest that is not in use.
-func (r *Rank) keep(m *expert.Map) {
-	for i, have := range r.maps {
-		if len(r.maps) >= keptMaps && have.ID() != r.pos.Map {
+// addMap adds a loaded map. If there is no memory left, it drops the oldest map that is
+// not in use.
+func (r *Rank) addMap(m *expert.Map) {
+	for i, loaded := range r.maps {
+		if len(r.maps) >= maxMaps && loaded.ID() != r.pos.Map {
 			r.maps = append(r.maps[:i:i], r.maps[i+1:]...)
 			break
 		}
@@ -107,12 +108,12 @@
 func (r *Rank) Loads(ctx context.Context) (outside.RankLoads, error) {
 	r.mu.Lock()
 	id := r.pos.Map
-	m := r.find(id)
+	m := r.findMap(id)
 	r.mu.Unlock()
 	if m == nil {
 		return outside.RankLoads{}, errEngineDown
 	}
-	tokens, speed := r.group.loadsOf(r.index, m)
+	tokens, speed := r.group.loadsOfRank(r.index, m)
 	total := 0.0
 	for _, v := range tokens {
 		total += v
@@ -120,10 +121,11 @@
 	return outside.RankLoads{Map: id, Tokens: tokens, Seconds: total / speed / tokensPerSecond}, ctx.Err()
 }
 
-// tokensPerSecond is what a rank of speed 1 computes.
+// tokensPerSecond is the computing rate of a rank with speed 1.
 const tokensPerSecond = 1e6
 
-func (r *Rank) find(id expert.MapID) *expert.Map {
+// findMap returns the loaded map with an id, nil if it is not loaded.
+func (r *Rank) findMap(id expert.MapID) *expert.Map {
 	for _, m := range r.maps {
 		if m.ID() == id {
 			return m
@@ -142,7 +144,7 @@
 	return append([]*expert.Map(nil), r.maps...), ctx.Err()
 }
 
-// restart forgets everything, as a new process does.
+// restart drops the loaded maps and the position, like a new process.
 func (r *Rank) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,8 +152,9 @@
 	r.maps = nil
 }
 
-// RankHandler serves the rank that rank returns over HTTP, nil meaning that the
-// engine is in no group, and passes the rest to next.
+// RankHandler serves the rank interface over HTTP for the rank that the function rank
+// returns, and passes all other requests to next. While rank returns nil, because the
+// engine is in no group, requests to the rank interface get status 404.
 func RankHandler(rank func() *Rank, next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", next)
@@ -163,7 +166,7 @@
 				return
 			}
 			v, err := read(q.Context(), r)
-			answer(w, v, err)
+			writeJSON(w, v, err)
 		})
 	}
 	get(outside.PathRankPosition, func(ctx context.Context, r *Rank) (any, error) { return r.Position(ctx) })
@@ -188,8 +191,11 @@
 	return mux
 }
 
+// rankOrderFunc executes an order on a rank and may set positions in the reply.
 type rankOrderFunc func(ctx context.Context, r *Rank, o *outside.RankOrder, reply *outside.RankReply) error
 
+// serveRankOrder decodes and executes an order. The text of an error goes into the
+// reply.
 func serveRankOrder(w http.ResponseWriter, q *http.Request, r *Rank, run rankOrderFunc) {
 	if r == nil {
 		http.NotFound(w, q)
@@ -204,5 +210,5 @@
 	if err := run(q.Context(), r, &o, &reply); err != nil {
 		reply.Refused = err.Error()
 	}
-	answer(w, reply, nil)
+	writeJSON(w, reply, nil)
 }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Frames between heatherrail processes begin with a length of 4 bytes, a kind
-// and a stream id; a relay needs no more of the protocol than that.
+// Frames between heatherrail processes start with a header of length (4 bytes), kind and
+// stream id. A relay needs only the length.
 const (
-	relayHeader   = 4 + 1 + 8
-	relayMaxFrame = 64 << 20
-	relayTick     = 5 * time.Millisecond
+	frameHeaderBytes   = 4 + 1 + 8
+	maxFrameBytes      = 64 << 20
+	freezePollInterval = 5 * time.Millisecond
 )
 
-// RelayFaults says how a relay misbehaves.
+// RelayFaults configures the faults of a Relay.
 type RelayFaults struct {
 	Delay     time.Duration // added to each frame, in order
-	Freeze    bool          // nothing passes, and nobody is told
-	Duplicate int           // this many frames pass twice
+	Freeze    bool          // no frame is forwarded; connections stay open
+	Duplicate int           // number of frames that are forwarded twice
 }
 
-// Relay stands between two heatherrail processes and passes their frames on.
+// Relay forwards frames between two heatherrail processes and injects faults.
 type Relay struct {
-	Addr     string
+	Addr     string // IP address and port of the listener
 	upstream string
 	ln       net.Listener
 
@@ -36,7 +36,7 @@
 	conns  map[net.Conn]bool
 }
 
-// NewRelay listens on loopback and passes connections on to upstream.
+// NewRelay listens on a loopback port and forwards connections to upstream.
 func NewRelay(upstream string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,14 +47,14 @@
 	return r, nil
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the current faults.
 func (r *Relay) SetFaults(f RelayFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Cut closes all connections; new ones are taken.
+// Cut closes all open connections. New connections are still accepted.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// Close ends the relay.
+// Close closes the listener and all connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Cut()
@@ -71,22 +71,23 @@
 
 func (r *Relay) accept() {
 	for {
-		down, err := r.ln.Accept()
+		client, err := r.ln.Accept()
 		if err != nil {
 			return
 		}
-		up, err := net.Dial("tcp", r.upstream)
+		upstream, err := net.Dial("tcp", r.upstream)
 		if err != nil {
-			_ = down.Close()
+			_ = client.Close()
 			continue
 		}
-		r.keep(down, up)
-		go r.pass(down, up)
-		go r.pass(up, down)
+		r.track(client, upstream)
+		go r.forward(client, upstream)
+		go r.forward(upstream, client)
 	}
 }
 
-func (r *Relay) keep(conns ...net.Conn) {
+// track records open connections for Cut.
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -94,16 +95,16 @@
 	}
 }
 
-// pass copies frames one way until either side ends.
-func (r *Relay) pass(from, to net.Conn) {
-	defer r.drop(from, to)
+// forward copies frames in one direction until one of the connections ends.
+func (r *Relay) forward(from, to net.Conn) {
+	defer r.closeConns(from, to)
 	br := bufio.NewReader(from)
 	for {
 		frame, err := readFrame(br)
 		if err != nil {
 			return
 		}
-		for range r.hold() {
+		for range r.applyFaults() {
 			if _, err := to.Write(frame); err != nil {
 				return
 			}
@@ -111,7 +112,8 @@
 	}
 }
 
-func (r *Relay) drop(conns ...net.Conn) {
+// closeConns closes connections and removes their records.
+func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -120,8 +122,9 @@
 	}
 }
 
-// hold waits as the faults say and returns how often the frame passes.
-func (r *Relay) hold() int {
+// applyFaults waits for the end of a freeze and for the delay. It returns how many times
+// the frame is to be written.
+func (r *Relay) applyFaults() int {
 	for {
 		r.mu.Lock()
 		f := r.faults
@@ -136,20 +139,21 @@
 			return copies
 		}
 		r.mu.Unlock()
-		time.Sleep(relayTick)
+		time.Sleep(freezePollInterval)
 	}
 }
 
+// readFrame reads one frame with its header.
 func readFrame(br *bufio.Reader) ([]byte, error) {
-	header, err := br.Peek(relayHeader)
+	header, err := br.Peek(frameHeaderBytes)
 	if err != nil {
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(header)
-	if size > relayMaxFrame {
-		return nil, fmt.Errorf("relay: frame of %d bytes", size)
+	if size > maxFrameBytes {
+		return nil, fmt.Errorf("relay: frame of %d bytes exceeds the limit", size)
 	}
-	frame := make([]byte, relayHeader+int(size))
+	frame := make([]byte, frameHeaderBytes+int(size))
 	if _, err := io.ReadFull(br, frame); err != nil {
 		return nil, err
 	}
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -10,23 +10,24 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Server serves one stand-in on a loopback port chosen by the system. It uses
-// the standard library's server, which tells a handler when its client leaves;
-// the engine stand-in must free the slot then.
+// Server serves one stand-in over HTTP on a loopback port chosen by the system. It uses
+// the server of the standard library, which cancels the request context when the client
+// disconnects. The engine stand-in needs that to free the request's slot.
 type Server struct {
-	Addr    string
+	Addr    string // IP address and port
 	handler http.Handler
 	mu      sync.Mutex
 	srv     *http.Server // nil while stopped
 }
 
-// Serve starts a server.
+// Serve starts a server for h.
 func Serve(h http.Handler) (*Server, error) {
 	s := &Server{Addr: "127.0.0.1:0", handler: h}
 	return s, s.Start()
 }
 
-// Start listens again after Stop, on the same port.
+// Start starts a stopped server on its previous port. It does nothing if the server is
+// running.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,11 +41,11 @@
 	s.Addr = ln.Addr().String()
 	srv := &http.Server{Handler: s.handler, ReadHeaderTimeout: readHeaderTimeout}
 	s.srv = srv
-	go func() { _ = srv.Serve(ln) }() // ends with Stop
+	go func() { _ = srv.Serve(ln) }() // returns after Stop
 	return nil
 }
 
-// Stop cuts all connections and refuses new ones, like a process that died.
+// Stop closes all connections and refuses new ones, like a crashed process.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,5 +55,5 @@
 	}
 }
 
-// Close stops the server for good.
+// Close stops the server.
 func (s *Server) Close() { s.Stop() }
--- a/internal/fake/targets.go
+++ b/internal/fake/targets.go
@@ -11,7 +11,7 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// standin is what a control can do to any stand-in of a target.
+// standin is the interface of all stand-ins for the engine or service of a target.
 type standin interface {
 	outside.Backend
 	Kill()
@@ -22,23 +22,23 @@
 	Active() int
 }
 
-// TargetServer is the stand-in of one target's engine or service behind a port.
+// TargetServer serves the stand-in for the engine or service of one target over HTTP.
 type TargetServer struct {
-	Name   string
-	Server *Server
-	back   standin
+	Name    string
+	Server  *Server
+	backend standin
 
-	crashOn atomic.Pointer[string] // a request with this text in its body crashes it
-	crashes atomic.Int64
+	crashText atomic.Pointer[string] // a request with this text in its body crashes the target
+	crashes   atomic.Int64
 }
 
-// crashRestart is how long a crashed engine or service is away, as where the
-// platform starts it again.
+// crashRestart is the time from a crash to the restart. It stands for a platform that
+// restarts crashed engines and services.
 const crashRestart = 300 * time.Millisecond
 
-// ServeTarget starts the HTTP side of an *Engine or a *Plain.
+// ServeTarget starts an HTTP server for an *Engine or a *Plain.
 func ServeTarget(name string, back standin) (*TargetServer, error) {
-	t := &TargetServer{Name: name, back: back}
+	t := &TargetServer{Name: name, backend: back}
 	handler := BackendHandler(t)
 	if e, ok := back.(*Engine); ok {
 		handler = RankHandler(e.Rank, handler)
@@ -51,47 +51,49 @@
 	return t, nil
 }
 
-// CrashOn makes every request whose body holds a text crash the target; an empty
-// one ends that.
-func (t *TargetServer) CrashOn(text string) { t.crashOn.Store(&text) }
+// CrashOn makes every request whose body contains text crash the target. An empty text
+// disables crashes.
+func (t *TargetServer) CrashOn(text string) { t.crashText.Store(&text) }
 
-// Run implements outside.Backend.
+// Run implements outside.Backend. It passes the call to the stand-in unless the call
+// crashes the target.
 func (t *TargetServer) Run(ctx context.Context, call *outside.Call) (*outside.Reply, error) {
-	text := t.crashOn.Load()
+	text := t.crashText.Load()
 	if text != nil && *text != "" && bytes.Contains(call.Body, []byte(*text)) {
 		t.crashes.Add(1)
 		t.Kill()
-		time.AfterFunc(crashRestart, func() { _ = t.Restart() }) // a port that is taken shows as a target that stays away
+		time.AfterFunc(crashRestart, func() { _ = t.Restart() }) // if the port is in use, the target stays down, which the test detects
 		return nil, &outside.SendError{MayHaveRun: true, Err: errEngineDown}
 	}
-	return t.back.Run(ctx, call)
+	return t.backend.Run(ctx, call)
 }
 
-// Kill ends it like a process that died: connections are cut, new ones refused.
+// Kill stops the target like a crashed process: it closes all connections and refuses
+// new ones.
 func (t *TargetServer) Kill() {
-	t.back.Kill()
+	t.backend.Kill()
 	t.Server.Stop()
 }
 
-// Restart brings it back, empty, on the same port.
+// Restart starts the target again on the same port.
 func (t *TargetServer) Restart() error {
-	t.back.Restart()
+	t.backend.Restart()
 	return t.Server.Start()
 }
 
-// TargetState is what a stand-in has done so far.
+// TargetState is the state of a target's stand-in and the requests that it ran.
 type TargetState struct {
 	Name    string `json:"name"`
-	Active  int    `json:"active"`  // requests inside
-	Crashes int64  `json:"crashes"` // by requests that crash it
+	Active  int    `json:"active"`  // requests in progress
+	Crashes int64  `json:"crashes"` // crashes caused by requests, see CrashOn
 	Runs    []Run  `json:"runs"`
 }
 
 func (t *TargetServer) state() TargetState {
-	return TargetState{Name: t.Name, Active: t.back.Active(), Crashes: t.crashes.Load(), Runs: t.back.Runs()}
+	return TargetState{Name: t.Name, Active: t.backend.Active(), Crashes: t.crashes.Load(), Runs: t.backend.Runs()}
 }
 
-// AddTargets puts targets on the control.
+// AddTargets adds requests for the state and faults of targets.
 func (c *Control) AddTargets(targets map[string]*TargetServer) {
 	c.Handle("GET /targets", func(*http.Request) (any, error) {
 		var all []TargetState
@@ -110,30 +112,31 @@
 		for _, t := range targets {
 			t.CrashOn(r.FormValue("on"))
 		}
-		return done, nil
+		return doneReply, nil
 	})
 	c.Handle("POST /targets/{name}/{action}", func(r *http.Request) (any, error) {
 		t := targets[r.PathValue("name")]
 		if t == nil {
 			return nil, ErrUnknown
 		}
-		return done, t.act(r)
+		return doneReply, t.runAction(r)
 	})
 }
 
-func (t *TargetServer) act(r *http.Request) error {
+// runAction runs the action that is named in the path of a request.
+func (t *TargetServer) runAction(r *http.Request) error {
 	switch r.PathValue("action") {
 	case "kill":
 		t.Kill()
 	case "restart":
 		return t.Restart()
 	case "stall":
-		t.back.Stall(true)
+		t.backend.Stall(true)
 	case "resume":
-		t.back.Stall(false)
+		t.backend.Stall(false)
 	case "delay":
 		f := formReader{r: r}
-		t.back.SetDelay(f.duration("d"))
+		t.backend.SetDelay(f.duration("d"))
 		return f.err
 	default:
 		return ErrUnknown
--- a/internal/fake/vms.go
+++ b/internal/fake/vms.go
@@ -9,31 +9,32 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// VMList is the platform's list; readers see changes after Lag.
+// VMList is a stand-in for the platform's VM list. Readers see each change after a lag.
 type VMList struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	history []vmVersion
 }
 
+// vmVersion is the list as of a change.
 type vmVersion struct {
 	at  time.Time
 	vms []outside.VM
 }
 
-// NewVMList returns an empty list that shows changes after lag.
+// NewVMList returns an empty list with a lag.
 func NewVMList(lag time.Duration) *VMList {
 	return &VMList{lag: lag}
 }
 
-// SetLag changes how late readers see changes.
+// SetLag sets the time after which readers see a change.
 func (l *VMList) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// Put adds or replaces the VM with the same ID.
+// Put adds a VM or replaces the VM with the same ID.
 func (l *VMList) Put(vm outside.VM) {
 	l.update(func(vms []outside.VM) []outside.VM {
 		vms = slices.DeleteFunc(vms, func(v outside.VM) bool { return v.ID == vm.ID })
@@ -41,13 +42,14 @@
 	})
 }
 
-// Remove drops a VM.
+// Remove removes a VM.
 func (l *VMList) Remove(id string) {
 	l.update(func(vms []outside.VM) []outside.VM {
 		return slices.DeleteFunc(vms, func(v outside.VM) bool { return v.ID == id })
 	})
 }
 
+// update appends a new version of the list, made from the newest one.
 func (l *VMList) update(change func([]outside.VM) []outside.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/weights.go
+++ b/internal/fake/weights.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// WeightStore hands out expert weights at a limited rate.
+// WeightStore is a stand-in for the store of expert weights. It delays fetches according
+// to its transfer rate.
 type WeightStore struct {
-	mu     sync.Mutex
-	rate   float64 // bytes a second over all readers
-	free   time.Time
-	isDown bool
+	mu       sync.Mutex
+	rate     float64   // bytes per second over all readers
+	nextFree time.Time // end of the queued transfers
+	isDown   bool
 }
 
-// NewWeightStore returns a store with a rate in bytes a second.
+// NewWeightStore returns a store with a rate in bytes per second.
 func NewWeightStore(rate float64) *WeightStore {
 	return &WeightStore{rate: rate}
 }
 
-// SetDown makes every fetch fail, or work again.
+// SetDown makes all fetches fail, or succeed again.
 func (w *WeightStore) SetDown(down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.isDown = down
 }
 
-// Fetch waits until size bytes have passed at the store's rate.
+// Fetch waits for the transfer of size bytes, after all transfers already queued.
 func (w *WeightStore) Fetch(ctx context.Context, size int64) error {
 	w.mu.Lock()
 	if w.isDown {
@@ -34,14 +35,14 @@
 		return ErrDown
 	}
 	now := time.Now()
-	if w.free.Before(now) {
-		w.free = now
+	if w.nextFree.Before(now) {
+		w.nextFree = now
 	}
-	w.free = w.free.Add(time.Duration(float64(size) / w.rate * float64(time.Second)))
-	ready := w.free
+	w.nextFree = w.nextFree.Add(time.Duration(float64(size) / w.rate * float64(time.Second)))
+	readyAt := w.nextFree
 	w.mu.Unlock()
 	select {
-	case <-time.After(time.Until(ready)):
+	case <-time.After(time.Until(readyAt)):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
