--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -75,14 +75,14 @@
 		if err != nil {
 			return
 		}
-		upstream, err := net.Dial("tcp", r.upstream)
+		server, err := net.Dial("tcp", r.upstream)
 		if err != nil {
 			_ = client.Close()
 			continue
 		}
-		r.track(client, upstream)
-		go r.forward(client, upstream)
-		go r.forward(upstream, client)
+		r.track(client, server)
+		go r.forward(client, server)
+		go r.forward(server, client)
 	}
 }
 
