--- a/internal/ini/ini_test.go
+++ b/internal/ini/ini_test.go
@@ -43,11 +43,11 @@
 
 func TestErrorsNameFileLineKeyAndAllowedValues(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"missing key", "[x]\n", "f.ini:1: x.name: missing, and it has no default"},
+		{"missing", "[x]\n", "f.ini:1: x.name: missing, and it has no default"},
 		{"unknown key", "[x]\nname=a\nnmae=b", "f.ini:3: x.nmae: unknown key, allowed: addr, count"},
-		{"missing unit", "[x]\nname=a\nwait=5", `f.ini:3: x.wait: "5" is not a duration, write for example 250ms`},
+		{"unit", "[x]\nname=a\nwait=5", `f.ini:3: x.wait: "5" is not a duration, write for example 250ms`},
 		{"out of range", "[x]\nname=a\n\nwait=2m", `f.ini:4: x.wait: "2m" is out of range, max is 1m`},
-		{"size out of range", "[x]\nname=a\nsize=9MB", `f.ini:3: x.size: "9MB" is out of range, max is 8MB`},
+		{"size", "[x]\nname=a\nsize=9MB", `f.ini:3: x.size: "9MB" is out of range, max is 8MB`},
 		{"overflowing size", "[x]\nname=a\nsize=99999999999GB", `is not a size`},
 		{"value not in oneof", "[x]\nname=a\nkind=other", `"other" is not allowed, write one of: engine plain`},
 		{"host name instead of address", "[x]\nname=a\naddr=localhost:80", "write IP address and port"},
