--- a/placing/admissionqueue.go
+++ b/placing/admissionqueue.go
@@ -12,10 +12,10 @@
 
 // AdmissionQueue holds the requests of a service with model engines until targets have headroom.
 //
-// The engines of a group run each pass together. A pass takes longer with every stream that runs on
-// any of them, and far longer just after demand has shifted and before the expert map has been
-// rebalanced. With all engine slots in use such a shift makes every stream late; with fewer streams
-// it does not, and the requests that wait here meanwhile are still on time. The queue therefore
+// The engines of a group run each pass together. Each stream on any of them makes the passes longer.
+// Just after demand has shifted, passes take far longer until the expert map has been rebalanced.
+// With all engine slots in use such a shift makes every stream late; with fewer streams it does
+// not, and the requests that wait in the queue meanwhile are still on time. The queue therefore
 // limits the streams of each target to what the group sustains, and admits requests by priority,
 // then in order of arrival.
 type AdmissionQueue struct {
@@ -36,11 +36,11 @@
 // Granted receives the target for the request, or nil if all targets report a rate limit.
 func (w *Waiter) Granted() <-chan *serving.Target { return w.granted }
 
-// Enqueue adds a request to the queue. If the request would wait longer than its caller does, ok is
-// false and wait is the Retry-After.
+// Enqueue adds a request to the queue. If the request would wait longer than its MaxWait, it is not
+// added, ok is false and wait is the Retry-After for its caller.
 //
-// Waiting requests that can no longer be on time delay only requests like them, since requests that
-// can still be on time are admitted first.
+// Late requests, which can no longer be on time, delay only other late requests, because on-time
+// requests are admitted first.
 func (q *AdmissionQueue) Enqueue(r *Request, now time.Time) (w *Waiter, wait time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,8 +79,9 @@
 	return w
 }
 
-// SetServiceDown records whether no group of the service runs requests. While that is so, no
-// request is refused for its expected wait, because the speed of the queue is unknown.
+// SetServiceDown records whether the service is down: none of its groups runs requests. While the
+// service is down, no request is refused for its expected wait, because the admission rate is
+// unknown.
 func (q *AdmissionQueue) SetServiceDown(down bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -133,10 +134,13 @@
 	q.waiting = nil
 }
 
-// nextIndex returns the index of the request to admit next: among the most urgent ones the oldest
-// that can still have its first event on time, and only then those that can't. How late an answer
-// is does not matter for its worth, so admitting late requests first would make all requests behind
-// them late too. It returns -1 if none may be admitted.
+// nextIndex returns the index of the request to admit next, -1 if none may be admitted. Among the
+// requests of the highest waiting priority it is the oldest one that can still have its first event
+// on time, then the oldest late one. If late requests may not be admitted, it is the first on-time
+// request of any priority.
+//
+// A late response is worth the same however late it is, while admitting late requests first would
+// make the requests behind them late too.
 func (q *AdmissionQueue) nextIndex(now time.Time, admitLate bool) int {
 	if ablate.Off(ablate.InTimeFirst) {
 		return 0
@@ -155,7 +159,7 @@
 	return -1
 }
 
-// demand is what one entry has to send.
+// demand describes the requests that one entry has to send.
 type demand struct {
 	queued            QueueCounts
 	enqueued          int // total number of requests added to the queue
@@ -186,7 +190,7 @@
 	return len(q.waiting) > 0
 }
 
-// QueueCounts returns how many requests wait.
+// QueueCounts returns how many on-time and how many late requests wait.
 func (q *AdmissionQueue) QueueCounts(now time.Time) QueueCounts {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/placing/cold.go
+++ b/placing/cold.go
@@ -6,41 +6,42 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// coldIssuer issues the permits of a cold target: one that has started recently and takes only a
-// few requests a second from all entries together.
+// coldPermits are the permits of a cold target: a target that has started recently and takes only a
+// few requests a second from all entries together. The permit owner keeps them.
 //
-// It guards against overload after a restart: while the other targets are full, each entry sees the
-// returning target idle and sends its queued requests there, before any load report shows the sum.
-type coldIssuer struct {
-	permits  permits // issued by this entry
+// They guard against overload after a restart: while the other targets are full, each entry sees
+// the returning target idle and sends its queued requests there before any load report shows the
+// sum.
+type coldPermits struct {
+	permits  permits
 	lastUsed time.Time
 }
 
 const (
 	// coldPermitTTL is how long the state of a cold target is kept after its last permit query.
 	coldPermitTTL = 30 * time.Second
-	// takeOverRateShare is the share of the rate that an entry grants when it begins to issue the
-	// permits of a cold target, because the previous issuer may not have stopped yet. Granting none
-	// would leave all targets idle after a power loss, when every target is cold and every issuer
-	// changes.
+	// takeOverRateShare is the share of the rate that a new permit owner of a cold target grants
+	// during takeOverDelay, because the previous owner may not have stopped yet. Granting none
+	// would leave all targets idle after a power loss, when every target is cold and every permit
+	// owner is new.
 	takeOverRateShare = 0.5
 )
 
-// coldIssuer returns the permit issuer of a cold target and creates it if needed. The lock must be
+// coldPermitsOf returns the permits of a cold target and creates them if needed. The lock must be
 // held.
-func (tr *Tracker) coldIssuer(run serving.Run, now time.Time) *coldIssuer {
-	issuer := tr.limits.cold[run]
-	if issuer == nil {
-		issuer = new(coldIssuer)
-		tr.limits.cold[run] = issuer
+func (tr *Tracker) coldPermitsOf(run serving.Run, now time.Time) *coldPermits {
+	cold := tr.limits.cold[run]
+	if cold == nil {
+		cold = new(coldPermits)
+		tr.limits.cold[run] = cold
 	}
-	issuer.lastUsed = now
-	return issuer
+	cold.lastUsed = now
+	return cold
 }
 
-// issue grants the next permit of a cold target. Unlike other permits it has no take-over delay,
-// see takeOverRateShare.
-func (c *coldIssuer) issue(rate float64, q PermitQuery, now time.Time) Permit {
+// issue grants or denies the next permit of a cold target at a rate in requests a second. Unlike for
+// other permits there is no take-over delay, see takeOverRateShare.
+func (c *coldPermits) issue(rate float64, q PermitQuery, now time.Time) Permit {
 	if c.permits.issuingSince.IsZero() {
 		c.permits.issuingSince = now
 	}
--- a/placing/cold_test.go
+++ b/placing/cold_test.go
@@ -17,8 +17,8 @@
 	coldSlack       = 5
 )
 
-// Many entries must not overload a cold target together, although each sends less than its rate and
-// the entry that issues its permits crashes.
+// Many entries must not overload a cold target together, although each entry sends at less than the
+// target's rate and the permit owner crashes.
 func TestColdTargetStaysWithinItsRateAtAnyFleetSize(t *testing.T) {
 	for _, entries := range []int{8, 46, 410, 1000} {
 		for seed := range uint64(4) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// After a power loss all targets are cold and all issuers change. A target that got no permits while
-// its issuer changes would leave the whole fleet idle.
+// After a power loss all targets are cold and all permit owners are new. If a new owner granted no
+// permits at first, the whole fleet would be idle.
 func TestColdTargetGetsPermitsRightAfterIssuerChange(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
@@ -54,7 +54,8 @@
 	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now.Add(time.Second)).Granted).To(BeTrue())
 }
 
-// A cold target that also reports a rate limit must not get requests at the higher of the two rates.
+// A cold target that also reports a rate limit must not get requests at the higher of the two
+// rates.
 func TestLowerOfColdRateAndRateLimitApplies(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
--- a/placing/failurereport.go
+++ b/placing/failurereport.go
@@ -26,9 +26,9 @@
 	// ejectionQuorum is the number of entries that must have seen a target fail before entries that
 	// have not seen a failure eject it. A single entry may be partitioned or slow itself.
 	ejectionQuorum = 2
-	// maxTimeouts consecutive timeouts, counted over at least ejectionQuorum entries, eject a target
-	// everywhere; as many at one entry eject it there. A single request may exceed its time limit
-	// for reasons of its own.
+	// maxTimeouts is the number of consecutive timeouts that eject a target: at all entries if
+	// ejectionQuorum entries have seen them, otherwise only at the entry that has seen all of them.
+	// A single request may exceed its time limit for reasons of its own.
 	maxTimeouts = 3
 	// maxFailureReports is the maximum number of reports in one message.
 	maxFailureReports = 16
@@ -36,11 +36,11 @@
 
 // failureReports are the failure reports of this entry and of others.
 //
-// They guard against a plain-service target that breaks every connection for a second, again and
-// again, while many entries share a few targets and each entry uses this one only every few
+// They guard against a target of a plain service that repeatedly breaks every connection for a
+// second, while many entries share a few targets and each entry uses this target only every few
 // seconds. An entry that relied on its own observations alone would fail a request each time, and
-// most requests that may not be retried would be lost. With shared reports, failures at two
-// entries are enough for all entries to stop sending there.
+// most requests that may not be retried and go there would be lost. With shared reports, failures
+// at two entries are enough for all entries to stop sending there.
 type failureReports struct {
 	entry   string
 	reports map[reportKey]FailureReport
@@ -117,7 +117,8 @@
 }
 
 // sameEventTolerance is the difference up to which two times denote the same event. Messages carry
-// ages, which grow by the time a message takes, so it must exceed the delivery time.
+// ages instead of times, so the time that a receiver computes is too late by the delivery time of
+// the message. The tolerance must exceed the delivery time.
 const sameEventTolerance = 50 * time.Millisecond
 
 // latestEvent returns the time of the latest event in the report.
@@ -172,15 +173,15 @@
 	return max(float64(brokenEntries)/ejectionQuorum, min(float64(timeoutEntries)/ejectionQuorum, float64(timeouts)/maxTimeouts))
 }
 
-// shouldPropagate reports whether other entries must be notified at once of an event that has
-// raised a target's score: only if the event may lead to an ejection that was not due before. All
-// other events go with the next regular message, because sending each failure and success at once
-// would use more bandwidth between data centres than the requests do.
+// shouldPropagate reports whether other entries must be notified at once of an event that changed a
+// target's failure score from before to after. They must be if the event may lead to an ejection
+// that was not due before. All other events go with the next regular message, because sending each
+// failure and success at once would use more bandwidth between data centres than the requests do.
 func shouldPropagate(before, after float64) bool {
 	return before < 1 && after > before && after >= 1.0/ejectionQuorum
 }
 
-// EjectionDecision is the consequence of a failure that was recorded.
+// EjectionDecision is the consequence of a recorded failure.
 type EjectionDecision struct {
 	Ejected   bool // the target is ejected from now on
 	Propagate bool // other entries must be notified at once
@@ -189,8 +190,8 @@
 // RecordBrokenConnection records that a target of a plain service broke a connection, and ejects
 // the target at once.
 //
-// It is not meant for ranks of a group, which are ejected for consecutive failures only: ranks fail
-// together, and ejecting some would put all streams on the others.
+// Do not call it for ranks of a group. They are ejected for consecutive failures only, because ranks
+// fail together, and ejecting some of them would put all streams on the others.
 func (tr *Tracker) RecordBrokenConnection(t *serving.Target, now time.Time) EjectionDecision {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -204,7 +205,7 @@
 }
 
 // RecordTimeout records that a target has not begun to respond to a request of this entry within
-// several times the usual time. isRank says that the target is a rank of a group.
+// several times the usual time. isRank reports whether the target is a rank of a group.
 //
 // A rank's timeout counts only if another rank has responded to a request that was sent later: if
 // the whole group is stalled, no rank responds and none is at fault.
--- a/placing/failurereport_test.go
+++ b/placing/failurereport_test.go
@@ -48,13 +48,13 @@
 	g.Expect(two.RecordBrokenConnection(targets[0], now).Ejected).To(BeTrue())
 	g.Expect(propagates(third, two.FailureReports(now), now)).To(BeTrue())
 	g.Expect(placementShare(third, targets, "x", now)).To(BeZero())
-	g.Expect(propagates(third, two.FailureReports(now), now)).To(BeFalse(), "it is propagated once")
+	g.Expect(propagates(third, two.FailureReports(now), now)).To(BeFalse(), "a known report is not propagated again")
 	later := now.Add(3 * time.Second)
 	g.Expect(placementShare(third, targets, "x", later)).To(BeNumerically(">", 0))
 }
 
-// Failure reports arrive again by way of other entries. Counted twice, one broken connection would
-// circulate and keep a target ejected for good.
+// Failure reports arrive again by way of other entries. If each arrival counted, the report of one
+// broken connection would circulate and keep a target ejected for good.
 func TestFailureReportReceivedTwiceCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -125,8 +125,8 @@
 	return NewTracker(name, "a", rand.New(rand.NewPCG(1, uint64(len(name)))))
 }
 
-// A target accepts requests and answers none, and each entry uses it only every few seconds. Three
-// timeouts at all entries together must eject it at all of them.
+// A target accepts requests and responds to none, and each entry uses it only every few seconds.
+// Three timeouts at all entries together must eject it at all entries.
 func TestThreeTimeoutsAcrossEntriesEjectTarget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -141,8 +141,8 @@
 	g.Expect(placementShare(fourth, targets, "x", now)).To(BeZero())
 }
 
-// One request in ten exceeds its time limit wherever it runs. Successes at other entries lie in
-// between, so no target may be ejected.
+// One request in ten exceeds its time limit, wherever it runs. Successes at other entries lie
+// between the timeouts, so no target may be ejected.
 func TestOccasionalTimeoutsDoNotEjectTarget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -160,9 +160,8 @@
 	g.Expect(placementShare(two, targets, "x", now)).To(BeNumerically(">", 0.2))
 }
 
-// A rank stops answering while the passes of its group go on: three timeouts eject it if other
-// ranks answered requests that were sent later. In a group that is stalled as a whole no rank may be
-// ejected.
+// A rank does not respond while the passes of its group go on. Three timeouts eject it if other
+// ranks have responded to later requests; in a stalled group no rank may be ejected.
 func TestRankTimeoutsEjectOnlyWhileGroupMakesProgress(t *testing.T) {
 	for _, progressing := range []bool{true, false} {
 		g := NewWithT(t)
@@ -206,8 +205,8 @@
 	return propagate
 }
 
-// One entry is partitioned from a data centre or slow itself, and all of its requests there time
-// out. It ejects those targets alone; the other entries must not.
+// One entry is partitioned from a data centre or slow itself, and its requests there fail. If the
+// other entries also ejected those targets, half of a group would get no streams.
 func TestFailuresAtOneEntryEjectOnlyThere(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/finish.go
+++ b/placing/finish.go
@@ -10,18 +10,18 @@
 type gapMean struct {
 	mean     time.Duration
 	latest   time.Time // time of the latest gap
-	slowRank bool      // the group has a slow rank, by the latest report
+	slowRank bool      // the group has a slow rank, by the latest load report
 }
 
 // Parameters of the mean gap.
 const (
-	// gapWeight is the inverse weight of one gap in the mean. The streams of an entry have thirty
+	// gapSmoothing is the inverse weight of one gap in the mean. The streams of an entry have thirty
 	// gaps a second and more.
-	gapWeight = 32
+	gapSmoothing = 32
 	// gapTTL is the time without any gap after which the mean no longer counts.
 	gapTTL = time.Second
-	// honouredWaitShare of the time that a caller has left is the longest Retry-After that callers
-	// honour. Source: the platform's statement.
+	// honouredWaitShare is the share of its remaining time up to which a caller honours a
+	// Retry-After. Source: the platform's statement.
 	honouredWaitShare = 1.0 / 3
 )
 
@@ -30,16 +30,16 @@
 		m.mean = gap
 	}
 	m.latest = now
-	m.mean += (gap - m.mean) / gapWeight
+	m.mean += (gap - m.mean) / gapSmoothing
 }
 
 // canFinish reports whether a stream that starts now ends before its deadline at the current mean
 // gap.
 //
-// It guards against streams that run for nothing: while a rank is many times slower than usual, the
-// passes of all ranks are as slow, and a long stream outlasts its caller's deadline while holding a
-// slot that shorter streams could use. Passes that are slow for other reasons recover within half a
-// second, once the expert map has been rebalanced, so only a slow rank counts.
+// It guards against streams that run for nothing: while a rank is many times slower than usual for
+// seconds, the passes of all ranks are as slow. A long stream then outlasts its caller's deadline
+// and occupies a slot that shorter streams could use. Passes that are slow for other reasons recover
+// within half a second, once the expert map has been rebalanced, so only a slow rank counts.
 func (m *gapMean) canFinish(r *Request, now time.Time) bool {
 	if ablate.Off(ablate.CannotFinish) || !m.slowRank || r.ExpectedEvents == 0 || r.Deadline.IsZero() || now.Sub(m.latest) > gapTTL {
 		return true
@@ -48,9 +48,9 @@
 }
 
 // CanFinish reports whether a stream that starts now ends before its deadline. If not, retryAfter
-// is the Retry-After for the caller: the longest that callers honour, so that the stream can still
-// end if passes are back to normal by then. A caller that is given a longer time returns sooner
-// than that.
+// is the Retry-After for the caller: the longest one that callers honour, so that the stream can
+// still end if passes are back to normal by then. A caller that is given a longer Retry-After
+// returns even sooner.
 func (q *AdmissionQueue) CanFinish(r *Request, now time.Time) (retryAfter time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,7 +60,7 @@
 	return time.Duration(float64(r.Deadline.Sub(now)) * honouredWaitShare), false
 }
 
-// setSlowRank records whether a rank of the group is many times slower than usual.
+// setSlowRank records whether a group of the service has a rank at slowRankThreshold or above.
 func (q *AdmissionQueue) setSlowRank(hasSlowRank bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -33,7 +33,7 @@
 	assumedOthers float64
 }
 
-// groupTTL is how long a group is kept after its last report.
+// groupTTL is how long a group is kept after its last load report and its last size.
 const groupTTL = time.Minute
 
 // group returns the state of a group and creates it if needed. The lock must be held.
@@ -46,9 +46,9 @@
 	return g
 }
 
-// groupKeyOf returns the group of a target. For a target that no report has named, it is the empty
-// group while any group of the service has a current report; otherwise it is the only known group
-// of the service, if there is just one. The lock must be held.
+// groupKeyOf returns the group of a target. A target that no report has named belongs to the only
+// known group of its service, if there is just one and it has no current report. Otherwise the
+// target belongs to the group with the empty name. The lock must be held.
 func (tr *Tracker) groupKeyOf(t *serving.Target, now time.Time) groupKey {
 	if ts := tr.states[t.Run()]; ts != nil && ts.group != "" {
 		return groupKey{service: t.Service, name: ts.group}
@@ -70,8 +70,8 @@
 	return key
 }
 
-// pruneGroups drops the groups of a service that have not been reported for groupTTL. The lock must
-// be held.
+// pruneGroups drops the groups of a service for which neither load nor size has been reported within
+// groupTTL. The lock must be held.
 func (tr *Tracker) pruneGroups(service string, now time.Time) {
 	for key, g := range tr.groups {
 		if key.service == service && key.name != "" && now.Sub(g.ReportedAt) > groupTTL && now.Sub(g.shortage.sizeSetAt) > groupTTL {
@@ -123,8 +123,8 @@
 
 // withoutIncomplete leaves out targets without a reported group and groups that are reported as
 // incomplete, while another group runs requests. A service may have spare engines that are too few
-// to form a group: they refuse every request, and each refusal uses up retry budget. The reports
-// say whether they have formed a group. The lock must be held.
+// to form a group: they refuse every request, and each refusal uses up retry budget. The load
+// reports of the engines show whether they have formed a group. The lock must be held.
 func (tr *Tracker) withoutIncomplete(pools []groupPool, now time.Time) []groupPool {
 	isRunning := func(p groupPool) bool {
 		g := tr.group(p.key)
@@ -153,8 +153,9 @@
 	slices.SortStableFunc(pools, func(x, y groupPool) int { return cmp.Compare(utilisation[x.key], utilisation[y.key]) })
 }
 
-// breaker is a circuit breaker that stops requests to a group that is down, since each engine then
-// refuses and each refusal uses up retry budget. It lets one probe request through at intervals.
+// breaker is a circuit breaker that stops requests to a group that is down: every engine of such a
+// group refuses, and each refusal uses up retry budget. It lets one request through at intervals as
+// a probe.
 type breaker struct {
 	open      bool
 	nextProbe time.Time // time from which the next probe may be sent
@@ -163,7 +164,7 @@
 // Intervals of the breaker. A group recovers within about a second of its ranks.
 const (
 	probeInterval = 120 * time.Millisecond
-	probeTimeout  = 400 * time.Millisecond // for a probe without a result
+	probeTimeout  = 400 * time.Millisecond // time until the next probe if a probe has no result
 )
 
 // blocks reports whether the breaker lets no request through now.
@@ -189,8 +190,8 @@
 	tr.group(tr.groupKeyOf(t, now)).breaker.open = false
 }
 
-// IsServiceDown reports whether no group of a service runs requests, and for how long all of its
-// groups have lacked engines; 0 if at least one group does not.
+// IsServiceDown reports whether no group of a service runs requests. shortage is how long all of its
+// groups have lacked engines; 0 if at least one group lacks none.
 func (tr *Tracker) IsServiceDown(service string, now time.Time) (down bool, shortage time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -10,18 +10,19 @@
 
 // headroomShare is this entry's share of a group's headroom until the next report.
 //
-// It guards against both over- and underuse of a group that is nearly full, when many entries have
-// a request now and then and all have the same report. If each entry claimed the whole headroom, as
-// many requests as entries would queue at one engine. If each claimed an even share, most of the
-// headroom would stay with entries that have nothing to send. So the headroom is divided by demand:
-// the requests that wait at all entries, and those expected until the next report.
+// It guards against both over- and underuse of a group that is nearly full, when each of many
+// entries has a request now and then and all entries have the same report. If each entry claimed
+// the whole headroom, as many requests as entries would queue at one engine. If each claimed an
+// even share, most of the headroom would stay with entries that have nothing to send while requests
+// wait at others. So the headroom is divided by demand: the requests that wait at all entries, and
+// those expected until the next report.
 type headroomShare struct {
 	known       bool
 	onTimeRatio float64 // probability that an on-time request is admitted; 1: there is headroom for all of them
 	onTimeLeft  int     // on-time requests that may still be admitted
 	enqueued    int     // total requests added to the queue when onTimeLeft was computed
-	lateRatio   float64 // same for requests that are already late
-	lateLeft    int
+	lateRatio   float64 // probability that a late request is admitted
+	lateLeft    int     // late requests that may still be admitted
 }
 
 // reportInterval is the maximum time between two load reports.
@@ -105,8 +106,9 @@
 	s.lateLeft++
 }
 
-// reserve starts an attempt at the target with the least cost among those below the stream limit of
-// their group. It returns nil if there is none, or if this entry's headroom shares are used up.
+// reserve starts an attempt in the first group that admits the request, at the target with the least
+// cost among those below the stream limit of the group. It returns nil if every group is full or
+// this entry's headroom shares are used up.
 func (tr *Tracker) reserve(pools []groupPool, r *Request, now time.Time) *serving.Target {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/idleconn_test.go
+++ b/placing/idleconn_test.go
@@ -26,7 +26,7 @@
 }
 
 const (
-	idleConnLife    = 4 * time.Second // of an idle connection
+	idleConnLife    = 4 * time.Second // lifetime of an idle connection
 	requestInterval = 1500 * time.Millisecond
 	connRounds      = 60
 )
@@ -67,8 +67,8 @@
 	e.lastUsed[t.Run()] = now
 }
 
-// Entries with occasional requests must not open a connection for each of them, however many targets
-// there are. Reuse must not overload the few targets with connections either.
+// Entries with occasional requests must not open a connection for each request, however many
+// targets there are. Reuse must not overload the few targets with connections either.
 func TestIdleConnectionsAreReusedAtAnyFleetSize(t *testing.T) {
 	for _, size := range []struct{ entries, targets int }{{8, 3}, {46, 12}, {410, 48}, {1000, 96}} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/placing/late.go
+++ b/placing/late.go
@@ -10,18 +10,18 @@
 // late.
 //
 // It guards against a self-sustaining delay after an outage: the group returns with all slots free,
-// and every queued request is late. Sent at once, these fill the group for two seconds, in which
-// new requests wait and become late too, and so on. A late answer is worth the same a second later,
-// so late streams get only the slots that on-time streams leave: the arrival rate times the mean
-// duration of a stream.
+// and every queued request is late. If all were sent at once, they would fill the group for two
+// seconds, in which new requests would wait and become late too, and so on. A late response is
+// worth the same a second later, so late streams get only the slots that on-time streams leave
+// free. On-time streams need as many slots as the arrival rate times the mean duration of a stream.
 type lateShare struct {
 	running      int // late streams of this entry
 	arrivals     arrivalRate
 	meanDuration time.Duration // of the streams that have ended
 }
 
-// durationWeight is the inverse weight of the latest duration in the mean.
-const durationWeight = 16
+// durationSmoothing is the inverse weight of one duration in the mean.
+const durationSmoothing = 16
 
 func (l *lateShare) recordStart(r *Request, late bool, now time.Time) {
 	r.placedAt, r.placedLate = now, late
@@ -37,7 +37,7 @@
 	if r.placedLate {
 		l.running--
 	}
-	l.meanDuration += (now.Sub(r.placedAt) - l.meanDuration) / durationWeight
+	l.meanDuration += (now.Sub(r.placedAt) - l.meanDuration) / durationSmoothing
 	r.placedAt = time.Time{}
 }
 
--- a/placing/late_test.go
+++ b/placing/late_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A nearly full group has late and on-time requests waiting, at several entries. Late ones may only
-// be sent when there is headroom for all on-time ones.
+// Late and on-time requests for a nearly full group wait at several entries. Late requests may be
+// sent only if there is headroom for all on-time ones.
 func TestLateRequestsYieldScarceHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -60,8 +60,8 @@
 	}
 }
 
-// After an outage a group has headroom for a part of the late requests that wait. The entries must
-// not send all of these at once.
+// After an outage a group has headroom for only a part of the late requests that wait. The entries
+// must not send all of them at once.
 func TestLateRequestsShareRemainingHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/limit.go
+++ b/placing/limit.go
@@ -30,15 +30,15 @@
 )
 
 // streamLimit returns how many streams a target may run so that passes stay within the event-gap
-// objective. A pass has a fixed part, which lasts as long as the slowest rank needs, and a part per
-// stream, most of which is spent on the busiest expert.
+// objective. A pass has a fixed part, which lasts as long as the slowest rank needs, and a part for
+// each stream, most of which is spent on the busiest expert.
 //
 // It guards against late streams when demand shifts, which happens every few seconds: until the
 // expert map has been rebalanced, passes take two to three times as long, and with all slots in use
 // every stream would be late.
 //
-// If no number of streams keeps passes short enough, all streams are late in any case, and the
-// limit is the number of slots to save throughput.
+// If no number of streams keeps passes short enough, all streams are late in any case. The limit is
+// then the number of slots, because only throughput can still be saved.
 //
 // The limit is a mean over the targets of a group, since a pass lasts as long as all streams of the
 // group need together. It need not be a whole number.
@@ -66,9 +66,9 @@
 	return min(streams, slots)
 }
 
-// prefillPerStep returns the time in nanoseconds that the prompt of a stream adds to each step of
-// its answer: under steady load, that much prefill is done in each step for each stream. It is a
-// seventh of the cost of decoding.
+// prefillPerStep returns the time in nanoseconds that the prompt of a stream adds to each decode
+// step, if the prefill is spread evenly over the steps of the response as under steady load. It is
+// a seventh of the cost of decoding.
 func prefillPerStep(model *serving.EngineModel) float64 {
 	if model.PrefillRate <= 0 || model.MeanOutputTokens <= 0 {
 		return 0
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -23,19 +23,19 @@
 
 // permits spaces out the requests that all entries together send to a target.
 //
-// One entry issues the permits of a target, and the other entries ask it for each request. An even
-// share of the rate for each entry would not work: if there are more entries than the rate allows
-// requests in a few seconds, one request from each already exceeds it.
+// One entry, the permit owner of the target, issues its permits, and the other entries ask the owner
+// for each request. An even share of the rate for each entry would not work: if there are more
+// entries than the rate allows requests in a few seconds, one request from each already exceeds it.
 type permits struct {
-	issuingSince time.Time // when this entry began to issue permits; zero: another entry issues them
+	issuingSince time.Time // when this entry became the permit owner; zero: another entry is the owner
 	lastValid    time.Time // when the latest permit becomes valid
 	lastRetry    time.Time // latest time that was given to a refused caller as its Retry-After
 }
 
 // Bounds of permits.
 const (
-	// takeOverDelay is how long an entry that begins to issue the permits of a target grants none.
-	// Meanwhile the previous issuer learns of the change and stops.
+	// takeOverDelay is how long the new permit owner of a target grants no permits. Meanwhile the
+	// previous owner learns of the change and stops.
 	takeOverDelay = time.Second
 	// maxPermitInterval is the longest time between two permits. A target with a rate limit near
 	// zero still gets a request now and then, since otherwise it could never report a higher limit.
@@ -52,7 +52,8 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// issue grants the next permit if it becomes valid within the maximum wait of the request.
+// issue grants the next permit at a rate in requests a second if the permit becomes valid within the
+// maximum wait of the request, and denies it otherwise.
 func (p *permits) issue(rate float64, q PermitQuery, now time.Time) Permit {
 	interval := permitInterval(rate)
 	validAt := now
@@ -72,8 +73,8 @@
 	return permit
 }
 
-// nextRetry returns when the next refused caller should return. Each gets the time of another
-// permit, since otherwise all would return for the same one.
+// nextRetry returns when the next refused caller should return. Each caller gets the time of another
+// permit, because otherwise all callers would return for the same permit.
 func (p *permits) nextRetry(validAt time.Time, interval time.Duration) time.Time {
 	p.lastRetry = later(p.lastRetry.Add(interval), validAt)
 	if p.lastRetry.Sub(validAt) > maxRetrySpread {
@@ -82,16 +83,16 @@
 	return p.lastRetry
 }
 
-// IssuePermit grants or denies a permit at the entry that issues the permits of a target. part is
-// the part of the fleet that this entry sees alive, so that after a network partition each side
-// grants only that part of the rate.
-func (tr *Tracker) IssuePermit(run serving.Run, livingShare float64, q PermitQuery, now time.Time) Permit {
+// IssuePermit grants or denies a permit at the permit owner of a target. liveShare is the share of
+// the entries that this entry sees alive: after a network partition each side grants only that
+// share of the rate.
+func (tr *Tracker) IssuePermit(run serving.Run, liveShare float64, q PermitQuery, now time.Time) Permit {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	limit := tr.limits.byRun[run]
 	isLimited := limit != nil && limit.rate != Unlimited
 	if q.ColdRate > 0 && (!isLimited || q.ColdRate < limit.rate) {
-		return tr.coldIssuer(run, now).issue(q.ColdRate*livingShare, q, now)
+		return tr.coldPermitsOf(run, now).issue(q.ColdRate*liveShare, q, now)
 	}
 	if !isLimited {
 		return Permit{Granted: true}
@@ -99,10 +100,10 @@
 	if limit.permits.issuingSince.IsZero() {
 		limit.permits.issuingSince = now
 	}
-	return limit.permits.issue(limit.rate*livingShare, q, now)
+	return limit.permits.issue(limit.rate*liveShare, q, now)
 }
 
-// StopIssuingPermits records that another entry issues the permits of a target.
+// StopIssuingPermits records that another entry is the permit owner of a target.
 func (tr *Tracker) StopIssuingPermits(run serving.Run) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/permits_test.go
+++ b/placing/permits_test.go
@@ -26,7 +26,8 @@
 	return most
 }
 
-// Frequent permit queries and changes of the rate must not lead to more permits than the rate allows.
+// Frequent permit queries and changes of the rate must not lead to more permits than the rate
+// allows.
 func TestPermitsKeepTheRateInEveryWindow(t *testing.T) {
 	for seed := range uint64(30) {
 		g := NewWithT(t)
@@ -58,7 +59,7 @@
 	tr.RecordRateLimit(RateLimit{Run: run, Rate: rate}, TimeBounds{Earliest: now, Latest: now}, now)
 }
 
-// An entry begins to issue permits and the previous issuer has not learnt of it. The two must not
+// An entry becomes the permit owner and the previous owner has not learnt of it. The two must not
 // grant permits at the same time.
 func TestNewIssuerGrantsNoPermitDuringTakeOverDelay(t *testing.T) {
 	g := NewWithT(t)
@@ -76,11 +77,11 @@
 	g := NewWithT(t)
 	var granted []time.Time
 	start := time.Unix(1000, 0)
-	for _, livingShare := range []float64{3.0 / 8, 5.0 / 8} {
+	for _, liveShare := range []float64{3.0 / 8, 5.0 / 8} {
 		tr := permitTracker()
 		reportRate(tr, limitedRun, 2, start)
 		for elapsed := time.Duration(0); elapsed < 30*time.Second; elapsed += 10 * time.Millisecond {
-			if tr.IssuePermit(limitedRun, livingShare, PermitQuery{}, start.Add(elapsed)).Granted {
+			if tr.IssuePermit(limitedRun, liveShare, PermitQuery{}, start.Add(elapsed)).Granted {
 				granted = append(granted, start.Add(elapsed))
 			}
 		}
@@ -153,7 +154,8 @@
 	g.Expect(ownerRetry).To(Equal(time.Second))
 }
 
-// Messages must not grow with the number of rate limits, and each limit must be propagated in time.
+// Messages must not grow with the number of rate limits, and each limit must be propagated at some
+// time.
 func TestAllRateLimitsArePropagatedInBoundedMessages(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
--- a/placing/place.go
+++ b/placing/place.go
@@ -12,28 +12,29 @@
 const (
 	remoteCost      = 0.1    // target in another data centre; only breaks ties
 	promptTokenCost = 0.0015 // per prompt token that is still to be prefilled
-	// slowdownCost applies per unit of slowdown above 1: all ranks of a group wait for a slow rank,
-	// so it gets requests last.
-	slowdownCost      = 10.0
-	slowdownThreshold = 1.3
-	// maxSlowdown is the slowdown from which a rank gets no requests. Each of its streams and each
-	// of its prompts would prolong the passes of all ranks by that factor.
-	maxSlowdown = 2.0
+	// slowdownCost is the cost of each unit of slowdown above 1, once the slowdown exceeds
+	// slowdownCostThreshold. All ranks of a group wait for a slow rank, so it gets requests last.
+	slowdownCost          = 10.0
+	slowdownCostThreshold = 1.3
+	// slowRankThreshold is the slowdown from which a rank counts as slow and gets no requests. Each
+	// of its streams and each of its prompts would prolong the passes of all ranks by that many
+	// times as much as on another rank.
+	slowRankThreshold = 2.0
 )
 
-// withoutSlowRanks leaves out targets whose rank is many times slower than usual, as long as they
+// withoutSlowRanks leaves out targets with a slowdown of slowRankThreshold or more, as long as these
 // are at most half of the targets.
 //
-// It guards against one slow rank in a full group: streams on that rank prolong all passes so much
-// that no stream can end on time. The fixed part of its passes alone exceeds a usual pass, so the
-// other ranks may be full at no extra cost.
+// It guards against one rank of a full group that takes many times as long as usual: streams on
+// that rank prolong all passes so much that no stream can end on time. The fixed part of a pass on
+// that rank alone takes longer than a usual pass, so the other ranks may be full at no extra cost.
 //
 // The lock must be held.
 func (tr *Tracker) withoutSlowRanks(targets []*serving.Target, now time.Time) []*serving.Target {
 	remaining := make([]*serving.Target, 0, len(targets))
 	for _, t := range targets {
 		ts := tr.states[t.Run()]
-		if ts == nil || now.Sub(ts.reported.reportedAt) >= ReportTTL || ts.reported.Slowdown < maxSlowdown {
+		if ts == nil || now.Sub(ts.reported.reportedAt) >= ReportTTL || ts.reported.Slowdown < slowRankThreshold {
 			remaining = append(remaining, t)
 		}
 	}
@@ -43,8 +44,9 @@
 	return remaining
 }
 
-// Place chooses the target of an attempt: the target with the least cost among those that exclude
-// does not reject, or nil if there is none. exclude must not call the tracker.
+// Place chooses the target of an attempt: the target with the least cost in a random sample of the
+// targets that exclude does not reject, or nil if there is none. Ejected targets are used only if
+// there is no other. exclude must not call the tracker.
 func (tr *Tracker) Place(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) *serving.Target {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -64,13 +66,13 @@
 	return best
 }
 
-// hasSlowRank reports whether any group has a rank that is many times slower than usual.
+// hasSlowRank reports whether any group has a rank at slowRankThreshold or above.
 func (tr *Tracker) hasSlowRank(pools []groupPool, now time.Time) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return slices.ContainsFunc(pools, func(p groupPool) bool {
 		state := tr.group(p.key)
-		return now.Sub(state.ReportedAt) < ReportTTL && state.MaxSlowdown >= maxSlowdown
+		return now.Sub(state.ReportedAt) < ReportTTL && state.MaxSlowdown >= slowRankThreshold
 	})
 }
 
@@ -117,9 +119,9 @@
 }
 
 const (
-	// maxIdleConnTargets is the number of targets with idle connections above which these get no
-	// preference. An entry that keeps connections to more than two samples is busy enough to have
-	// one to most targets that it samples.
+	// maxIdleConnTargets is the number of targets with idle connections above which these targets
+	// get no preference. An entry with idle connections to more than two samples of targets is busy
+	// enough to have a connection to most targets that it samples.
 	maxIdleConnTargets = 2 * sampleSize
 	// dialCost only breaks ties between targets with equally many requests.
 	dialCost = 0.25
@@ -135,11 +137,13 @@
 	return slices.Clone(targets[:count])
 }
 
-// withIdleConn returns the targets with an open and idle connection, if they are few among many.
+// withIdleConn returns the targets to which this entry has an open and idle connection, if these are
+// few among many targets.
 //
 // It guards against a new connection for each request: with many entries that each have a request
-// now and then, and many targets, a random target has hardly ever been used by this entry recently,
-// so every request would wait for a connection and its target would pay for it.
+// now and then, and many targets, this entry has hardly ever used a random target recently. So
+// every request would wait for a new connection, and its target would bear the cost of setting it
+// up.
 func (tr *Tracker) withIdleConn(targets []*serving.Target) []*serving.Target {
 	if tr.hasIdleConn == nil || len(targets) <= maxIdleConnTargets {
 		return nil
@@ -156,7 +160,7 @@
 	return idle
 }
 
-// cost rates the load of a target for placement.
+// cost returns the placement cost of a target in units of one running request.
 func (tr *Tracker) cost(t *serving.Target, now time.Time) float64 {
 	cost := float64(tr.load(t, now))
 	if t.DataCentre != tr.dataCentre {
@@ -167,7 +171,7 @@
 		return cost
 	}
 	cost += promptTokenCost * ts.pendingPromptTokens
-	if now.Sub(ts.reported.reportedAt) < ReportTTL && ts.reported.Slowdown > slowdownThreshold && !ablate.Off(ablate.SlowWeight) {
+	if now.Sub(ts.reported.reportedAt) < ReportTTL && ts.reported.Slowdown > slowdownCostThreshold && !ablate.Off(ablate.SlowWeight) {
 		cost += slowdownCost * (ts.reported.Slowdown - 1)
 	}
 	return cost
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -48,7 +48,7 @@
 }
 
 // One rank is twelve times slower than usual, so that passes exceed the objective whatever the
-// number of streams. Fewer streams would only leave more callers without an answer.
+// number of streams. Fewer streams would only leave more callers without a response.
 func TestStreamLimitIsAllSlotsWhenObjectiveIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	m := testModel()
@@ -316,8 +316,8 @@
 }
 
 // The leader agent has stalled, so the expert map is not rebalanced. The limit must use the recent
-// peak of imbalance: with the latest value, a group of 12 exceeded the event-gap objective for four
-// seconds.
+// peak of imbalance: with the usual limit, a group of 12 exceeded the event-gap objective for four
+// seconds and all its streams were late.
 func TestStreamLimitWithoutReportsUsesPeakImbalance(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/ratefleet_test.go
+++ b/placing/ratefleet_test.go
@@ -123,7 +123,7 @@
 	f.permitQueries++
 	owner, runs := f.owner(), e.runs
 	if owner == e {
-		f.applyPermit(e, runs, e.tracker.IssuePermit(limitedRun, f.livingShare(), PermitQuery{ColdRate: f.coldRate}, f.now))
+		f.applyPermit(e, runs, e.tracker.IssuePermit(limitedRun, f.liveShare(), PermitQuery{ColdRate: f.coldRate}, f.now))
 		return
 	}
 	e.tracker.StopIssuingPermits(limitedRun)
@@ -135,7 +135,7 @@
 			return
 		}
 		owner.tracker.RecordRateLimit(RateLimit{Run: limitedRun, Rate: rate}, TimeBounds{Latest: f.now.Add(-age)}, f.now)
-		permit := owner.tracker.IssuePermit(limitedRun, f.livingShare(), PermitQuery{ColdRate: f.coldRate}, f.now)
+		permit := owner.tracker.IssuePermit(limitedRun, f.liveShare(), PermitQuery{ColdRate: f.coldRate}, f.now)
 		f.deliver(func() { f.applyPermit(e, runs, permit) })
 	})
 }
@@ -148,7 +148,7 @@
 	e.tracker.RecordPermitDenied(limitedRun, f.now.Add(wait))
 }
 
-func (f *rateFleet) livingShare() float64 {
+func (f *rateFleet) liveShare() float64 {
 	living := 0
 	for _, e := range f.entries {
 		if !e.down {
@@ -229,7 +229,7 @@
 }
 
 // Entries crash and messages are lost. The fleet must not exceed a rate limit, and the number of
-// permit queries must not grow with the fleet.
+// permit queries must not grow with the number of entries.
 func TestFleetKeepsRateLimitAtAnySize(t *testing.T) {
 	for _, entries := range []int{8, 46, 410} {
 		for seed := range uint64(6) {
--- a/placing/ratelimit.go
+++ b/placing/ratelimit.go
@@ -25,7 +25,7 @@
 // RateLimitUpdate is the effect of a reported rate limit.
 type RateLimitUpdate struct {
 	Propagate    bool // other entries must be notified at once
-	OrderUnknown bool // it allows more, and it is not certain that it is newer than the known limit
+	OrderUnknown bool // the reported limit is higher than the known one and may be older
 }
 
 // Parameters of rate limits.
@@ -38,10 +38,10 @@
 	minRateChange = 0.1
 )
 
-// rateLimits are the reported rate limits by run.
+// rateLimits are the rate limits of targets, by run, and the permits that follow from them.
 type rateLimits struct {
 	byRun    map[serving.Run]*rateLimit
-	cold     map[serving.Run]*coldIssuer // targets of which this entry issues the permits
+	cold     map[serving.Run]*coldPermits // cold targets of which this entry is the permit owner
 	backoffs map[serving.Run]permitBackoff
 }
 
@@ -54,15 +54,15 @@
 
 // permitBackoff is the time during which this entry sends nothing to a target for lack of a permit.
 type permitBackoff struct {
-	until        time.Time // no permit is available before
-	ownerRetryAt time.Time // the permit owner did not respond, and is not asked before
-	cold         bool      // the target is cold; otherwise the backoff is due to its rate limit and ends with it
+	until        time.Time // time before which no permit is available
+	ownerRetryAt time.Time // time before which the permit owner is not asked, because it did not respond
+	cold         bool      // true: the target is cold; false: it has a rate limit, with which the backoff ends
 }
 
 func newRateLimits() rateLimits {
 	return rateLimits{
 		byRun:    make(map[serving.Run]*rateLimit),
-		cold:     make(map[serving.Run]*coldIssuer),
+		cold:     make(map[serving.Run]*coldPermits),
 		backoffs: make(map[serving.Run]permitBackoff),
 	}
 }
@@ -93,7 +93,7 @@
 // update takes in a reported rate limit.
 //
 // Responses may arrive out of order, and gossip arrives late. A lower rate counts if it may be
-// newer than the known one; a higher rate, or none, counts only if it is certainly newer. A limit
+// newer than the known rate; a higher rate, or none, counts only if it is certainly newer. A limit
 // that is kept too long costs some capacity, while a limit that is dropped too early overloads the
 // target.
 func (l *rateLimits) update(reported RateLimit, bounds TimeBounds, now time.Time) (u RateLimitUpdate) {
@@ -234,9 +234,9 @@
 }
 
 // PermitBoundTargets returns the usable targets that need permits, sorted by when a permit may be
-// available; targets that failed recently come last. Targets whose permit owner did not respond are
-// left out; ownerRetry is the time until the first of these owners is asked again, 0 if there are
-// none. exclude must not call the tracker.
+// available; ejected targets come last. Targets whose permit owner did not respond are left out;
+// ownerRetry is the time until the first of these owners is asked again, 0 if there are none.
+// exclude must not call the tracker.
 func (tr *Tracker) PermitBoundTargets(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) (list []*serving.Target, ownerRetry time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -287,8 +287,8 @@
 	tr.limits.backoffs[run] = permitBackoff{until: until, cold: true}
 }
 
-// RecordOwnerUnreachable records that the entry that issues the permits of a target does not
-// respond, and is not asked before until.
+// RecordOwnerUnreachable records that the permit owner of a target does not respond, and that this
+// entry does not ask the owner again before until.
 func (tr *Tracker) RecordOwnerUnreachable(run serving.Run, until time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -25,7 +25,7 @@
 type GroupState struct {
 	Name          string
 	Complete      bool        // all ranks are present and the group runs passes
-	Imbalance     float64     // time that ranks need for their experts, as a multiple of the time with even loads
+	Imbalance     float64     // time of the ranks for their experts, as a multiple of that with even loads
 	PeakImbalance float64     // recent peak of Imbalance
 	MaxSlowdown   float64     // slowdown of the slowest rank
 	MeanRequests  int         // mean requests per target, running and waiting
@@ -74,12 +74,12 @@
 }
 
 // assumeOtherLoad estimates the requests of other entries at each target while there are no
-// reports: as many as this entry has.
+// reports. The estimate is that each other entry has as many requests as this one.
 //
-// It guards against a group's leader agent that has stalled: each entry would see only its own
-// requests and fill all targets by itself, and requests that wait inside the engines would be late
-// or abandoned by their callers. Entries get about the same share of the callers, so the estimates
-// add up to about the real load.
+// It guards against a stalled leader agent, which sends the reports of its group. Each entry would
+// see only its own requests and fill all targets by itself, and requests that wait inside the
+// engines would be late or abandoned by their callers. Entries get about the same share of the
+// callers, so the estimates add up to about the real load.
 //
 // The lock must be held.
 func (tr *Tracker) assumeOtherLoad(p *groupPool, now time.Time) {
@@ -119,8 +119,8 @@
 
 // load returns the number of requests at a target: those of this entry, plus those of other entries
 // by the latest report. A target that is missing from the reports of its group, because its agent
-// is unreachable, counts with at least the mean load of the group. If it counted as empty, all entries would
-// send to it.
+// is unreachable, counts with at least the mean load of the group. If it counted as empty, all
+// entries would send to it.
 func (tr *Tracker) load(t *serving.Target, now time.Time) int {
 	own := 0
 	ts := tr.states[t.Run()]
--- a/placing/request.go
+++ b/placing/request.go
@@ -1,6 +1,10 @@
 // Package placing decides to which target each request is sent and when: how many requests a target
 // takes, and which requests wait, are admitted or are refused. It uses no sockets and no clock:
 // times are arguments, so tests and the load bench run the same decisions in virtual time.
+//
+// An entry is a load balancer process that callers connect to. The targets of a service with model
+// engines are the ranks of one or more groups; the ranks of a group run each forward pass together.
+// The expert map of a group assigns the experts of the model to its ranks.
 package placing
 
 import "time"
@@ -21,7 +25,7 @@
 	// nor as an admission.
 	Requeued bool
 
-	placedAt   time.Time // when it was granted its slot
+	placedAt   time.Time // when it was granted a target
 	placedLate bool      // it was already late at placedAt
 }
 
@@ -31,8 +35,8 @@
 	OutputTokens float64 // estimated tokens to decode
 }
 
-// queueTimeShare of the latency objective may be spent in the admission queue. The rest is what
-// engines need for the first event at usual load.
+// queueTimeShare is the share of the latency objective that a request may spend in the admission
+// queue. The rest is what engines need for the first event at usual load.
 const queueTimeShare = 0.5
 
 // isOnTime reports whether a waiting request can still have its first event within its latency
--- a/placing/shortage.go
+++ b/placing/shortage.go
@@ -4,8 +4,8 @@
 
 // engineShortage tracks how long a group has had fewer engines than ranks.
 //
-// Such a group refuses all requests until the missing engines have started. Without this state each
-// caller would wait for its full time and be refused then, so callers are refused at once.
+// Such a group refuses all requests until the missing engines have started. Callers are therefore
+// refused at once: otherwise each caller would wait for its full time and be refused then.
 type engineShortage struct {
 	ranks     int       // number of ranks of the group
 	sizeSetAt time.Time // when ranks was last set
@@ -44,8 +44,8 @@
 	return now.Sub(s.startedAt)
 }
 
-// ShortageRetryAfter returns the Retry-After for callers of a group whose shortage has lasted for a
-// time. It grows with the shortage, since it is unknown when the missing engines start.
+// ShortageRetryAfter returns the Retry-After for callers of a group that has lacked engines for the
+// given time. It grows with that time, because it is unknown when the missing engines start.
 func ShortageRetryAfter(shortage time.Duration) time.Duration {
 	return min(max(shortage, minRetryAfter), maxRetryAfter)
 }
--- a/placing/shortage_test.go
+++ b/placing/shortage_test.go
@@ -10,7 +10,7 @@
 )
 
 // Ten of twelve engines of a group run and refuse every request. After the time that restarts take,
-// callers must be refused at once instead of after the full wait.
+// callers must be refused at once instead of after a wait of a second and a half each.
 func TestLastingEngineShortageIsReported(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
--- a/placing/slow_test.go
+++ b/placing/slow_test.go
@@ -12,7 +12,7 @@
 )
 
 // One rank is many times slower than usual, and each of its streams delays all others. It gets no
-// requests although it is idle, unless most ranks are slow.
+// requests although it is idle, until it has recovered or unless most ranks are slow.
 func TestVerySlowRankGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -54,7 +54,7 @@
 		return q.CanFinish(r, now)
 	}
 	recordGaps := func(gap time.Duration) {
-		for range 4 * gapWeight {
+		for range 4 * gapSmoothing {
 			q.RecordEventGap(gap, now)
 		}
 	}
--- a/placing/tracker.go
+++ b/placing/tracker.go
@@ -10,7 +10,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Tracker keeps the load, failures and limits that one entry has observed per target, and the
+// Tracker keeps the load, failures and limits that one entry has observed for each target, and the
 // attempts that this entry runs there.
 type Tracker struct {
 	dataCentre  string
