--- a/route/admissionqueue.go
+++ b/route/admissionqueue.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// AdmissionQueue decides for one target which requests run, wait or are refused. All
-// requests of the target pass through it, so its counts are exact, and shares between
-// teams hold over all entries although no entry knows the demand at the others. It keeps
-// the engine's own queue empty, because requests in the engine can't be reordered.
+// AdmissionQueue decides for one target which requests run, wait or are refused. It runs
+// in the agent of the target, through which all requests of the target pass. So its counts
+// are exact, and shares between teams hold over all entries although no entry knows the
+// demand at the others. It keeps the engine's own queue empty, because requests in the
+// engine can't be reordered.
 type AdmissionQueue struct {
 	slots              int
 	queue              *FairQueue
@@ -15,8 +16,8 @@
 	decodeTokens       float64 // tokens still to generate, queued requests included
 	enginePromptTokens float64 // prompt tokens in the engine, not yet computed
 	speed              SpeedEstimator
-	unrecordedTokens   float64 // generated since the last call of recordRunning
-	started            int
+	unrecordedTokens   float64          // generated since the last call of recordRunning
+	started            int              // jobs started so far
 	prefilling         []*Job           // in the engine, prompt not yet computed, in start order
 	workByEntry        map[string]*Work // by entry, queued requests included
 }
@@ -29,7 +30,7 @@
 	UserData any    // not used by the queue
 	Expired  bool   // removed from the queue because its deadline can't be met any more
 
-	deadline time.Duration
+	deadline time.Duration // in the time base of now; 0: none
 
 	work *Work // work of the entry that sent the request
 
@@ -86,8 +87,8 @@
 	return q.completionsNeeded(j)*meanDecode/speed + q.queue.WaitSeconds(j.Team, j.Weight, j.Priority, speed)
 }
 
-// completionsNeeded returns how many running requests must end before the job may start if
-// the queue is empty.
+// completionsNeeded returns how many running requests must end before the job may start.
+// Jobs that are queued before it are not counted.
 func (q *AdmissionQueue) completionsNeeded(j *Job) float64 {
 	if q.queue.TeamCount() < 2 || q.queue.IsUnderserved(j.Team, j.Weight) {
 		return 1
@@ -166,9 +167,10 @@
 	j.work.Decode -= n
 }
 
-// isIdle reports whether the target has no work. An idle target accepts every request:
-// if its speed estimate is wrong, as after a stall, refusing by it would leave the target
-// without the work that corrects the estimate, and it would refuse for ever.
+// isIdle reports whether the target has no work. An idle target accepts every request.
+// If its speed estimate is wrong, as after a stall, refusing requests because of the
+// estimate would leave the target without the work that corrects the estimate, and the
+// target would refuse for ever.
 func (q *AdmissionQueue) isIdle() bool { return q.running == 0 && q.queue.Len() == 0 }
 
 // runTime estimates how long the decode of a job takes in a full engine; 0: unknown.
@@ -211,7 +213,8 @@
 
 // Some slots and some prefill capacity are reserved for teams that have received less than
 // their share. Requests in the engine can't be reordered, so without the reserve a small
-// team would wait for a slot of a large one, and behind all prompts in the engine.
+// team would wait until a request of a large team ends, and behind all prompts in the
+// engine.
 const (
 	slotsPerReserved    = 8     // one slot in this many is reserved
 	promptWindowSeconds = 0.015 // prefill time of the prompts in the engine
@@ -243,9 +246,9 @@
 	return true
 }
 
-// RecordTokens records the tokens that a running job has generated since the last call.
-// Only if the answer is streamed does the arrival of the first token measure the prefill
-// speed.
+// RecordTokens records the n tokens that a running job has generated since the last call.
+// streamed reports whether the answer is streamed: only then does the arrival of the first
+// token measure the prefill speed.
 func (q *AdmissionQueue) RecordTokens(now time.Duration, j *Job, n float64, streamed bool) {
 	if !j.prefilled {
 		if streamed {
--- a/route/admissionqueue_test.go
+++ b/route/admissionqueue_test.go
@@ -57,8 +57,8 @@
 	g.Expect(q.Pop(0)).To(BeNil())
 }
 
-// A team has queued far more than its share. A request of a small team that arrives then
-// starts next, before all queued requests, because its team has received less than its share.
+// A team has queued far more than its share. A request of a small team that arrives later
+// starts before all queued ones, because the small team has received less than its share.
 func TestRequestOfUnderservedTeamStartsNext(t *testing.T) {
 	g := NewWithT(t)
 	queue := route.NewAdmissionQueue(4, 1000)
@@ -85,7 +85,7 @@
 }
 
 // Requests arrive, run, end and are removed in any order. The counts of work must return to
-// zero: a leak would make the target look busy for ever, or its queue shorter than it is.
+// zero: a leak would make the target look busy for ever, and its queue shorter than it is.
 func TestWorkCountsReturnToZeroWhenAllJobsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -167,9 +167,9 @@
 	g.Expect(admission).To(Equal(route.Admitted))
 }
 
-// An engine is too slow to meet any deadline for some minutes and then recovers. If the queue
-// went on rejecting by the estimate from the slow time, no request would run that could
-// correct the estimate, and the target would stay unused.
+// An engine is too slow to meet any deadline for some minutes and then recovers. If the old
+// estimate still rejected all requests, none would run that could correct it, and the target
+// would stay unused.
 func TestRecoveredEngineIsUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	queue := route.NewAdmissionQueue(4, 100)
--- a/route/cost.go
+++ b/route/cost.go
@@ -27,8 +27,8 @@
 
 // EstimateCost estimates the cost of a model request from the size of its prompt and
 // its limit of generated tokens (0: none). meanAnswerTokens is the observed mean length
-// of answers (0: unknown). It takes precedence over a larger limit because most answers
-// end long before their limit.
+// of answers (0: unknown). The mean takes precedence over a larger limit, because most
+// answers end long before their limit.
 func EstimateCost(promptBytes, maxTokens int, meanAnswerTokens float64) Cost {
 	decode := orDefault(meanAnswerTokens, defaultDecodeTokens)
 	if maxTokens > 0 {
@@ -40,7 +40,8 @@
 var eventPrefix = []byte("data:")
 
 // EstimateTokens estimates the tokens in a chunk of an answer: one for each event of a
-// stream, else by its size. streamed reports whether the chunk holds stream events.
+// stream, otherwise one for each bytesPerToken bytes. streamed reports whether the chunk
+// holds stream events.
 func EstimateTokens(chunk []byte) (n int, streamed bool) {
 	if n := bytes.Count(chunk, eventPrefix); n > 0 {
 		return n, true
--- a/route/eject.go
+++ b/route/eject.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	failuresToEject = 5 // consecutive failures
-	minEjection     = 2 * time.Second
+	failuresToEject = 5               // consecutive failures
+	minEjection     = 2 * time.Second // duration of the first ejection
 	maxEjection     = time.Minute
-	rampUp          = 10 * time.Second
-	minRampShare    = 0.1 // share of its requests that a target gets right after its ejection
+	rampUp          = 10 * time.Second // time in which a target returns to its full share
+	minRampShare    = 0.1              // share of its requests that a target gets right after its ejection
 )
 
 // NewEjector returns an Ejector without any recorded results.
@@ -80,9 +80,9 @@
 
 // Excluded returns the targets to leave out of one placement. A target whose ejection has
 // ended is included with a probability that grows from minRampShare to 1 over rampUp, so
-// that a target that still fails costs few requests; draw returns a random number in
-// [0,1) for each such target. At most half of the targets are excluded: if more fail, the
-// cause is not in the targets, and the rest would be overloaded by all requests.
+// that few requests fail at a target that has not recovered; draw returns a random number
+// in [0,1) for each such target. At most half of the targets are excluded: if more fail,
+// the cause is not in the targets, and all requests together would overload the rest.
 func (j *Ejector[T]) Excluded(names []T, now time.Time, draw func() float64) map[T]bool {
 	excluded := make(map[T]bool)
 	if len(j.targets) == 0 {
--- a/route/fairqueue.go
+++ b/route/fairqueue.go
@@ -19,8 +19,8 @@
 	lastOrder   uint64
 }
 
-// fairCreditTokens bounds how far a team may fall behind its share. Without it a team
-// within its share would wait after each of its long answers as if it were over its
+// fairCreditTokens bounds how far a team may fall behind its share. Without this credit a
+// team within its share would wait after each of its long answers as if it were over its
 // share. With it a team that was idle goes first for at most this many tokens.
 const fairCreditTokens = 4000.0
 
@@ -42,8 +42,8 @@
 const rateWindow = time.Second
 
 // recordServed counts the cost of a request popped for a team, and updates the team's
-// rate. The rate is the team's measured share of the target: future requests of other
-// teams can't be known, but the service that the team received can.
+// rate. WaitSeconds estimates with this measured rate, because the future requests of other
+// teams are unknown.
 func (t *teamQueue) recordServed(now time.Duration, cost float64) {
 	t.servedCost += cost
 	d := now - t.windowStart
@@ -119,7 +119,7 @@
 }
 
 // HeadIsUnderserved reports whether the next request belongs to a team that has received
-// less than its share, relative to a team that is or was queued.
+// less than its share, while another team that has or had queued requests received more.
 func (q *FairQueue) HeadIsUnderserved() bool {
 	return len(q.waiting) > 0 && q.waiting[0].startTag < q.virtualTime
 }
@@ -171,10 +171,10 @@
 }
 
 // WaitSeconds estimates how many seconds a new request of a team would be queued, if the
-// target serves speed tokens a second. If the rate of the team is known, the estimate
-// uses that rate. Otherwise the request waits for the team's own queued requests and, for
-// each other team, for the smaller of its queued cost and what its weight entitles it to
-// in that time.
+// target serves speed tokens a second. If the team's rate is known, the estimate uses that
+// rate. Otherwise the request waits for the queued requests of its own team and, for each
+// other team, for the smaller of the other team's queued cost and the cost that its weight
+// entitles it to in that time.
 func (q *FairQueue) WaitSeconds(team string, weight float64, priority int8, speed float64) float64 {
 	ownCost, startTag := 0.0, q.earliestStartTag(weight)
 	if t := q.teams[team]; t != nil {
--- a/route/home.go
+++ b/route/home.go
@@ -24,9 +24,9 @@
 }
 
 // HomeIndex returns the index of the home of a non-repeatable request, the one target that
-// may run it, by rendezvous hashing of key and target name. It depends only on the
-// declared targets and not on which of them seem alive, so two entries can't choose
-// different homes. It returns -1 if names is empty.
+// may run the request, by rendezvous hashing of key and target name. The result depends
+// only on the declared targets and not on which of them seem alive, so two entries can't
+// choose different homes. It is -1 if names is empty.
 func HomeIndex(key string, names []string) int {
 	best, bestHash := -1, uint64(0)
 	for i, name := range names {
--- a/route/limit.go
+++ b/route/limit.go
@@ -17,8 +17,8 @@
 
 // DemandPeriod is the period at which the members of a team, the entries that keep its
 // limits, propagate its demand to each other. For one period after demand has moved from
-// one entry to another both may admit it, so a team can get up to twice its limit for
-// that long.
+// one entry to another both entries may admit it, so a team can get up to twice its limit
+// for that long.
 const DemandPeriod = time.Second
 
 const (
@@ -64,7 +64,7 @@
 	return seconds((need - b.level) / rate)
 }
 
-// nonMemberRetryAfter is the retry delay where the rate is zero, so that no wait suffices.
+// nonMemberRetryAfter is the retry delay where the rate is zero and no wait would suffice.
 const nonMemberRetryAfter = 5 * time.Second
 
 // TeamLimiter enforces one entry's share of a team's limits. Times are durations since an
@@ -133,9 +133,9 @@
 }
 
 // EndPeriod ends a period. It returns the demand in requests a second and whether to
-// propagate it to the other members. A change is propagated if it is a relevant part of
-// the limit, and a demand above zero is propagated again every demandRefreshPeriods. Most
-// teams use a small part of their limits and cause no messages.
+// propagate it to the other members. A change of more than minDemandChange is propagated,
+// and a demand above zero is propagated again every demandRefreshPeriods. Most teams use a
+// small part of their limits and cause no messages.
 func (t *TeamLimiter) EndPeriod() (demand float64, propagate bool) {
 	t.smoothedDemand += demandWeight * (t.requestsInPeriod/DemandPeriod.Seconds() - t.smoothedDemand)
 	t.requestsInPeriod = 0
@@ -163,15 +163,15 @@
 	t.memberDemands[member] = memberDemand{demand: demand, receivedAt: now}
 }
 
-// IsIdle reports whether the team has no requests in flight and sent none for the given time,
-// so that its limiter can be dropped.
+// IsIdle reports whether the team has no requests in flight and has sent none for longer than
+// after, so that its limiter can be dropped.
 func (t *TeamLimiter) IsIdle(now, after time.Duration) bool {
 	return t.inFlight == 0 && now-t.lastRequestAt > after
 }
 
 // share returns this entry's part of the rate limits and its number of concurrent requests.
-// All members compute with propagated demands, also for themselves, so that their shares
-// add up to the limit.
+// Each member uses the propagated demands, also for its own demand, so that the shares of
+// all members add up to the limit.
 func (t *TeamLimiter) share(now time.Duration, inFlight int, m LimitMembership) (float64, int) {
 	index := slices.Index(m.Members, m.Self)
 	if index < 0 {
--- a/route/place.go
+++ b/route/place.go
@@ -1,6 +1,10 @@
 // Package route decides about requests: the choice of a target, admission and refusal,
 // retries, ejection and rate limits. The package is pure: time, randomness and all state
 // outside the package are arguments.
+//
+// An entry is a load balancer process that callers connect to. An agent is the process
+// beside a target through which all requests of the target pass. A team is a group of
+// callers.
 package route
 
 import "time"
@@ -21,8 +25,8 @@
 	PrefillPerSec     float64 // prefill speed in prompt tokens; 0: unknown
 
 	// Others is the work of other entries by the latest load report (see
-	// LoadMeans.DiscountStale). Own is this entry's work by its own count. So each request
-	// is counted exactly once, however late a report is.
+	// LoadMeans.DiscountStale). Own is this entry's work by its own count. Because the two
+	// are separate, each request is counted exactly once, however late a report is.
 	Others Work
 	Own    Work
 
@@ -129,9 +133,10 @@
 )
 
 // MaxWait returns the wait for the first token up to which the agent of a candidate accepts
-// the request; zero: no bound. The agent knows its load exactly, the entry only from an
-// older report. A request that the agent sends back has not run and costs one round trip.
-// Without this bound, entries that read the same old reports overload the same targets.
+// the request; zero: no bound. The agent knows the load of its target exactly, the entry
+// only from an older report. A request that the agent sends back has not run and costs one
+// round trip. Without this bound, entries that read the same old reports would overload the
+// same targets.
 func (p *Placer) MaxWait(r *Request, c *Candidate) time.Duration {
 	if p.WaitSlack <= 0 {
 		return 0
@@ -154,7 +159,8 @@
 		}
 	}
 	found := p.sample(r, pool, d, &rnd, 0, near, p.NearSamples)
-	// If there are too few usable targets nearby, the rest of the sample comes from elsewhere.
+	// If the entry's data centre has too few usable targets, the rest of the sample comes
+	// from elsewhere.
 	far := p.FarSamples + p.NearSamples - found
 	found = p.sample(r, pool, d, &rnd, near, n, far)
 	if found < far && near > p.NearSamples {
--- a/route/place_test.go
+++ b/route/place_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// The target that has cached the prompt is chosen although it is not sampled, but not when
-// the wait in its queue is longer than the prefill of the prompt elsewhere.
+// The target that has cached the prompt is chosen although it is not sampled, unless the
+// wait in its queue is longer than the prefill of the prompt elsewhere.
 func TestPickPrefersCachedPrefixUnlessQueueIsLonger(t *testing.T) {
 	g := NewWithT(t)
 	pool := newPool(60, 60)
--- a/route/quarantine.go
+++ b/route/quarantine.go
@@ -41,11 +41,11 @@
 }
 
 const (
-	suspectTTL          = time.Minute
-	rejectTTL           = 5 * time.Minute
-	unrelatedWindow     = 30 * time.Second
+	suspectTTL          = time.Minute      // after the latest crash
+	rejectTTL           = 5 * time.Minute  // after the crash that identified the request
+	unrelatedWindow     = 30 * time.Second // before and after a crash
 	crashTTL            = 10 * time.Minute // longer than agents repeat a crash report
-	minUnrelatedCrashes = 3                // crashes that the suspect was not running at
+	minUnrelatedCrashes = 3                // crashes at which the suspect was not running
 	maxSuspects         = 4096
 )
 
--- a/route/rejections.go
+++ b/route/rejections.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RejectionHistory records which targets sent a request back, and the wait that each target
-// expected. The waits are exact and hold for the team of the request, unlike estimates
-// from load reports.
+// RejectionHistory records which targets sent one request back, and the wait that each
+// target expected. These waits are exact and hold for the team of the request, unlike
+// estimates from load reports.
 type RejectionHistory struct {
 	n       int
 	targets [maxSendBacks]string
@@ -13,7 +13,7 @@
 
 // A request is sent back at most maxSendBacks times: normalSendBacks times by targets whose
 // load is higher than estimated, and once more by a target that is no better than the best
-// of those. Then the request goes to that best target, which must accept it.
+// of those. Then the request goes to the best of these targets, which must accept it.
 const (
 	maxSendBacks    = 3
 	normalSendBacks = 2
--- a/route/retry.go
+++ b/route/retry.go
@@ -11,7 +11,7 @@
 // whole gets little more load than its callers send. The zero value is the budget of a
 // service without traffic so far.
 type RetryBudget struct {
-	tokens float64 // at least -maxOverdraft
+	tokens float64 // saved retries; at least -maxOverdraft
 }
 
 const (
@@ -68,13 +68,13 @@
 func RetryRuleFor(code result.Code, repeatable bool) RetryRule {
 	switch code {
 	case result.TargetLeaving:
-		if repeatable { // there is no other home yet for a home that leaves
+		if repeatable { // a home that leaves has no replacement yet
 			return RetryFree
 		}
 	case result.StaleAgent, result.TargetIsolated, result.WaitTooLong:
 		return RetryFree
 	case result.NoTarget, result.Unreachable, result.TargetBusy:
-		if repeatable { // there is no other home for an unavailable home either
+		if repeatable { // an unavailable home has no replacement either
 			return RetryBudgeted
 		}
 	case result.StaleVersion:
--- a/route/speed.go
+++ b/route/speed.go
@@ -18,11 +18,11 @@
 // The quotient of time and tokens does not work as an estimate: each first token takes at
 // least one step, so an engine with many prompts queued would look faster than an idle one
 // and attract even more requests. A joint fit of base and slope does not work either: if
-// all observations are similar it can return any base, and a target that looks slow by
-// chance would get no requests that could correct the estimate.
+// all observations are similar, such a fit can return any base, and a target that looks
+// slow by chance would get no requests that could correct the estimate.
 type lineFit struct {
 	base   float64 // close to the shortest time observed
-	xx, xy float64
+	xx, xy float64 // decaying sums of x*x and of x*(y-base)
 }
 
 func (l *lineFit) add(x, y float64) {
--- a/route/subset.go
+++ b/route/subset.go
@@ -53,8 +53,9 @@
 const EntriesPerTeam = 3
 
 // TeamMembers returns the entries that keep a team's limits, at most n, in order of their
-// rendezvous hash. Only a subset keeps them, so that few entries hold the state of a team
-// and exchange its demand. The result is the same at all entries with the same list.
+// rendezvous hash, highest first. Only a subset of the entries keeps the limits, so that few
+// entries hold the state of a team and exchange its demand. The result is the same at all
+// entries with the same list.
 func TeamMembers(team string, entries []Node, n int) []Node {
 	type ranked struct {
 		node   Node
--- a/route/wait.go
+++ b/route/wait.go
@@ -4,8 +4,9 @@
 // penalties.
 type WaitScorer struct {
 	RemotePenaltySec float64 // for a target in another data centre
-	// LoadPenaltySec is the penalty for a full engine. Among targets without a queue the
-	// target with fewer requests generates faster.
+	// LoadPenaltySec is the penalty for a full engine. It falls in proportion to the
+	// occupied slots, because among targets without a queue the target with fewer requests
+	// generates faster.
 	LoadPenaltySec float64
 }
 
@@ -39,7 +40,7 @@
 // longer a queue is, the less its length says about the wait: the queue is ordered by
 // shares, so most of it may belong to another team and not delay this request. If the
 // length counted in full, the requests of all small teams would go to the few targets where
-// a large team has the least work, and overload them.
+// a large team has the least work, and overload these targets.
 const maxQueueWaitSeconds = 0.2
 
 // ownWaitSeconds returns the time to the first token of r at t if t had no other work.
@@ -102,12 +103,12 @@
 // DiscountStale returns the estimated work of other entries at a target, from a load report
 // that is age seconds old.
 //
-// A difference from the mean that the target could have worked off since the report gets a
-// low weight. All entries read the same old report. If each compensated for the whole
-// difference, they would together overcompensate many times, and the load would oscillate
-// between targets. So the weight is lower the more of the load belongs to other entries.
-// The part of a difference beyond that keeps its full weight: a target that was empty while
-// all others had long queues is still the better one.
+// The part of a difference from the mean that the target could have worked off since the
+// report gets a low weight. All entries read the same old report. If each entry compensated
+// for the whole difference, they would together overcompensate many times, and the load
+// would oscillate between targets. So the weight is lower the more of the load belongs to
+// other entries. The rest of the difference keeps its full weight: a target that was empty
+// while all others had long queues is still the better one.
 func (m *LoadMeans) DiscountStale(reported Work, age float64) Work {
 	entries := 1.0
 	if m.Own.Requests > 0 {
