--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	budgetSlotCount      = 24 // more than one window: the counters of a whole window are always kept
+	budgetSlotCount      = 24 // 20 cover a window; the rest ensure that no sum covers less
 	budgetSlotsPerWindow = 20.0
 	// budgetUtilization is the share of the budget that is used. It leaves a margin because
-	// entries come and go, and each entry has an outdated count of them.
+	// entries come and go, and the entries' counts of each other may be outdated.
 	budgetUtilization = 0.8
 )
 
--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -9,15 +9,15 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// cluster is this entry's view of all entries, and the exchange of store topics, failure reports
-// and rate limits with them.
+// cluster is this entry's view of all entries. It exchanges store topics, failure reports and rate
+// limits with them.
 type cluster struct {
 	g          *Gateway
 	membership *members.Membership
 
 	mu              sync.Mutex
 	peerTopics      map[string][]peers.TopicState // by entry, as of its latest probe or ack
-	requestedTopics uint8                         // bit set of topics that are being requested from some peer
+	requestedTopics uint8                         // bit set of the topics in open requests to peers
 }
 
 func newCluster(g *Gateway) *cluster {
@@ -52,7 +52,7 @@
 	return c.g.Ready(), c.g.state.isStoreReachable()
 }
 
-// presence returns the presence that this entry announces.
+// presence returns the description of this entry that it announces to peers.
 func (c *cluster) presence() peers.Presence {
 	p, _ := c.membership.Table().UpdateSelf(c.LocalState())
 	return p
@@ -64,8 +64,8 @@
 // notify propagates this entry's updates to other entries at once.
 func (c *cluster) notify() { c.membership.Disseminate() }
 
-// readerPosition returns this entry's position in the order in which entries read the store, and
-// the number of live entries. Entries that do not reach the store come last.
+// readerPosition returns this entry's position in the order in which live entries read the store,
+// 0 for the first, and the number of live entries. Entries that do not reach the store come last.
 func (c *cluster) readerPosition() (position, count int) {
 	return c.membership.Table().PositionAmongAlive(c.g.state.isStoreReachable())
 }
@@ -76,7 +76,7 @@
 	return alive
 }
 
-// knownCount returns the number of entries known recently, including lost ones.
+// knownCount returns the number of recently known entries, including lost ones and this one.
 func (c *cluster) knownCount() int {
 	_, known := c.membership.Table().Counts()
 	return known
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -120,8 +120,8 @@
 	g.Expect(s.snapshot().targets["plain"]).To(BeEmpty())
 }
 
-// A target writes a record at every heartbeat. Records that change only the sequence must not be
-// propagated to peers.
+// A target writes a record at every heartbeat. A record that only shows that the target is alive
+// must not be propagated to peers.
 func TestUnchangedTargetHeartbeatsAreNotPropagated(t *testing.T) {
 	g := NewWithT(t)
 	s := testReplicaState()
@@ -136,8 +136,8 @@
 	g.Expect(update.Records).To(HaveLen(1))
 }
 
-// Three entries keep passing on the freshness of a topic that one of them read once. If any of
-// them overstated it, they would keep each other from reading the store.
+// Three entries keep passing on the freshness of a topic that one of them read once. If acks or
+// late probes overstated it, they would keep each other from reading a store that only they reach.
 func TestPropagatedFreshnessIsNeverOverstated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -15,7 +15,7 @@
 }
 
 // directoryTTL is how long callers may cache an answer. Some callers cache it for three times as
-// long, so a stopping entry is gone from all caches within the usual shutdown grace of 8 s.
+// long. A stopping entry is then gone from all caches within the usual shutdown grace of 8 s.
 const directoryTTL = 2 * time.Second
 
 // Entries returns the entries for callers in a data centre: the entries there, or all entries if
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -83,7 +83,7 @@
 }
 
 // acquireTarget returns the target of the next attempt and records the attempt there. If the
-// target needs a permit, acquireTarget returns once the permit is valid.
+// target needs a permit, acquireTarget returns only when the permit is valid.
 func (d *dispatch) acquireTarget(ctx context.Context) (*serving.Target, *result.Error) {
 	d.r.placement.AvoidRateLimited, d.r.placement.Requeued = false, false
 	for permitRequests := 1; ; permitRequests++ {
@@ -102,7 +102,7 @@
 }
 
 // selectTarget returns a target for the next attempt and records the attempt there. It returns
-// nil if there is no target, or if all targets are rate limited.
+// nil if there is no target, or if all targets report a rate limit.
 func (d *dispatch) selectTarget(ctx context.Context) (*serving.Target, *result.Error) {
 	if queue := d.g.admissionQueue(d.r.service); queue != nil && d.mustQueue() {
 		return d.awaitAdmission(ctx, queue)
@@ -139,13 +139,15 @@
 // wasTried reports whether the request was sent to this run of a target before.
 func (d *dispatch) wasTried(target *serving.Target) bool { return d.triedRuns[target.Run()] }
 
-// awaitAdmission waits in the admission queue for a target. It returns nil if all targets are
-// rate limited.
+// awaitAdmission waits in the admission queue for a target. It returns nil if all targets report
+// a rate limit.
 func (d *dispatch) awaitAdmission(ctx context.Context, queue *placing.AdmissionQueue) (*serving.Target, *result.Error) {
 	isDown, downFor := d.g.tracker.IsServiceDown(d.r.service.Name, time.Now())
 	queue.SetServiceDown(isDown)
-	if downFor > 0 && queue.HasWaiting() { // one request still waits as a probe, to notice when engines accept requests again
-		e := result.New(result.NoTarget, "group of service %s has had missing engines for %d ms", d.r.service.Name, downFor.Milliseconds())
+	// While engines are missing, one request at a time is queued to notice when they are back. The
+	// others are refused.
+	if downFor > 0 && queue.HasWaiting() {
+		e := result.New(result.NoTarget, "all groups of service %s have lacked engines for %d ms", d.r.service.Name, downFor.Milliseconds())
 		e.RetryAfter = placing.ShortageRetryAfter(downFor)
 		return nil, d.preferLastError(e)
 	}
@@ -162,7 +164,7 @@
 	}
 	waiter, retryAfter, ok := queue.Enqueue(&d.r.placement, time.Now())
 	if !ok {
-		e := result.New(result.WaitTooLong, "expected wait is too long, retry in %d ms", retryAfter.Milliseconds())
+		e := result.New(result.WaitTooLong, "expected wait of %d ms exceeds the limit of the request", retryAfter.Milliseconds())
 		e.RetryAfter = retryAfter
 		return nil, e
 	}
@@ -241,7 +243,7 @@
 	case e.Code == result.CallerGone || e.Code == result.DeadlinePast:
 		return false
 	case e.Code == result.Unreachable:
-		return true // no target received anything
+		return true // no target received anything, so the retry needs no budget
 	}
 	return d.g.retryBudget(d.r.service.Name).tryAcquire(time.Now(), d.g.cluster.knownCount())
 }
@@ -262,7 +264,8 @@
 	}
 	d.g.recordRateLimit(a)
 	if e := d.checkResponse(a); e != nil {
-		d.triedRuns[target.Run()] = e.Code != result.RankLost // after a rank loss the target may be used again once its group has recovered
+		// After a rank loss the target may be used again once its group has recovered.
+		d.triedRuns[target.Run()] = e.Code != result.RankLost
 		a.close()
 		return nil, e
 	}
@@ -324,20 +327,21 @@
 		return result.New(result.AnswerBroken, "%s answered %d without a seal", a.target.ID, status)
 	case status/100 == 5 && d.r.route.Repeatable() && d.mayHaveRunCount < d.r.route.MaxAttempts && d.hasAlternative():
 		d.g.tracker.RecordOutcome(a.target, false, time.Now())
-		return result.New(result.EngineLost, "%s answered with error status %d", a.target.ID, status)
+		return result.New(result.EngineLost, "%s answered with status %d", a.target.ID, status)
 	}
 	d.g.tracker.RecordOutcome(a.target, status/100 != 5, time.Now())
 	return nil
 }
 
-// hasAlternative reports whether another target can take the request. Without one, the target's
-// own error response is passed to the caller.
+// hasAlternative reports whether another target can take the request now. If there is none, the
+// target's own error response is passed to the caller.
 func (d *dispatch) hasAlternative() bool {
 	targets := d.g.tracker.AllowedTargets(d.targets(), &placing.Request{AvoidRateLimited: true})
 	return d.g.tracker.Place(targets, d.wasTried, time.Now()) != nil
 }
 
-// endAttempt records the end of an attempt and admits a queued request if there is room now.
+// endAttempt records the end of an attempt and admits queued requests into the headroom that it
+// leaves.
 func (g *Gateway) endAttempt(state *placing.TargetState, r *request) {
 	g.tracker.EndAttempt(state, &r.placement, time.Now())
 	g.admitIfQueued(r.service.Name)
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -64,7 +64,8 @@
 	return -1
 }
 
-// accept reports whether an event is to be forwarded. Events without an id always are.
+// accept reports whether an event is to be forwarded. Events without an id always are, repeated
+// events never. The error is errEventGap if events are missing before this one.
 func (s *eventScanner) accept(event []byte) (bool, error) {
 	id, ok := eventID(event)
 	if !ok {
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -43,7 +43,7 @@
 			return // a carriage return at the end of a piece may join two events
 		}
 		if string(want) != string(got) || (wantErr == nil) != (gotErr == nil) {
-			t.Errorf("whole: %q, %v; in pieces of %d: %q, %v", want, wantErr, step, got, gotErr)
+			t.Errorf("at once: %q, %v; in pieces of %d bytes: %q, %v", want, wantErr, step, got, gotErr)
 		}
 	})
 }
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -9,15 +9,16 @@
 	"github.com/heatherrail/heatherrail/upstream"
 )
 
-// A target that has not started its response within timeoutObjectiveFactor times the latency
-// objective, or within timeoutDeadlineShare of the request's time if there is no objective, has
-// timed out. The timeout counts against the target; the request itself goes on.
+// A target has timed out if it does not start its response within timeoutObjectiveFactor times the
+// latency objective. Without an objective, the limit is timeoutDeadlineShare of the time between
+// the request's arrival and its deadline. The timeout counts against the target; the request goes
+// on.
 const (
 	timeoutObjectiveFactor = 2
 	timeoutDeadlineShare   = 0.5
 )
 
-// responseTimeout returns the time after which the target of this request has timed out.
+// responseTimeout returns how long a target may take to start its response to this request.
 func (r *request) responseTimeout() time.Duration {
 	if r.route.LatencyObjective > 0 {
 		return timeoutObjectiveFactor * r.route.LatencyObjective
@@ -25,7 +26,8 @@
 	return fractionOf(r.deadline.Sub(r.arrived), timeoutDeadlineShare)
 }
 
-// watchTimeout records a timeout of the target unless stop is called in time.
+// watchTimeout records a timeout of the target if stop is not called within responseTimeout. For a
+// rank of a group, stop(true) also records the response.
 func (d *dispatch) watchTimeout(target *serving.Target) (stop func(answered bool)) {
 	sentAt, isRank := time.Now(), d.g.admissionQueue(d.r.service) != nil
 	timer := time.AfterFunc(d.r.responseTimeout(), func() {
@@ -39,8 +41,9 @@
 	}
 }
 
-// recordBrokenConn ejects a target that broke a newly opened connection, and notifies the other
-// entries. A reused connection is ignored: the target may have closed it because it was idle.
+// recordBrokenConn records that a target broke a newly opened connection, which may eject the
+// target here and at the other entries. A reused connection is ignored: the target may have closed
+// it because it was idle.
 func (d *dispatch) recordBrokenConn(target *serving.Target, sendErr *upstream.SendError) {
 	if sendErr == nil || !sendErr.NewConnection || d.g.admissionQueue(d.r.service) != nil {
 		return
@@ -48,7 +51,8 @@
 	d.reportFailure(target, "broke off", d.g.tracker.RecordBrokenConnection(target, time.Now()))
 }
 
-// reportFailure logs an ejection and notifies the other entries if needed.
+// reportFailure logs an ejection, and notifies the other entries of a failure report that is to be
+// propagated at once.
 func (d *dispatch) reportFailure(target *serving.Target, cause string, decision placing.EjectionDecision) {
 	if decision.Ejected {
 		d.g.opts.Log.Info("target kept out", "target", target.ID, "seen", cause, "request", d.r.id)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -11,12 +11,12 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// loadFollower follows the loads of all groups of a service, with one reader per group. It learns
-// from the engines which groups exist: while some engines belong to no group that is read, one
-// reader polls these engines.
+// loadFollower keeps the loads of all rank groups of a service up to date, with one reader per
+// group. It learns from the engines which groups exist: while some engines belong to no group with
+// a reader, one more reader polls these engines.
 //
 // If an entry knew the loads of only one of several groups, it would assume the same load for the
-// others, and queues would form in some engines while others had room.
+// others, and queues would form in some engines while others had headroom.
 type loadFollower struct {
 	g       *Gateway
 	service string
@@ -25,15 +25,14 @@
 	engines   map[string][]string    // engine addresses by group
 	readers   map[string]*loadReader // by group
 	searching bool                   // a reader is looking for a group
-	noGroupAt map[string]time.Time   // when an engine was last found to be unreachable or in no group, by address
+	noGroupAt map[string]time.Time   // by engine address: when a search there last failed
 }
 
 const (
-	// groupSearchInterval is the pause between two searches for a group that is not read yet.
-	// Such a group gets no requests while another group runs.
+	// groupSearchInterval is the pause between two searches for a group without a reader. Such
+	// a group gets no requests while another group runs.
 	groupSearchInterval = 100 * time.Millisecond
-	// engineRetryDelay is how long an engine is not polled again after it was unreachable or in
-	// no group.
+	// engineRetryDelay is how long a search skips an engine that was unreachable or in no group.
 	engineRetryDelay = 5 * time.Second
 )
 
@@ -60,8 +59,8 @@
 	}
 }
 
-// tryBeginSearch marks a search for a group as started and returns true if a new reader is needed
-// for it.
+// tryBeginSearch reports whether a new reader is to search for a group, and marks the search as
+// started.
 func (f *loadFollower) tryBeginSearch() bool {
 	snap := f.g.state.snapshot()
 	if snap == nil {
@@ -124,9 +123,9 @@
 	f.engines[group] = engines
 }
 
-// stopIfUnneeded reports whether a reader ends after a failed poll. It ends if it was looking for
-// a group while other groups are read, so that the next search polls another engine, or if its
-// group has no engines left. The only reader never ends.
+// stopIfUnneeded reports whether a reader ends after a failed poll, and releases its group or its
+// search if so. A reader that was searching ends if other groups have readers, so that the next
+// search polls another engine. A reader with a group ends if the group has no engines left.
 func (f *loadFollower) stopIfUnneeded(r *loadReader) bool {
 	snap := f.g.state.snapshot()
 	f.mu.Lock()
@@ -168,8 +167,8 @@
 	return list
 }
 
-// uncoveredTargets returns the targets that belong to no group that is read, except engines that
-// were polled without success within engineRetryDelay. The lock must be held.
+// uncoveredTargets returns the targets that belong to no group with a reader, except engines that
+// were polled without success within the last engineRetryDelay. The lock must be held.
 func (f *loadFollower) uncoveredTargets(targets []*serving.Target) []*serving.Target {
 	covered := make(map[string]bool)
 	for address, at := range f.noGroupAt {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Gateway is a running entry process.
+// Gateway is a running entry.
 type Gateway struct {
 	opts            Options
 	ctx             context.Context
@@ -35,7 +35,7 @@
 	peerServer      *peers.Server
 	inFlight        atomic.Int64
 	stopping        atomic.Bool
-	refuseAfter     atomic.Pointer[time.Time]
+	refuseAfter     atomic.Pointer[time.Time] // new requests are refused from then on; nil: not stopping
 	started         time.Time
 
 	mu           sync.Mutex
@@ -269,8 +269,8 @@
 
 // Shares of the shutdown grace.
 const (
-	acceptShare          = 0.4 // new requests are accepted until then
-	exitReserveShare     = 0.05
+	acceptShare          = 0.4  // new requests are accepted until then
+	exitReserveShare     = 0.05 // left at the end for the exit of the process
 	shutdownPollInterval = 100 * time.Millisecond
 )
 
@@ -284,9 +284,9 @@
 	g.peerServer.Close()
 }
 
-// Shutdown stops the gateway: it notifies peers and callers, accepts requests until most callers
-// have a new directory answer, and finishes the requests in flight. It returns an error if
-// requests are still in flight at the end.
+// Shutdown stops the gateway. It notifies peers and callers, accepts requests until most callers
+// have a new directory answer, and waits for the requests in flight. It returns an error if
+// requests are still in flight at the end of the shutdown grace.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	start := time.Now()
 	g.opts.Log.Info("stopping", "in_flight", g.inFlight.Load())
--- a/gateway/heartbeat.go
+++ b/gateway/heartbeat.go
@@ -7,8 +7,9 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// PrepareProbe implements members.Piggyback. It adds how much of the store's topics this entry
-// has, and requests what the peer has beyond that.
+// PrepareProbe implements members.Piggyback. It adds the state of this entry's topic replicas,
+// failure reports and rate limits to a probe, and requests topics of which the peer has later
+// records. done ends these requests.
 func (c *cluster) PrepareProbe(name string, probe *peers.Heartbeat) (done func()) {
 	probe.Topics = c.topicStates()
 	probe.RequestedTopics = c.requestTopics(name)
@@ -17,10 +18,10 @@
 	return func() { c.clearRequestedTopics(probe.RequestedTopics) }
 }
 
-// requestTopics returns the topics to request from a peer, as a bit set: topics that the peer
-// knows further and that are not being requested from another peer. Otherwise every entry would
-// receive a new configuration from every other entry, and fill the links. A topic that this entry
-// has never read is read from the store while the store is reachable.
+// requestTopics returns the topics to request from a peer, as a bit set: topics of which the peer
+// has later records and that are not being requested from another peer. If entries requested a new
+// configuration from every peer at once, the copies would fill the links. A topic that this entry
+// has never read is requested only if acceptsUnreadTopics allows it.
 func (c *cluster) requestTopics(name string) uint8 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +41,7 @@
 }
 
 // acceptsUnreadTopics reports whether a topic that this entry has never read may be taken from a
-// peer.
+// peer: during startup, and while the store is unreachable. Otherwise it is read from the store.
 func (c *cluster) acceptsUnreadTopics() bool {
 	return c.g.isStarting() || !c.g.state.isStoreReachable()
 }
@@ -51,7 +52,7 @@
 	c.requestedTopics &^= topics
 }
 
-// topicStates returns how much of each of the store's topics this entry has.
+// topicStates returns up to which offset this entry has each topic, and how old the replica is.
 func (c *cluster) topicStates() []peers.TopicState {
 	now := time.Now()
 	replica := c.g.state
@@ -85,9 +86,9 @@
 	return msg
 }
 
-// HandleAck implements members.Piggyback. The peer's data is dated by the time the probe was
-// sent, so its freshness is never overstated, however many entries pass it on. A probe gives no
-// such bound: it may have been delivered late if this process was paused.
+// HandleAck implements members.Piggyback. The age of the peer's data counts from the time when the
+// probe was sent, so its freshness is never overstated, however many entries pass it on. Data in a
+// probe has no such bound: the probe may have been delivered late if this process was paused.
 func (c *cluster) HandleAck(ack *peers.Heartbeat, sent time.Time) {
 	c.recordPeerTopics(ack)
 	changed := c.applyFailureReports(ack.FailureReports)
@@ -107,8 +108,8 @@
 	}
 }
 
-// completeAsOf returns the time as of which a peer's topic was complete, given when the probe was
-// sent.
+// completeAsOf returns the latest time at which a peer's topic was surely complete, given when the
+// probe was sent.
 func completeAsOf(state *peers.TopicState, sent time.Time) time.Time {
 	return sent.Add(-time.Duration(state.AgeMS) * time.Millisecond)
 }
@@ -129,7 +130,7 @@
 	c.g.state.applyPeerUpdate(serving.Topic(msg.Topic), update, completeAsOf(&h.Topics[msg.Topic], sent))
 }
 
-// recordPeerTopics stores how much of each topic a peer has.
+// recordPeerTopics stores the topic states of a peer.
 func (c *cluster) recordPeerTopics(h *peers.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,8 +157,8 @@
 	return orderUnknown || c.isBehind(probe.Topics)
 }
 
-// isBehind reports whether a peer has more of a topic than this entry, or has it as of a time
-// that is later by more than minFreshnessGain.
+// isBehind reports whether a peer has later records of a topic than this entry, or the same
+// records in a replica that is fresher by more than minFreshnessGain.
 func (c *cluster) isBehind(peerTopics []peers.TopicState) bool {
 	now := time.Now()
 	for t := range peerTopics {
@@ -180,6 +181,6 @@
 	return time.Duration(state.AgeMS) * time.Millisecond
 }
 
-// minFreshnessGain is well above the delay between two entries and a small part of the interval
-// between two reads of a topic.
+// minFreshnessGain is well above the network delay between two entries, and a small part of the
+// interval between two reads of a topic.
 const minFreshnessGain = 300 * time.Millisecond
--- a/gateway/kit_test.go
+++ b/gateway/kit_test.go
@@ -98,10 +98,10 @@
 	s.topics[t] = append(s.topics[t], serving.Record{Key: key, Value: text, Offset: uint64(len(s.topics[t]))})
 }
 
-func (s *memStore) setDown(away bool) {
+func (s *memStore) setDown(isDown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isDown = away
+	s.isDown = isDown
 }
 
 func decodeTestConfig(key string, value []byte) (serving.Config, bool, error) {
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -11,21 +11,23 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// loadReader polls the agents of a group's engines for the load of each rank.
+// loadReader polls the agents of a group's engines for the load of each rank. An agent is the
+// process of package lockstep beside an engine; one agent of each group leads it.
 type loadReader struct {
 	g          *Gateway
 	follower   *loadFollower
 	service    string
-	group      string // "": the reader is looking for a group that is not read yet
+	group      string // "": the reader is searching for a group without a reader
 	client     *peers.Client
-	engineAddr string // engine whose agent was picked last
-	rosterID   uint64
-	engines    []string
-	anyAgent   bool // every agent answers, not only the leader's
+	engineAddr string   // engine whose agent was picked last
+	rosterID   uint64   // identifies engines
+	engines    []string // engine addresses of the group, in the order of the loads in reports
+	anyAgent   bool     // every agent has the loads, not only the leader
 }
 
-// Intervals between polls. In a large group every agent answers. In a small group all entries
-// poll one agent, which has little CPU; the interval per entry limits it to 250 polls a second.
+// Intervals between polls. In a large group every agent has the loads. In a small group all entries
+// poll the leader, which has a small part of a core; the interval per entry limits the polls of all
+// entries to 250 a second.
 const (
 	loadsInterval         = 120 * time.Millisecond
 	loadsIntervalPerEntry = 4 * time.Millisecond
@@ -41,6 +43,8 @@
 	return max(loadsInterval, time.Duration(r.g.cluster.liveCount())*loadsIntervalPerEntry)
 }
 
+// poll requests the loads once and applies them. It returns false if the next poll is to wait for
+// loadsRetryDelay, and true also if only the leader's address has been learnt.
 func (r *loadReader) poll(ctx context.Context) bool {
 	if r.client == nil && !r.connectAgent() {
 		return false
@@ -196,7 +200,7 @@
 	return queue
 }
 
-// admitIfQueued admits queued requests of a service after an event that may have freed capacity.
+// admitIfQueued admits queued requests of a service after an event that may have made headroom.
 // It returns early if the queue is empty, which is the usual case: load reports of each group
 // arrive several times a second.
 func (g *Gateway) admitIfQueued(service string) {
@@ -208,7 +212,7 @@
 	}
 }
 
-// admitQueued admits queued requests of a service within its current capacity.
+// admitQueued admits queued requests of a service up to the current headroom of its groups.
 func (g *Gateway) admitQueued(service string) {
 	snap := g.state.snapshot()
 	if snap == nil {
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -1,6 +1,7 @@
-// Package gateway is the process that callers connect to. It gets the accepted configuration and
-// the targets from the platform's store and from its peers, tells callers which entries to
-// connect to, and forwards each request directly to a target.
+// Package gateway implements an entry: a process that callers connect to. An entry gets the
+// accepted configuration and the targets from the platform's store and from its peers, the other
+// entries. It serves callers a directory of the entries to connect to, and forwards each request
+// directly to a target.
 package gateway
 
 import (
@@ -15,7 +16,7 @@
 
 // HeaderNames are the names of the headers that callers and targets use.
 type HeaderNames struct {
-	RequestID   string // of one request of a caller; echoed by targets
+	RequestID   string // of one attempt of a caller; echoed by targets
 	Deadline    string // remaining time in milliseconds
 	Key         string // API key of the caller's team; never forwarded
 	Team        string // team name, sent to the target
@@ -39,31 +40,31 @@
 	PeerAddr    string // address announced to other entries
 	Headers     HeaderNames
 	Store       serving.Store
-	// DecodeConfig decodes a record of serving.TopicConfig. ok is false if the record is no
-	// configuration.
+	// DecodeConfig decodes a record of serving.TopicConfig. ok is false if the record is
+	// not a configuration.
 	DecodeConfig func(key string, value []byte) (c serving.Config, ok bool, err error)
 	// DecodeEvacuation decodes an order to evacuate a data centre, a record of
 	// serving.TopicConfig. A record without a value withdraws the order. ok is false if the
-	// record is no such order.
+	// record is not such an order.
 	DecodeEvacuation func(key string, value []byte) (dataCentre string, ok bool, err error)
 	// DecodeTarget decodes a record of serving.TopicTargets.
 	DecodeTarget func(id string, value []byte) (serving.Target, error)
 
-	DrainTimeout            time.Duration // a leaving target gets no new requests after it
-	ConfigApplyTimeout      time.Duration // an accepted configuration is in force at all entries within it
+	DrainTimeout            time.Duration // within it a leaving target stops getting new requests
+	ConfigApplyTimeout      time.Duration // within it an accepted configuration is in force
 	TargetHeartbeatInterval time.Duration // interval between two records of a live target
 	ShutdownGrace           time.Duration // from the order to stop until the process ends
 	MaxDirectoryTTL         time.Duration // upper limit of the TTL of directory answers
 	MaxDirectoryAddresses   int           // per directory answer; 0: no limit
 	RetryBudget             RetryBudget
-	AgentPort               string                                  // port of the agents on VMs with an engine
+	AgentPort               string                                  // port of the lockstep agents
 	Dial                    func(address string) members.PeerClient // returns a client for another entry; nil: TCP
 
 	Log     logr.Logger
 	Metrics *metrics.Set
 }
 
-// RetryBudget limits the retries of a service over all entries.
+// RetryBudget limits the retries of a service over all entries together.
 type RetryBudget struct {
 	Ratio  float64 // retries per request
 	Slack  float64 // additional retries per window
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -43,8 +43,8 @@
 	g.Expect(string(sent)).To(Equal("payload"))
 }
 
-// Without a configuration the response must say that the request did not run and when to retry.
-// With a configuration, unknown keys and paths must be refused permanently.
+// Without a configuration no request is known to be invalid: the response must say that the request
+// did not run and when to retry. With one, unknown keys and paths must be refused permanently.
 func TestRefusalsWithAndWithoutConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	store := new(memStore)
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -13,21 +13,21 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// A request may go to a target that reports a rate limit, or is cold, only with a permit from the
-// entry that owns the target.
+// A target that reports a rate limit or is cold gets a request only with a permit. The permits of a
+// target are issued by one of the entries, its permit owner.
 const (
 	// maxPermitRequests is the number of permits that may be denied to a request before it avoids
-	// rate-limited targets.
+	// targets that report a rate limit.
 	maxPermitRequests = 2
 	// permitTimeout is many times the network delay between two entries of a region.
 	permitTimeout = 100 * time.Millisecond
-	// permitOwnerRetryDelay is how long this entry sends nothing to a target after the target's
-	// owner did not respond.
+	// permitOwnerRetryDelay is how long this entry sends nothing to a target whose permit owner
+	// did not answer.
 	permitOwnerRetryDelay = 500 * time.Millisecond
 )
 
-// acquirePermit reports whether the request may go to a target now. It gets a permit and waits
-// until the permit is valid if the target needs one.
+// acquirePermit reports whether the request may go to a target now. If the target needs a permit,
+// acquirePermit requests one and waits until it is valid.
 func (d *dispatch) acquirePermit(ctx context.Context, target *serving.Target) bool {
 	coldRate := d.coldRate(target, time.Now())
 	if rate, _ := d.g.tracker.RateLimitOf(target.Run()); rate != placing.Unlimited {
@@ -53,8 +53,8 @@
 	return d.r.service.ColdRate
 }
 
-// awaitPermit waits for a permit of a rate-limited target if one becomes valid in time; otherwise
-// the request is refused at once.
+// awaitPermit waits for a permit of a target that reports a rate limit. If no permit becomes valid
+// within maxPermitWait, the request is refused at once.
 func (d *dispatch) awaitPermit(ctx context.Context) (*serving.Target, *result.Error) {
 	candidates, ownerRetryIn := d.g.tracker.PermitBoundTargets(d.targets(), d.wasTried, time.Now())
 	if len(candidates) == 0 && ownerRetryIn == 0 {
@@ -96,8 +96,9 @@
 	return slices.ContainsFunc(d.targets(), func(o *serving.Target) bool { return o.Run() == target.Run() && o.IsAvailable() })
 }
 
-// maxPermitWait returns how long the request may wait for a permit. The limit lets a request that
-// has just arrived finish on time; requests that cannot leave the permits to others.
+// maxPermitWait returns how long the request may wait for a permit: as long as a request that has
+// just arrived may wait and still be on time. Permits are thus left to requests that can be on
+// time.
 func (r *request) maxPermitWait(now time.Time) time.Duration {
 	remaining := max(r.deadline.Sub(now), 0)
 	if r.placement.LatencyObjective > 0 {
@@ -106,8 +107,8 @@
 	return min(r.placement.MaxWait, remaining)
 }
 
-// requestPermit requests a permit to send a request to a target. If it is denied, this entry does
-// not use the target until a permit may be available.
+// requestPermit requests a permit to send a request to a target. After a denial this entry does not
+// use the target until a permit may be available.
 func (g *Gateway) requestPermit(ctx context.Context, target *serving.Target, q placing.PermitQuery) placing.Permit {
 	permit, answered := g.cluster.requestPermit(ctx, target.Run(), q)
 	now := time.Now()
@@ -128,8 +129,8 @@
 	return permit
 }
 
-// requestPermit requests a permit from the owner of a target. answered is false if the owner is
-// unknown or did not respond.
+// requestPermit requests a permit from the permit owner of a target. answered is false if the owner
+// is unknown or did not answer.
 func (c *cluster) requestPermit(ctx context.Context, run serving.Run, q placing.PermitQuery) (permit placing.Permit, answered bool) {
 	owner, isSelf := c.permitOwner(run)
 	if isSelf {
@@ -153,9 +154,8 @@
 	}, answer.Owner
 }
 
-// callPermit requests a permit from another entry. Calls to an entry are sent one after the
-// other, so the timeout covers the time in the queue too; a permit granted after the timeout is
-// lost.
+// callPermit requests a permit from another entry. Calls to an entry are sent one after the other,
+// so the timeout includes the wait for earlier calls. A permit granted after the timeout is lost.
 func (c *cluster) callPermit(ctx context.Context, owner string, q *peers.PermitQuery) (*peers.PermitResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -197,14 +197,14 @@
 	}, nil
 }
 
-// rateMessageFor returns this entry's knowledge of the rate limit of a target.
+// rateMessageFor returns the rate limit of a target as this entry knows it.
 func (c *cluster) rateMessageFor(run serving.Run, now time.Time) peers.Rate {
 	rate, reportedAt := c.g.tracker.RateLimitOf(run)
 	return newRateMessage(placing.ReportedRateLimit{RateLimit: placing.RateLimit{Run: run, Rate: rate}, ReportedAt: reportedAt}, now)
 }
 
-// permitOwner returns the entry that issues the permits of a target. The name is "" if this entry
-// has just started and knows no other entries, so that the owner is unknown.
+// permitOwner returns the entry that issues the permits of a target. The name is "" if the owner is
+// unknown, because this entry has just started and has not read the records of other entries.
 func (c *cluster) permitOwner(run serving.Run) (name string, isSelf bool) {
 	if alive, _ := c.membership.Table().Counts(); alive == 1 {
 		if _, loaded := c.g.state.readOffset(serving.TopicEntries); !loaded {
--- a/gateway/ratelimit.go
+++ b/gateway/ratelimit.go
@@ -10,8 +10,9 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// recordRateLimit records the rate limit in a response, or its absence. Only a sealed success
-// proves the absence: other processes at the target's address may omit the header.
+// recordRateLimit records the rate limit that a target reports in a response, or that the target
+// reports none. Only a sealed success proves the latter: another process at the target's address
+// may omit the header.
 func (g *Gateway) recordRateLimit(a *attempt) {
 	names := &g.opts.Headers
 	header := &a.resp.Header
@@ -58,7 +59,7 @@
 	maxFullStateRates = 2048 // to an entry that asks for the full state
 )
 
-// rateMessages returns at most limit known rate limits of targets, for other entries.
+// rateMessages returns the known rate limits of at most limit targets, for other entries.
 func (c *cluster) rateMessages(limit int) []peers.Rate {
 	now := time.Now()
 	var messages []peers.Rate
@@ -72,9 +73,9 @@
 	return peers.Rate{Target: rate.Run.ID, StartedAtMS: rate.Run.StartedAtMS, PerSecond: rate.Rate, AgeMS: ageMS(rate.ReportedAt, now)}
 }
 
-// applyRateMessages merges rate limits from another entry. sent is the time of the probe if they
-// came in an ack; it is zero if they came in a probe, as a probe may have been delivered late if
-// this process was paused. propagate means that other entries should be notified at once,
+// applyRateMessages merges rate limits from another entry. For rate limits in an ack, sent is when
+// the probe was sent. For rate limits in a probe it is zero: the probe may have been delivered late
+// if this process was paused. propagate means that other entries should be notified at once,
 // orderUnknown that the sender should be probed to learn which value is newer.
 func (c *cluster) applyRateMessages(messages []peers.Rate, sent time.Time) (propagate, orderUnknown bool) {
 	now := time.Now()
--- a/gateway/ratelimit_test.go
+++ b/gateway/ratelimit_test.go
@@ -35,8 +35,8 @@
 	for _, rate := range []float64{1.5, 1.5, 0.8, placing.Unlimited} {
 		_, _, err := e.request("POST", "/once/x", "k1", "")
 		g.Expect(err).NotTo(HaveOccurred())
-		noted, _ := e.gw.tracker.RateLimitOf(known.Run())
-		g.Expect(noted).To(Equal(rate))
+		recorded, _ := e.gw.tracker.RateLimitOf(known.Run())
+		g.Expect(recorded).To(Equal(rate))
 	}
 }
 
--- a/gateway/reader.go
+++ b/gateway/reader.go
@@ -9,16 +9,16 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Intervals of reads from the store, as shares of the time limits that the platform sets. The
-// rest of each limit is left for the read itself, a failed read, and the propagation to peers.
+// Times of reads from the store. Most are shares of time limits that the platform sets; the rest of
+// each limit is left for the read itself, a failed read, and the propagation to peers.
 const (
-	targetsLeadShare    = 0.35 // of the time after which a leaving target must get no new requests
-	targetsFollowShare  = 0.5  // the same, for entries that usually get the update from a peer
+	targetsLeadShare    = 0.35 // of the time within which a leaving target must stop getting requests
+	targetsFollowShare  = 0.5  // the same, for entries that are usually notified by a peer
 	configWaitShare     = 0.45 // of the time within which a configuration must be in force
 	configFollowShare   = 0.6
 	entriesReadInterval = 10 * time.Second
-	// takeoverSpreadShare is the share of the limit over which the takeover reads of the entries
-	// are spread if the entries before them fail.
+	// takeoverSpreadShare: if the entries that should read fail, the others take over one after
+	// the other, spread over this share of the limit.
 	takeoverSpreadShare = 0.25
 	minReadDelay        = 100 * time.Millisecond
 	maxReadDelay        = 500 * time.Millisecond
@@ -31,16 +31,17 @@
 	leadAge        time.Duration // age of the replica at which the first entry reads
 	followAge      time.Duration // age at which the next entry reads
 	takeoverSpread time.Duration // additional age for the last entry
-	pollWait       time.Duration // how long a read of the first entry waits for changes
+	pollWait       time.Duration // how long a read of the first entry waits in the store for changes
 }
 
 // readLimits returns the replica age at which the entry at a position among count entries reads
-// the store, and how long the read may wait for changes.
+// the store, and how long the read waits in the store for changes.
 //
-// Each call to the store is paid for, so only the first live entry reads and notifies the others.
-// Each other entry reads a little later than the one before it if it has not been notified. A
-// failed or disconnected reader therefore costs only a part of the time limit, and after several
-// failures the other entries do not all read at once.
+// Each call to the store is billed, and the calls of all entries add up. So only the first live
+// entry reads, and it notifies the others at once. An entry that has not been notified reads a
+// little later than the entry before it. A reader that fails or loses the store therefore costs
+// only a part of the time limit, and after several failures the other entries do not all read at
+// once.
 func (s *readSchedule) readLimits(position, count int) (age, wait time.Duration) {
 	if position == 0 || ablate.Off(ablate.StoreTurns) {
 		return s.leadAge, s.pollWait
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -11,11 +11,12 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// The entry records in the store tell a starting entry which peers it can contact. It learns all
-// others from these, so a few records suffice. Each call to the store is paid for, and a
+// A starting entry finds its first peers by the entry records in the store. It learns all other
+// entries from these peers, so a few records suffice. Each call to the store is billed, and a
 // simultaneous start of a large fleet causes most calls of a day.
 const (
-	// minEntryRecords leaves several entries to contact when most of the fleet is lost.
+	// minEntryRecords is the number of live entries that should have a record. It leaves several
+	// entries to contact when most of the fleet is lost.
 	minEntryRecords = 16
 	// registerCheckInterval is how often an entry without a record checks whether more records
 	// are needed.
@@ -24,14 +25,14 @@
 	// records. It is short because until the first records are written, each starting entry finds
 	// no peers, reads all topics and writes a record itself.
 	startupCheckInterval = 2 * time.Millisecond
-	// startupSpread is the time over which simultaneously starting entries read the store one
-	// after the other, unless a peer has sent them the topics before. Requests that arrive
-	// meanwhile wait, so it is a fraction of their latency objective.
+	// startupSpread is the time over which entries that start together read the store one after
+	// the other. An entry that has got the topics from a peer by its turn does not read. Requests
+	// that arrive meanwhile wait, so the spread is a fraction of their latency objective.
 	startupSpread = 300 * time.Millisecond
-	// startupWait is the additional wait for updates from peers or the store.
+	// startupWait is how much longer an entry waits for updates from peers or the store.
 	startupWait = 100 * time.Millisecond
-	// startupPeriod is how long a starting entry takes topics from peers that it has never read
-	// itself.
+	// startupPeriod is how long after its start an entry accepts from peers even topics that it
+	// has never read itself.
 	startupPeriod = time.Second
 )
 
@@ -51,7 +52,7 @@
 //
 // When a few entries start at the same moment, each may read the entry records before the others
 // have written theirs. Until the next read each entry would announce only itself to callers and
-// use the full capacity of a group. So an entry without peers reads again soon, and then at
+// take the full headroom of a group. So an entry without peers reads again soon, and then at
 // growing intervals.
 func (g *Gateway) aloneReadAge() (age time.Duration, ok bool) {
 	if g.cluster.liveCount() > 1 {
@@ -64,8 +65,9 @@
 func (g *Gateway) isStarting() bool { return time.Since(g.started) < startupPeriod }
 
 // awaitFirstRead waits until this entry should read a topic for the first time, or has received
-// it from a peer. At its turn an entry reads only the entry records and then gets the other
-// topics from its peers, which saves one store call per entry and topic when all entries start.
+// the topic from a peer. At its turn an entry reads only the entry records; then it gets the other
+// topics from its peers. If all entries start together, this saves a store call per entry and
+// topic.
 func (g *Gateway) awaitFirstRead(t serving.Topic) {
 	turn := g.started.Add(g.startupDelay())
 	end := turn.Add(startupWait)
@@ -88,7 +90,7 @@
 	return time.Until(last)
 }
 
-// isAlone reports whether this entry has read the entry records and found no other entries.
+// isAlone reports whether this entry has read the entry records and knows no other live entry.
 func (g *Gateway) isAlone() bool {
 	_, loaded := g.state.readOffset(serving.TopicEntries)
 	return loaded && g.cluster.liveCount() == 1
@@ -97,8 +99,8 @@
 // startupPollInterval is a small fraction of startupSpread.
 const startupPollInterval = 20 * time.Millisecond
 
-// awaitSnapshot returns the current snapshot. A starting entry waits briefly for the first one,
-// as callers connect at once and a refusal would cost each of them an attempt. It returns nil if
+// awaitSnapshot returns the current snapshot. During startup it waits briefly for the first one:
+// callers connect at once, and a refusal would cost each of them an attempt. It returns nil if
 // there is still no snapshot.
 func (g *Gateway) awaitSnapshot() *snapshot {
 	snap := g.state.snapshot()
@@ -143,9 +145,9 @@
 	return true
 }
 
-// needsRecord reports whether this entry should write its record: it has none, and fewer than
-// minEntryRecords live entries have one or precede this entry by name. known is false until the
-// records have been read.
+// needsRecord reports whether this entry should write its record. It should if it has none, and if
+// fewer than minEntryRecords other live entries either have a record or come before this entry by
+// name. known is false until the records have been read.
 func (g *Gateway) needsRecord() (needed, known bool) {
 	if _, loaded := g.state.readOffset(serving.TopicEntries); !loaded {
 		return false, false
--- a/gateway/register_test.go
+++ b/gateway/register_test.go
@@ -43,8 +43,8 @@
 	g.state.applyNewest(serving.TopicEntries, read, uint64(records+1), time.Now())
 }
 
-// Each call to the store is paid for when a large fleet starts. Entries must write no record if
-// enough live entries have one; otherwise only the first by name write theirs, not all at once.
+// A large fleet starts at once, and each call to the store is billed. Entries must write no record
+// if enough live entries have one; otherwise only the first by name write theirs.
 func TestOnlyFewEntriesWriteRecords(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -141,7 +141,7 @@
 }
 
 // An entry that started together with others may find no records of them. It must read again
-// within a second, and then less and less often, as calls to the store are paid for.
+// within a second, and then less and less often, as calls to the store are billed.
 func TestEntryWithoutPeersReadsAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/upstream"
 )
 
-// request is a caller's request, handled under one snapshot from start to end.
+// request is a caller's request. It is handled under the same snapshot from start to end.
 type request struct {
 	id              string
 	arrived         time.Time
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// parseSize parses the token counts of a request. Hints are right at the median and often far
-// off; the model's mean counts are used where there is no hint.
+// parseSize parses the token counts of a request. Length hints are right at the median and often
+// far off. Where a request states no count, the model's mean is used.
 func parseSize(tokens, hint string, model *serving.EngineModel) placing.Size {
 	var size placing.Size
 	if model == nil {
@@ -184,8 +184,8 @@
 	return &req
 }
 
-// firstEventWorkShare is the share of the first-event timeout that is reserved for the engine's
-// work on the first event.
+// firstEventWorkShare is the share of the first-event timeout, or of the time until an earlier
+// deadline, that is reserved for the engine's work on the first event.
 const firstEventWorkShare = 0.25
 
 // maxQueueWait returns how long the request may wait in the admission queue. Callers disconnect
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -12,7 +12,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// snapshot is the immutable state by which requests are decided.
+// snapshot is the configuration and the targets that requests are handled with. It is immutable.
 type snapshot struct {
 	index   *serving.Index
 	targets map[string][]*serving.Target // by service
@@ -34,17 +34,17 @@
 	completeAt     [serving.NumTopics]time.Time // when the replica was last known to be complete
 	config         *serving.Index
 	targets        *serving.TargetSet
-	evacuated      map[string]bool           // by data centre
+	evacuated      map[string]bool           // data centres whose targets get no requests
 	outageEndedAt  time.Time                 // end of the last outage of the store for all entries
 	storeFailing   bool                      // this entry's last call to the store failed
 	entryPresences map[string]peers.Presence // by entry name, from the records in the store
 	onEntryRecord  func(p peers.Presence)    // called for each record of an entry
 }
 
-// outageHeartbeats is the number of target heartbeat intervals without a read of the targets by
-// any entry that counts as an outage of the store. Target records lapse after three intervals
-// without a heartbeat, and the last heartbeat may have been just before the outage, so a shorter
-// outage lets no record lapse.
+// outageHeartbeats defines an outage of the store: no entry has read the targets for so many
+// heartbeat intervals of targets. Target records lapse after three intervals without a heartbeat,
+// and the first of these may have passed just before the outage, so no record lapses in a shorter
+// outage.
 const outageHeartbeats = 2
 
 func newReplicaState(o *Options) *replicaState {
@@ -78,8 +78,8 @@
 // snapshot returns the current snapshot, nil until there is a configuration.
 func (s *replicaState) snapshot() *snapshot { return s.current.Load() }
 
-// readOffset returns the offset from which to read a topic next, and whether the topic has been
-// read completely.
+// readOffset returns the offset from which a topic is to be read next, and whether the topic has
+// been read completely.
 func (s *replicaState) readOffset(t serving.Topic) (next uint64, loaded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +149,8 @@
 }
 
 // recordComplete records that a topic was complete as of a time, by a read of this entry or of a
-// peer. If the store is unreachable only for this entry, peers keep the topic fresh, so this does
-// not count as an outage, in which target records may lapse.
+// peer. If only this entry cannot reach the store, the peers keep its topics fresh. That is no
+// outage: targets can renew their records.
 func (s *replicaState) recordComplete(t serving.Topic, asOf time.Time) {
 	if !asOf.After(s.completeAt[t]) {
 		return
@@ -168,9 +168,9 @@
 	return now.Sub(s.completeAt[serving.TopicTargets]) > s.outageThreshold
 }
 
-// confirmComplete records that a peer had all records before offset next as of the time asOf. If
-// this entry has them too, its replica is as fresh. It returns true if the gain in freshness is
-// worth propagating.
+// confirmComplete applies the report of a peer that its replica had all records before offset next
+// as of the time asOf. If this entry has these records too, its replica is as fresh as the peer's.
+// isFresher is true if the gain in freshness is worth propagating.
 func (s *replicaState) confirmComplete(t serving.Topic, next uint64, asOf time.Time) (isFresher bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,15 +185,15 @@
 	return isFresher
 }
 
-// updateSince returns the records of a topic from offset next on, for a peer.
+// updateSince returns the update for a peer that has a topic up to offset next.
 func (s *replicaState) updateSince(t serving.Topic, next uint64) serving.ReplicaUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replicas[t].UpdateSince(next)
 }
 
-// applyRecords updates the snapshot with changed records. The lock must be held; applyRecords
-// releases it.
+// applyRecords applies changed records and replaces the snapshot if needed. The caller must hold the
+// lock; applyRecords releases it.
 func (s *replicaState) applyRecords(t serving.Topic, records []serving.Record) {
 	now := time.Now()
 	changed := false
@@ -262,6 +262,8 @@
 	return true
 }
 
+// applyTarget applies the record of a target. A removal soon after an outage may only mean that the
+// record lapsed, so it takes effect serving.LapsedGrace after the end of the outage.
 func (s *replicaState) applyTarget(rec *serving.Record, now time.Time) bool {
 	if len(rec.Value) == 0 {
 		removeAt := now
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,15 +13,15 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// streamBody is the response body of a stream. fasthttp reads it while it writes to the caller: a
-// slow caller slows down the target, and a read error closes the connection, so that a partial
-// stream never looks complete.
+// streamBody is the response body of a stream. fasthttp reads it while it writes to the caller, so
+// a slow caller slows down the target. A read error closes the caller's connection, so that a
+// partial stream never looks complete.
 type streamBody struct {
 	g            *Gateway
 	ctx          context.Context
 	dispatch     *dispatch
 	current      *attempt // running attempt; nil after the last one has failed
-	headAttempt  *attempt // attempt that sent the first event; its header is used for the response
+	headAttempt  *attempt // attempt that sent the first event; the response gets its header
 	scanner      eventScanner
 	pending      []byte // complete events not yet delivered
 	pendingRead  int    // bytes of pending already delivered
@@ -89,7 +89,7 @@
 // fill waits for events. If a target fails, the stream resumes at another target after the last
 // complete event.
 //
-// The first event and the end of the connection may arrive in one read, so the attempt may be
+// The first event and the end of the target's stream may arrive in one read. Then the attempt is
 // over, or replaced by the next one, before the response header is written. headAttempt therefore
 // keeps the attempt that sent the first event.
 func (b *streamBody) fill() {
