--- a/gateway/kit_test.go
+++ b/gateway/kit_test.go
@@ -98,10 +98,10 @@
 	s.topics[t] = append(s.topics[t], serving.Record{Key: key, Value: text, Offset: uint64(len(s.topics[t]))})
 }
 
-func (s *memStore) setDown(isDown bool) {
+func (s *memStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isDown = isDown
+	s.isDown = down
 }
 
 func decodeTestConfig(key string, value []byte) (serving.Config, bool, error) {
