--- a/lockstep/agent.go
+++ b/lockstep/agent.go
@@ -1,9 +1,10 @@
 // Package lockstep is the agent that runs beside each model engine of an expert-parallel
-// group. The ranks of such a group run every forward pass together.
+// group. Each engine is one rank of the group, and the ranks run every forward pass together. An
+// expert map lists the experts that each rank holds, for each set of layers.
 //
 // The agent of rank 0 leads the group: it collects expert selection counts from all agents,
-// plans expert maps that balance the ranks, and switches the group to them. Every agent
-// watches for a stalled group and recovers it.
+// plans maps that balance the ranks, and switches the group to them. Every agent watches for a
+// stalled group and recovers it.
 package lockstep
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Engine is the client of one model engine.
+// Engine is a client of one model engine.
 type Engine interface {
 	// State returns the state of the engine's rank.
 	State(ctx context.Context) (peers.RankState, error)
@@ -35,9 +36,10 @@
 	Order(ctx context.Context, o *peers.RankOrder) (peers.OrderResult, error)
 }
 
-// EngineRun identifies one run of an engine in one epoch of its group. The epoch alone is not
-// enough: it starts over when all engines of a group restart, and an engine may restart under
-// the same ID. Counts, maps and fences of an earlier run are void in a later one.
+// EngineRun identifies one run of an engine in one epoch of its group. A group gets a new epoch
+// when a rank has restarted. The epoch alone is not enough: epochs start over when all engines of
+// a group restart, and an engine may restart under the same ID. Counts, maps and fences of an
+// earlier run are void in a later one.
 type EngineRun struct {
 	StartedAtMS int64 // engine start, Unix milliseconds; 0: unknown
 	Epoch       uint64
@@ -57,7 +59,7 @@
 	Close()
 }
 
-// DialPeer is the Options.Dial of a production agent.
+// DialPeer is the usual Options.Dial.
 func DialPeer(address string) PeerClient { return peers.NewClient(address) }
 
 // Options configure an agent.
@@ -97,10 +99,10 @@
 	entryQueues       entryQueues
 	proxyArm          peers.ProxyArm
 
-	armToken   chan struct{} // semaphore held while an arm order or a fence is processed, so that the two never overlap
+	armToken   chan struct{} // semaphore, held while an arm order or a fence is processed: the two never overlap
 	fence      fence         // guarded by armToken
 	mapHistory mapHistory
-	// remoteEngines are clients of leaders' engines, which this agent arms as proxy.
+	// remoteEngines are clients of leaders' engines that this agent arms as the proxy, by address.
 	remoteEngines map[string]Engine
 	agentClients  agentClients
 }
@@ -149,10 +151,10 @@
 	roundInterval = 60 * time.Millisecond
 	// watchInterval is how often a follower checks its own rank.
 	watchInterval = 500 * time.Millisecond
-	// holderInterval is the same at the holder rank. It is shorter because a hold that is not
-	// released stalls the whole group.
+	// holderInterval is the same at the holder, the rank that holds the group during a switch. It
+	// is shorter because a hold that is not released stalls the whole group.
 	holderInterval = 60 * time.Millisecond
-	// heldInterval is the same at the holder rank while it is held.
+	// heldInterval is the same at the holder while the group is held.
 	heldInterval = 20 * time.Millisecond
 )
 
--- a/lockstep/agentclient.go
+++ b/lockstep/agentclient.go
@@ -19,8 +19,8 @@
 	backoff  time.Duration // no request for this long after failedAt
 }
 
-// Backoff after an agent has failed to answer. It starts short: most agents are back at once,
-// and while one is skipped its rank's counts are missing.
+// Backoff after an agent has failed to answer. It starts short: most agents answer again at once,
+// and the counts of an agent's rank are missing while the agent is skipped.
 const (
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 1600 * time.Millisecond
@@ -33,8 +33,8 @@
 	return time.Since(c.failedAt) <= c.backoff
 }
 
-// isHealthy reports whether the latest request to the agent succeeded. splitForTree has failed
-// agents asked alone, without a subtree behind them.
+// isHealthy reports whether the latest request to the agent succeeded or none was sent. An agent
+// that failed is asked directly if possible, so that no subtree depends on it.
 func (c *agentClient) isHealthy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lockstep/changes.go
+++ b/lockstep/changes.go
@@ -28,9 +28,9 @@
 	return changes
 }
 
-// packChanges encodes changes as varints: set, rank, number of experts, experts. After a shift
-// in demand the lists of most ranks change, and every agent relays them to several others
-// while passes are slow. The encoding takes half the bytes of a msgpack message.
+// packChanges encodes each change as varints: set, rank, number of experts, experts. After a shift
+// in demand the lists of most ranks change, and every agent relays them to several others while
+// passes are slow. Encoded so, a change takes half the bytes of a separate message.
 func packChanges(changes []listChange) []byte {
 	var packed []byte
 	for _, c := range changes {
--- a/lockstep/collect.go
+++ b/lockstep/collect.go
@@ -56,7 +56,7 @@
 	if len(q.Subtree) == 0 {
 		state := a.collect(q)
 		if q.LimitMS > 0 && len(state.Bands) > 0 {
-			// Coarse values are precise enough: they are summed with those of many ranks.
+			// Coarse counts are precise enough: they are summed with those of many ranks.
 			state.Bands, state.Coarse = expert.PackCoarse(state.Bands), true
 		}
 		return state
@@ -125,7 +125,7 @@
 // If all engines of a group restart while their agents keep running, the group may reuse an
 // earlier epoch. Without this reset an agent would refuse arm orders because of an old fence,
 // and would apply changes to a map that no engine holds any more. Orders of the earlier run are
-// harmless, because no engine has prepared the versions that they name.
+// harmless, because no engine has prepared their versions.
 func (a *Agent) recordEngineRun(startedAtMS int64) {
 	a.mu.Lock()
 	previous := a.engineStartedAtMS
@@ -153,8 +153,8 @@
 	return d
 }
 
-// addQueueCounts adds to s the requests queued at the entries that query this agent and the
-// agents of its subtree.
+// addQueueCounts adds to s the counts of requests that are queued at the entries. It covers the
+// entries that query this agent or an agent of its subtree for loads.
 func (a *Agent) addQueueCounts(s *peers.RankState) {
 	inTime, late := a.queueCounts()
 	s.QueuedInTime, s.QueuedLate = uint32(inTime), uint32(late)
--- a/lockstep/entryqueues.go
+++ b/lockstep/entryqueues.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// entryQueues are the queue counts that the entries reported last. Entries divide the capacity of a
-// group by them.
+// entryQueues holds the latest queue counts of the entries that query this agent for loads. Entries
+// divide the headroom of a group by these counts.
 type entryQueues struct {
 	byEntry map[string]queueReport
 }
 
 // queueReport is the queue count of one entry.
 type queueReport struct {
-	inTime, late int // requests that can and that cannot meet their deadline
+	inTime, late int // requests that can still be on time, and those that cannot
 	reportedAt   time.Time
 }
 
-// queueReportTTL covers several queries of an entry.
+// queueReportTTL is several times the interval at which an entry queries for loads.
 const queueReportTTL = time.Second
 
 // record sets the queue counts of an entry.
--- a/lockstep/group.go
+++ b/lockstep/group.go
@@ -29,12 +29,13 @@
 func newGroup(a *Agent) *group { return &group{a: a, members: make(map[string]*member)} }
 
 // refresh reads the engines of the service and its cost model from the store. While ranks are
-// missing it backs off: calls to the store are paid for, and engines that are too few for a
-// group may wait for more forever. A failed read is repeated sooner.
+// missing, reads back off: calls to the store are billed, and engines that are too few for a group
+// may wait for more forever. The first reads follow each other quickly, and a failed read is
+// repeated soon.
 //
-// If it did not, an agent that starts while the store is down, or while other engines are still
+// Otherwise an agent that starts while the store is down, or while other engines are still
 // registering, would lead its group only seconds after the last engine has registered. Until
-// then all streams run on the initial map, where a pass takes two to three times as long.
+// then all streams run on the initial map, on which a pass takes two to three times as long.
 func (g *group) refresh() {
 	now := time.Now()
 	if now.Before(g.nextRead) {
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// dropMissing removes members that the store has not listed for LapsedGrace, the time that
-// records may take to return after an outage of the store. A single read may be stale or follow
-// an outage directly, and a group without its members has no leader.
+// dropMissing removes members that the store has not listed for serving.LapsedGrace, the time that
+// records may take to return after an outage of the store. A single read may be stale or follow an
+// outage directly, and a group that has lost its members has no leader.
 func (g *group) dropMissing(listed map[string]bool, now time.Time) {
 	for address, m := range g.members {
 		switch {
@@ -184,9 +185,9 @@
 	return ranks, isComplete(ranks)
 }
 
-// Intervals at which members of other groups are asked whether they have joined this one. While
-// ranks are missing, the interval starts at the minimum and doubles with each failed search:
-// engines that are too few for a second group may wait for more forever.
+// A search asks members of other groups whether they have joined this one. The usual interval
+// between searches is the maximum. While ranks are missing, it starts at the minimum and doubles
+// with each failed search: engines that are too few for a second group may wait for more forever.
 const (
 	maxSearchInterval = 5 * time.Second
 	minSearchInterval = 500 * time.Millisecond
@@ -202,8 +203,8 @@
 
 // candidates returns the members to ask for a group, in order. Members known to belong to
 // another group are left out except in a periodic search. A service may have many groups, and if
-// each leader asked all engines in every round, the load on each agent would grow with the
-// number of groups.
+// each leader asked all engines in every round, the load on each agent would grow with the number
+// of groups.
 func (g *group) candidates(name string, now time.Time) []*member {
 	members := g.sortedMembers()
 	if now.Sub(g.lastSearch) >= g.searchDelay() {
@@ -223,8 +224,9 @@
 }
 
 // splitForTree returns the indexes of the members to ask along the tree, and of those to ask
-// directly: all members of a small group, members whose agents failed to answer last, and the
-// leader. A frozen leader in the tree would delay a whole branch just when the group is stalled.
+// directly: all members of a small group, members whose agent failed to answer its latest request,
+// and the leader. A frozen leader in the tree would delay a whole branch just when the group is
+// stalled.
 func splitForTree(members []*member) (viaTree, direct []int) {
 	for i, m := range members {
 		if len(members) <= maxDirectRanks || m.localAgent != nil || m.rank == 0 || m.agent == nil || !m.agent.isHealthy() {
--- a/lockstep/largegroup_test.go
+++ b/lockstep/largegroup_test.go
@@ -60,7 +60,7 @@
 }
 
 // Agents inside a tree of three levels freeze during switches, so relayed orders arrive late or
-// never. No pass may begin with two maps, and passes must continue.
+// never, and engines execute some orders late. No pass may begin with two maps, and passes continue.
 func TestFrozenTreeAgentsNeverMixMaps(t *testing.T) {
 	const ranks = 60
 	for seed := range uint64(4) {
--- a/lockstep/leader.go
+++ b/lockstep/leader.go
@@ -20,7 +20,7 @@
 	demand            *demand
 	pending           *pendingMap
 	armed             *armedMap
-	mapFixed          bool // the ranks have too few places for any other map
+	mapFixed          bool // the ranks have too few places for all experts, so the map cannot be changed
 	refusals          refusalBackoff
 	highestVersion    uint64       // highest map version seen or assigned
 	recentMaps        []pendingMap // latest maps that this leader planned
@@ -32,7 +32,7 @@
 	roundTime     time.Duration // duration of the latest round
 
 	sentRoster     uint64 // roster of the loads that the agents received last
-	enginesUnknown bool   // some agent lacks the engine list of that roster
+	enginesUnknown bool   // some agent lacks the engine list of its loads
 }
 
 // passMeter measures how long passes take.
@@ -43,11 +43,11 @@
 	loggedAt time.Time
 }
 
-// passHalfLife smooths the pass time. One or two passes begin between two observations, so a
-// single observation is alternately twice too long and too short.
+// passHalfLife smooths the pass time. Between two observations one or two passes begin, so the pass
+// times of single observations alternate by a factor of two.
 const passHalfLife = 150 * time.Millisecond
 
-// loadLogInterval is the interval between logs of the group's load.
+// loadLogInterval is the interval between log lines on the group's load.
 const loadLogInterval = time.Second
 
 // observe records the step of the latest pass. shouldLog is true once per loadLogInterval.
@@ -118,8 +118,8 @@
 	l.plan(ranks)
 }
 
-// holderRank returns the rank whose engine holds the group. It is not the leader's rank 0, unless
-// there is no other.
+// holderRank returns the rank whose engine holds the group during a switch. It is not the leader's
+// rank 0, unless there is no other.
 func holderRank(ranks int) int { return min(1, ranks-1) }
 
 // reset starts over after the group has formed anew. The engines then use the initial map.
@@ -183,8 +183,8 @@
 		"imbalance", logging.Round2(imbalance(l.layouts, l.demand.loads(), slowdowns(ranks), l.group.model)), "version", l.version, "round_ms", l.roundTime.Milliseconds())
 }
 
-// syncMap makes l.layouts the map in use and reports whether it is. After a restart of this agent
-// the map in use may be unknown and is read from the ranks.
+// syncMap sets l.layouts to the map in use, and reports whether it succeeded. After a restart of this
+// agent the map in use may be unknown; then it is read from the ranks.
 func (l *leader) syncMap(ranks []rank) bool {
 	inUse := ranks[0].state.Map
 	for i := range ranks {
@@ -207,10 +207,10 @@
 	return l.restoreMap(inUse) || l.readMapFromRanks(ranks, inUse)
 }
 
-// restoreMap makes l.layouts a map that this leader planned earlier.
+// restoreMap sets l.layouts to a map that this leader planned earlier.
 //
-// A switch may succeed without its leader seeing that, because a response was lost or another
-// agent completed the switch. The leader would then go on with the previous map.
+// A switch may succeed unnoticed by its leader, because a response was lost or another agent
+// completed the switch. The leader would then plan from the previous map.
 func (l *leader) restoreMap(version uint64) bool {
 	at := slices.IndexFunc(l.recentMaps, func(p pendingMap) bool { return p.version == version })
 	if at < 0 {
@@ -291,7 +291,7 @@
 	return factors
 }
 
-// urgency returns the current pass time relative to the event gap objective.
+// urgency returns the mean pass time divided by the event-gap objective; 1 without an objective.
 func (l *leader) urgency() float64 {
 	if l.group.eventGapObjective == 0 {
 		return 1
@@ -306,7 +306,7 @@
 	updatedAt     time.Time
 }
 
-// peakHalfLife is the time in which the excess of the peak over 1 halves.
+// peakHalfLife is the time in which the excess of the peak over 1 (perfect balance) halves.
 const peakHalfLife = 30 * time.Second
 
 func (p *imbalancePeak) observe(imbalance float64, now time.Time) {
--- a/lockstep/leader_test.go
+++ b/lockstep/leader_test.go
@@ -15,7 +15,7 @@
 )
 
 // After a restart of all agents, the new leader assigns a version that some ranks take for an old one
-// and refuse. It must replace that map soon and not only after prepareTimeout.
+// and refuse. It must replace that map soon, not after prepareTimeout: passes are slow until then.
 func TestRefusedVersionIsReplacedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -87,7 +87,7 @@
 }
 
 // The holder's agent answers nothing for a second, as after a restart of the whole fleet. The leader
-// must hold and release the group without waiting for that agent.
+// must hold and release the group through the engines, without waiting for that agent.
 func TestBusyHolderAgentDoesNotDelayASwitch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -9,13 +9,13 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// The loads of a group's ranks, by which entries place requests.
+// Entries place requests by the loads of a group's ranks, for which they query the agents.
 //
-// If all entries of a large fleet asked the leader, which has a fraction of a core, each entry
-// could ask only twice a second. It would place requests by stale loads, and requests would queue
-// in some engines while others have room. So the leader's Collect messages carry the loads to all
-// agents of a large group, an entry may ask any of them, and the entries' queue counts return
-// with the responses.
+// If all entries of a large fleet queried the leader, which has a fraction of a core, each entry
+// could do so only twice a second. It would place requests by stale loads, and requests would queue
+// in some engines while others have headroom. So the leader's Collect messages carry the loads
+// to all agents of a large group, an entry may query any of them, and the entries' queue counts
+// return to the leader with the responses.
 
 // groupLoads are the loads that an agent reports to entries.
 type groupLoads struct {
@@ -38,7 +38,7 @@
 	a.groupName, a.groupRanks = name, ranks
 }
 
-// storeLoads keeps the loads that the leader sent. The leader includes the engine list only if the
+// storeLoads stores the loads that the leader sent. The leader includes the engine list only if the
 // list is new or some agent has reported that it lacks the list.
 func (a *Agent) storeLoads(loads *peers.Loads) {
 	a.mu.Lock()
@@ -118,8 +118,8 @@
 	return loads
 }
 
-// loadsToSend returns the loads that go with the Collect messages of a round. It returns none for
-// a small group, whose entries ask the leader and get fresher loads.
+// loadsToSend returns the loads that go with the Collect messages of a round. It returns none for a
+// small group, as entries query its leader and get fresher loads.
 func (l *leader) loadsToSend(ranks int) peers.Loads {
 	if ranks <= maxDirectRanks {
 		return peers.Loads{}
--- a/lockstep/loads_test.go
+++ b/lockstep/loads_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// Entries report their queue counts to different agents, and divide the group's capacity by the
-// total. If an entry saw only its own count, all entries would take the same capacity.
+// Entries report their queue counts to different agents, and divide the group's headroom by the
+// total. If an entry saw only its own count, all entries would take the same headroom.
 func TestQueueCountsOfAllEntriesAreSummed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/maps.go
+++ b/lockstep/maps.go
@@ -8,7 +8,7 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// mapHistory holds the latest maps that an agent received, so that the leader can send only the
+// mapHistory holds the latest maps that an agent received, so that the leader can send a new map as
 // changes. A full map for each of 64 ranks would occupy the leader's link for half a second.
 type mapHistory struct {
 	mu    sync.Mutex
--- a/lockstep/member.go
+++ b/lockstep/member.go
@@ -12,7 +12,7 @@
 // member is one engine of the service. It is reached through its agent, or directly if the agent
 // does not answer.
 type member struct {
-	engineAddr   string       // HTTP address of the engine
+	engineAddr   string       // address of the engine
 	agent        *agentClient // nil: no agent known, or this agent itself
 	engine       Engine       // direct client
 	localAgent   *Agent       // this agent, if the engine is on its VM
@@ -33,9 +33,9 @@
 
 // Timeouts of requests to other agents.
 const (
-	// askTimeout allows for an agent with a fraction of a core that queries its engine.
+	// askTimeout allows for an agent with a fraction of a core that asks its engine in turn.
 	askTimeout = 250 * time.Millisecond
-	// hedgeDelay is several round trips to an agent and its engine.
+	// hedgeDelay is several times as long as a round trip to an agent and its engine.
 	hedgeDelay = 40 * time.Millisecond
 )
 
@@ -67,8 +67,9 @@
 	return m.collectFromEngine(a, q)
 }
 
-// collectFromEngine asks the engine itself, which is the fallback while its agent is down. Reports
-// to another VM are paid for. Counts are left out because reading them would delay the group.
+// collectFromEngine asks the engine itself. It is only a fallback while the engine's agent is down,
+// since an engine's reports to another VM are billed. Counts are left out because reading them would
+// delay the group.
 func (m *member) collectFromEngine(a *Agent, q *peers.Collect) peers.RankState {
 	state, err := m.engine.State(a.ctx)
 	if err != nil {
--- a/lockstep/orders.go
+++ b/lockstep/orders.go
@@ -6,7 +6,7 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// fence bars this agent from arming ranks for passes up to a step.
+// fence bars this agent from arming ranks for the passes up to a step.
 type fence struct {
 	startedAtMS int64 // run of the engine that the fence applies to; 0: not yet known
 	epoch       uint64
@@ -48,8 +48,8 @@
 	return a.fence.blocks(o, a.engineStartTime())
 }
 
-// blocks reports whether the fence forbids an arm order. Recovery orders pass: their sender has set
-// the fence.
+// blocks reports whether the fence forbids an arm order. Recovery orders are allowed: their sender
+// has set the fence itself.
 func (f fence) blocks(o *peers.RankOrder, startedAtMS int64) bool {
 	sameRun := f.startedAtMS == 0 || f.startedAtMS == startedAtMS
 	return !o.Recovery && sameRun && o.Epoch == f.epoch && o.Step <= f.step
@@ -79,16 +79,16 @@
 	return result, err
 }
 
-// localOrderAttempts is how often an order is sent to the engine on this VM before the leader is
-// notified that it went unanswered.
+// localOrderAttempts is how often an order is sent to the engine on this VM before the agent reports
+// to the leader that the order went unanswered.
 const localOrderAttempts = 3
 
 // orderLocalEngine sends an order to this VM's engine and repeats it if there is no answer.
 //
-// Engines leave some orders unanswered. In a large group some ranks miss theirs in each round, and
-// the group would stall until the leader notices and orders again. A repetition here costs one
-// round trip within the VM. If the engine did execute the first order, it accepts the repetition
-// as already done or refuses it.
+// Engines leave some orders unanswered. In a large group that happens at some ranks with every order
+// to all, and the group would stall until the leader notices and orders again. A repetition here
+// costs one round trip within the VM. If the engine did execute the first order, it accepts the
+// repetition as already done or refuses it.
 func (a *Agent) orderLocalEngine(o *peers.RankOrder) (result peers.OrderResult, err error) {
 	for range localOrderAttempts {
 		result, err = a.opts.Engine.Order(a.ctx, o)
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -14,9 +14,9 @@
 //
 // Demand stays the same for some seconds and then shifts at once. The selections of the latest
 // passes show a shift soonest, but they also vary by chance, and maps that follow chance cost
-// copies for nothing. So there are two means: one over a short and one over a long time. Plans
-// use the long one. When the map fits the short mean so much worse that demand must have
-// shifted, the long mean restarts from the short one.
+// copies for nothing. So there are two means: recent over a short time and steady over a long one.
+// Plans use steady. When the map fits recent so much worse than steady that demand must have
+// shifted, steady restarts from recent.
 type demand struct {
 	recent, steady decayingMean
 	observedAt     time.Time
@@ -33,11 +33,12 @@
 const (
 	recentHalfLife = 80 * time.Millisecond // one or two passes
 	steadyHalfLife = 700 * time.Millisecond
-	// shiftRatio and minShift: chance raises the imbalance of the latest passes by about a
-	// tenth, a shift about doubles it.
+	// Demand has shifted if the imbalance of the recent mean is at least shiftRatio times that of
+	// the steady mean plus minShift. Chance raises the recent imbalance by about a tenth, a shift
+	// about doubles it.
 	shiftRatio = 1.2
 	minShift   = 0.05
-	// minSelectionsPerExpert tells demand from chance within a few percent.
+	// minSelectionsPerExpert is enough to tell demand from chance within a few percent.
 	minSelectionsPerExpert = 200
 )
 
@@ -75,8 +76,8 @@
 	}
 }
 
-// detectShift reports whether demand has shifted, and if so restarts the long mean. It compares
-// how well the map in use fits both means.
+// detectShift reports whether demand has shifted, and if so restarts the steady mean. It compares how
+// well the map in use fits both means.
 func (d *demand) detectShift(layouts []expert.Layout, m *serving.EngineModel) bool {
 	if !d.hasEnoughData() {
 		return false
@@ -98,7 +99,7 @@
 // loads returns the demand to plan for, by set and expert.
 func (d *demand) loads() []float64 { return d.steady.loads }
 
-// decayFactor returns the remainder of 1 after time t. It is linear within a half-life.
+// decayFactor returns what is left of 1 after time t, interpolated linearly within a half-life.
 func decayFactor(t, halfLife time.Duration) float64 {
 	factor := 1.0
 	for t >= halfLife && factor > 0.01 {
@@ -114,7 +115,7 @@
 // plan is a change of the maps of all layer sets.
 type plan struct {
 	layouts                         []expert.Layout
-	imbalanceBefore, imbalanceAfter float64 // longest rank time over the mean, summed over the sets
+	imbalanceBefore, imbalanceAfter float64 // see imbalance
 	copies                          int     // experts that ranks must copy in total
 	maxCopiesPerRank                int
 	cost                            float64 // see planner
@@ -123,7 +124,8 @@
 // fitsAllExperts reports whether the ranks have a place for each expert.
 //
 // After a fleet has shrunk, ranks may have fewer places than there are experts. Engines then keep
-// their initial map and refuse any other, and the leader would plan and send maps without end.
+// their initial map and refuse any other. Without this check the leader would plan and send maps
+// without end.
 func fitsAllExperts(m *serving.EngineModel, ranks int) bool {
 	return m.ExpertsPerRank == 0 || m.ExpertsPerRank*ranks >= m.Experts
 }
@@ -133,24 +135,24 @@
 // A plan with more copies gives a better map, but later: a rank copies one expert after the other,
 // and passes are slower meanwhile. So the cost of a plan is the experts' time up to a horizon,
 // before and after the switch, plus a price for its copies. The price is low for a group with slow
-// passes, and high for a group well within its event gap objective, which gains nothing by the
-// last percent.
+// passes, which has no time to lose. It is high for a group well within its event-gap objective,
+// which gains nothing by the last percent of balance.
 type planner struct {
 	model       *serving.EngineModel
 	slowdown    []float64 // factor per rank; 1 is normal
-	urgency     float64   // pass time over the event gap objective
+	urgency     float64   // pass time over the event-gap objective
 	switchCosts switchCosts
 	meanStreams float64 // running streams per rank
 }
 
-// switchCosts are decaying means of what switches cost. The costs differ with the size of the group
-// and with its VMs and their links.
+// switchCosts are decaying means of the time that switches take. It differs with the size of the
+// group, its VMs and their links.
 type switchCosts struct {
 	overhead time.Duration // from plan to switch, without the copies
 	stall    time.Duration // for which the group is held
 }
 
-// switchCostSmoothing: the latest switch counts for one part in so many.
+// switchCostSmoothing is the reciprocal of the weight of the latest switch in the means.
 const switchCostSmoothing = 4
 
 func newSwitchCosts() switchCosts {
@@ -176,19 +178,20 @@
 	// statement of 15 in 100.
 	copySlowdown = 0.15
 	// lowUrgencyCopyCost is the cost of one gigabyte copied per rank for a group with urgency 0,
-	// in units of the mean expert time of a rank. highUrgencyCopyCost is the same from highUrgency
-	// on. Copies are paid for, and in a group far from its limit the last percent of balance
-	// brings no additional response in time.
+	// in units of the mean expert time of a rank. highUrgencyCopyCost is the same for a group with
+	// an urgency of at least highUrgency, whose passes are near the limit. Copies are billed, and
+	// in a group far from its limit the last percent of balance brings no additional response on
+	// time.
 	lowUrgencyCopyCost  = 0.6
 	highUrgencyCopyCost = 0.065
 	highUrgency         = 0.6
-	// idleCopyCost is added after division by the square of the streams per rank. The fewer
-	// streams there are, the fewer gain, and the further passes are from the limit. The square
-	// counts as at least minStreamsSquared.
+	// idleCopyCost, divided by the square of the streams per rank, is added to the cost of a
+	// gigabyte. The fewer streams there are, the fewer gain by a better map, and the further
+	// passes are from the limit. The square counts as at least minStreamsSquared.
 	idleCopyCost      = 0.5
 	minStreamsSquared = 0.01
-	// balancedImbalance: below it the possible gain is less than the cost of a switch, so the
-	// leader's small VM skips planning.
+	// balancedImbalance is the imbalance below which the possible gain is less than the cost of a
+	// switch. The leader, which has a fraction of a core, then skips planning.
 	balancedImbalance = 1.08
 )
 
@@ -335,7 +338,7 @@
 	return added
 }
 
-// planCopyTime returns the copy time of the rank with the most copies.
+// planCopyTime returns how long the rank with the most copies takes for them.
 func (pl *planner) planCopyTime(p *plan) time.Duration { return pl.copyTime(p.maxCopiesPerRank) }
 
 // copyTime returns how long a rank takes to copy a number of experts.
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// With passes at two fifths of the event gap objective, a better map brings no request in time and
+// With passes at two fifths of the event-gap objective, a better map brings no response on time and
 // costs gigabytes of copies. With passes near the objective the same small shift is worth a switch.
 func TestLowUrgencyGroupIgnoresSmallShift(t *testing.T) {
 	g := NewWithT(t)
--- a/lockstep/prepare.go
+++ b/lockstep/prepare.go
@@ -34,7 +34,7 @@
 )
 
 // wantsCounts reports whether a round collects selection counts. Rounds leave them out while a map
-// is copied: such a round takes a third of the time, so the switch comes sooner.
+// is copied: without counts a round takes a third of the time, so the switch comes sooner.
 func (l *leader) wantsCounts() bool {
 	return l.pending == nil || time.Since(l.pending.orderedAt) > l.pending.copyTime+prepareSlack
 }
@@ -48,7 +48,7 @@
 	return max(left, pendingInterval)
 }
 
-// pendingInterval is the interval of rounds once the pending map should be prepared.
+// pendingInterval is the delay between rounds once all ranks should have prepared the pending map.
 const pendingInterval = 10 * time.Millisecond
 
 // versionStride leaves room for a random part in each version. An agent that has restarted and
@@ -124,9 +124,9 @@
 // isRefusedBy reports whether the missing ranks have refused the pending map, as opposed to an
 // order that is still in flight.
 //
-// A leader that does not know all versions assigned before it may choose one that some ranks take
-// for an old one. Without this check the group would keep its map until prepareTimeout, with
-// slow passes for seconds.
+// A leader that does not know all versions that earlier leaders assigned may choose a version that
+// some ranks take for an old one. Without this check the group would keep its map until
+// prepareTimeout, with slow passes for seconds.
 func (l *leader) isRefusedBy(missing []rank) bool {
 	p := l.pending
 	late := time.Since(p.orderedAt) > p.copyTime+prepareSlack
--- a/lockstep/refusals.go
+++ b/lockstep/refusals.go
@@ -4,10 +4,10 @@
 
 // refusalBackoff delays planning after ranks have refused several maps in a row.
 //
-// If ranks refuse every map for a reason unknown to the leader, it would plan and send maps all the
-// time and occupy its processor and every agent's link. One refusal is normal after a restart, when
-// earlier versions are unknown, and the leader plans another map at once. From the second refusal
-// on the leader waits, and the wait doubles each time.
+// If ranks refuse every map for a reason unknown to the leader, the leader would otherwise plan and
+// send maps all the time, and occupy its processor and every agent's link. One refusal is normal
+// after a restart, when earlier versions are unknown, and the leader plans another map at once.
+// From the second refusal on the leader waits, and the wait doubles each time.
 type refusalBackoff struct {
 	consecutive int
 	until       time.Time
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -31,9 +31,10 @@
 //     the group at the same time see the same state and send the same orders. A leader that wakes
 //     up in the meantime is refused.
 //   - The leader's rank is armed last, by the agent of another rank, the proxy. So even if the
-//     leader's VM is unreachable it is known whether its rank is armed. If it is, all ranks are, and
-//     the hold is released with the new map. If it is not, the other agents are fenced, which
-//     stops the leader if it wakes up, the armed ranks are disarmed, and the map in use stays.
+//     leader's VM is unreachable, the proxy knows whether the leader's rank is armed. If it is, all
+//     ranks are, and the group goes on with the new map. If it is not, the map in use stays: all
+//     other agents are fenced, which stops the leader if it wakes up, the armed ranks are disarmed,
+//     and the hold is released.
 //   - Each order carries the epoch. After a rank has restarted the group has another epoch, and
 //     orders in flight from before are refused.
 
@@ -47,8 +48,8 @@
 	retryInterval = 10 * time.Millisecond
 )
 
-// switchMap switches to a version that all ranks have prepared. It returns the step of the pass
-// that the switch takes effect at, and how long the group was held.
+// switchMap switches to a version that all ranks have prepared. It returns the step of the first pass
+// with that version, and how long the group was held.
 func switchMap(a *Agent, holder *member, ranks []rank, version uint64) (step uint64, stall time.Duration, ok bool) {
 	epoch := ranks[0].state.Epoch
 	step, held := holdGroup(a, holder, epoch)
@@ -63,7 +64,7 @@
 // holdGroup holds the group before a coming pass and returns the pass's step.
 //
 // The step is read from this VM's own engine, since all ranks run each pass together. The holder's
-// agent may answer slowly, as after a restart of the whole fleet, and would delay the map.
+// agent may answer slowly, as after a restart of the whole fleet, and would delay the switch.
 func holdGroup(a *Agent, holder *member, epoch uint64) (uint64, bool) {
 	unanswered := uint64(0) // step of a hold that may have been accepted
 	for range holdAttempts {
@@ -91,7 +92,7 @@
 }
 
 // completeSwitch arms all ranks for the held pass and releases the hold. recovery states that this
-// agent has fenced the pass.
+// agent has fenced the pass to recover the group.
 func completeSwitch(a *Agent, holder *member, ranks []rank, version, step uint64, recovery bool) bool {
 	epoch := ranks[0].state.Epoch
 	start := time.Now()
@@ -173,8 +174,8 @@
 	return state.Step >= step, false
 }
 
-// releaseGroup releases the hold and repeats the order until the holder shows it: an order may be
-// lost, and a late copy of the hold may take effect again.
+// releaseGroup releases the hold and repeats the order until the holder's state shows the release: an
+// order may be lost, and a late copy of the hold may take effect again.
 func releaseGroup(a *Agent, holder *member, epoch, step uint64) bool {
 	for a.ctx.Err() == nil {
 		sendRelease(a, holder, &peers.RankOrder{Kind: peers.OrderRelease, Epoch: epoch, Step: step})
@@ -202,8 +203,8 @@
 	holder.order(a, o)
 }
 
-// recoverGroup recovers a group that is held while no agent carries out its switch. seenAt is when
-// the hold was first seen.
+// recoverGroup recovers a held group whose switch no agent is completing. seenAt is when the hold was
+// first seen.
 func recoverGroup(a *Agent, g *group, holder *member, name string, seenAt time.Time) {
 	first := holder.collect(a, stateOnly)
 	if !first.Known || first.Held == 0 || !first.Complete {
@@ -252,15 +253,15 @@
 	return 0
 }
 
-// lateArmDelay is the earliest delay after which an unanswered arm order may take effect, with a
-// margin. Source: the platform's statement of two to twelve seconds. If the hold is released before,
-// the pass has begun by then and the order is refused.
+// lateArmDelay is the earliest delay after which an unanswered arm order may take effect, less a
+// margin. Source: the platform's statement of two to twelve seconds. If the hold is released sooner,
+// the pass has begun by the time the order takes effect, and the engine refuses the order.
 const lateArmDelay = 1500 * time.Millisecond
 
 // recoverWithoutLeader recovers a group whose leader's VM is unreachable.
 func recoverWithoutLeader(a *Agent, holder *member, name string, ranks []rank, first peers.RankState, seenAt time.Time) {
 	if !allFollowersFenced(ranks, first) || time.Since(seenAt) > lateArmDelay {
-		a.opts.Log.Info("group held, not all followers are fenced in time", "group", name, "step", first.Held, "ranks", len(ranks))
+		a.opts.Log.Info("group held, followers not fenced in time", "group", name, "step", first.Held, "ranks", len(ranks))
 		return
 	}
 	proxyArm := ranks[proxyRank-1].state.ProxyArm
--- a/lockstep/switch_test.go
+++ b/lockstep/switch_test.go
@@ -143,7 +143,7 @@
 }
 
 // The leader's VM freezes while the group is held, and the store is slow. Every stream is stalled, so
-// the other agents must not wait for their usual timeouts in sequence.
+// the group must go on within 0.35 s: other agents must not wait for usual timeouts in sequence.
 func TestGroupHeldByAFrozenLeaderResumesSoon(t *testing.T) {
 	g := NewWithT(t)
 	group := newSimGroup(12, 4, 72, 3)
@@ -179,7 +179,7 @@
 }
 
 // The group is held, no rank is armed, and one agent has not confirmed the fence. It may still arm its
-// rank, so the hold must stay until the agent confirms.
+// rank, so the hold must stay until the agent confirms, and no longer.
 func TestHoldIsNotReleasedBeforeAllAgentsAreFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/tree.go
+++ b/lockstep/tree.go
@@ -10,19 +10,19 @@
 
 // Requests and orders to a large group go along a tree of its agents.
 //
-// If the leader itself sent a request to each of a hundred ranks, its fraction of a core would need
-// longer than the timeout, so many agents would seem lost at once. A map for each rank would fill
-// its link for several passes while the group stays on a map that no longer fits. In the tree no
-// agent asks more than a few others, however large the group is.
+// If the leader itself sent a request to each of a hundred ranks, a round would occupy its fraction
+// of a core for longer than the timeout, so many agents would seem lost at once. Sending each rank
+// a map would fill the leader's link for several passes while the group stays on a map that no
+// longer fits. In the tree no agent asks more than a few others, however large the group is.
 //
-// The tree is built anew for each request from the agents that answered last. Agents that the tree
-// does not reach are asked directly, so a lost agent inside the tree delays the ranks below it once.
-// The safety of a switch does not depend on the tree: each agent checks fences and epochs itself,
-// whichever way and however late an order arrives.
+// The tree is built anew for each request from the agents whose latest request succeeded. Agents that
+// the tree does not reach are asked directly, so a lost agent inside the tree delays the ranks below
+// it once. The safety of a switch does not depend on the tree: each agent checks fences and epochs
+// itself, whichever way and however late an order arrives.
 const (
 	maxDirectRanks = 16 // groups up to this size are asked without a tree
-	maxLeafRanks   = 8  // up to so many ranks are asked without another level
-	treeFanOut     = 4  // maximum number of branches above that
+	maxLeafRanks   = 8  // up to this many ranks are asked without another level in between
+	treeFanOut     = 4  // maximum number of branches of an agent with more ranks
 	// hopReserve is the part of its timeout that each agent keeps for its own answer.
 	hopReserve = 50 * time.Millisecond
 )
@@ -43,13 +43,13 @@
 	return spans
 }
 
-// branchFunc sends a request to the head of a branch, which relays it to its subtree, and returns
-// all answers.
+// branchFunc sends a request to the head of a branch, which relays the request to its subtree.
+// branchFunc returns the head's own answer and those of the subtree.
 type branchFunc[A any] func(head *agentClient, subtree []string, timeout time.Duration) (own A, others []A, err error)
 
-// askAlongTree asks agents along a tree and returns their answers in the order of the addresses. The
-// answer is unreachable for a branch head that failed and for a branch whose agents are all in
-// backoff. It is zero for an agent that its head did not reach.
+// askAlongTree asks agents along a tree and returns their answers in the order of the addresses. A
+// branch head that failed gets the answer unreachable, as do all agents of a branch in which every
+// agent is in backoff. An agent that its branch head did not reach gets the zero answer.
 func askAlongTree[A any](a *Agent, addresses []string, timeout time.Duration, unreachable A, ask branchFunc[A]) []A {
 	answers := make([]A, len(addresses))
 	var wait sync.WaitGroup
@@ -85,8 +85,8 @@
 	}
 }
 
-// branchHead returns the first agent whose latest request succeeded, else the first that is not in
-// backoff; index -1: none.
+// branchHead returns the first healthy agent, else the first that is not in backoff, and its index;
+// index -1: none.
 func (a *Agent) branchHead(addresses []string) (head *agentClient, index int) {
 	index = -1
 	for i, address := range addresses {
@@ -128,7 +128,8 @@
 	})
 }
 
-// subtreeTimeout returns the timeout for the subtree of an agent that has a limit itself.
+// subtreeTimeout returns the timeout for the subtree of an agent that must answer within limitMS
+// milliseconds.
 func subtreeTimeout(limitMS uint32) time.Duration {
 	return time.Duration(limitMS)*time.Millisecond - hopReserve
 }
--- a/lockstep/tree_test.go
+++ b/lockstep/tree_test.go
@@ -25,7 +25,7 @@
 
 // collectCounts collects a group's selection counts as its leader does. It returns the selections made
 // during between, and how many other agents' states carried counts.
-func collectCounts(f *simFleet, between func()) (sum []float64, crossLink int, complete bool) {
+func collectCounts(f *simFleet, between func()) (sum []float64, remoteCounts int, complete bool) {
 	l := newLeader(f.agents[0])
 	l.group.refresh()
 	l.group.addMember(engineAddress(0))
@@ -39,12 +39,12 @@
 	for _, r := range ranks {
 		if int(r.state.Experts) == len(sum) {
 			if r.localAgent == nil {
-				crossLink++ // the leader's own counts do not cross its link
+				remoteCounts++ // the leader's own counts do not cross its link
 			}
 			addSelections(sum, &r.state)
 		}
 	}
-	return sum, crossLink, complete
+	return sum, remoteCounts, complete
 }
 
 func newTreeFleet() *simFleet {
@@ -60,9 +60,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newTreeFleet()
-		sum, crossLink, complete := collectCounts(f, func() { selectOwnExperts(f.group) })
+		sum, remoteCounts, complete := collectCounts(f, func() { selectOwnExperts(f.group) })
 		g.Expect(complete).To(BeTrue())
-		g.Expect(crossLink).To(BeNumerically("<=", treeTestRanks/maxLeafRanks), "the leader's link is spared")
+		g.Expect(remoteCounts).To(BeNumerically("<=", treeTestRanks/maxLeafRanks), "the leader's link is spared")
 		for e, n := range sum {
 			g.Expect(n).To(BeNumerically("~", 1000, 50), "expert %d", e)
 		}
--- a/lockstep/watch.go
+++ b/lockstep/watch.go
@@ -9,15 +9,15 @@
 // watcher watches a group from a rank that does not lead it.
 //
 // If the agent of rank 0 dies or freezes between hold and release, no pass begins any more, and every
-// stream of the group stalls. Any other agent that sees no passes recovers the group. The timeouts
-// differ by rank, so that mostly one agent does it.
+// stream of the group stalls. Any other agent that sees no new pass recovers the group. The timeouts
+// differ by rank, so that mostly a single agent does so.
 type watcher struct {
 	a           *Agent
 	group       *group
 	step        uint64 // of the latest pass
 	epoch       uint64
 	checkedAt   time.Time // latest progress, or latest check of a stalled group
-	stallSeenAt time.Time // checkedAt before the latest check of a stalled group
+	stallSeenAt time.Time // checkedAt before the latest check of a stalled group; start of the stall
 	probedRun   EngineRun // run in which all members were asked for their ranks
 
 	hold holdTracker
@@ -85,8 +85,9 @@
 	}
 }
 
-// probeMembers asks the members of a large group once for their ranks, before it is first held. To
-// ask a held group efficiently, the agent must know which member leads.
+// probeMembers asks the members of a large group once per run for their ranks, before the group is
+// first held. When the group is held, the agent must already know which member leads, to leave it
+// out of the tree.
 func (w *watcher) probeMembers(s peers.RankState) {
 	run := EngineRun{StartedAtMS: s.StartedAtMS, Epoch: s.Epoch}
 	if s.Rank != holderRank(s.Ranks) || s.Held != 0 || w.probedRun == run || s.Ranks <= maxDirectRanks || len(w.group.members) < s.Ranks {
