--- a/members/fleet_test.go
+++ b/members/fleet_test.go
@@ -286,7 +286,8 @@
 }
 
 // A fifth of the entries loses power at once. Callers lose a second on each attempt to connect to
-// an entry that the directory still lists. Entries that come back must be listed again.
+// an entry that the directory still lists. Whatever the size of the fleet, 99 % of the table rows must
+// show the loss within 2 s, all rows within 5 s, and 99 % the return within 3 s.
 func TestDeadEntriesAreLeftOutSoon(t *testing.T) {
 	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
--- a/members/membership.go
+++ b/members/membership.go
@@ -56,7 +56,7 @@
 	queued        map[string]bool          // names in probeQueue
 	probeQueue    chan string              // names of the entries to probe
 	updatePending chan struct{}            // holds one token while updates wait for dissemination
-	fullSyncDone  bool                     // some entry has sent all that it knows
+	fullSyncDone  bool                     // no full sync is due: one was requested and has not failed
 }
 
 // Protocol parameters.
@@ -260,7 +260,7 @@
 }
 
 // claimFullSync returns true if a full sync is due and marks it as done, so that only one probe
-// requests it.
+// requests it. A full sync is due at the start and after scheduleFullSync.
 func (m *Membership) claimFullSync() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/members/owner_test.go
+++ b/members/owner_test.go
@@ -24,8 +24,8 @@
 	return tables
 }
 
-// Guards against two owners of one key, and against keys of other owners that move when one
-// entry leaves.
+// All entries must agree on the one owner of each key. When an entry leaves, only the keys that it
+// owned may move.
 func TestAllEntriesNameTheSameOwner(t *testing.T) {
 	g := NewWithT(t)
 	const entries, keys = 12, 600
--- a/members/probeorder.go
+++ b/members/probeorder.go
@@ -74,8 +74,8 @@
 
 // RandomAliveMostlyLocal is RandomAlive with most of the entries taken from this entry's data
 // centre, which keeps the load on links between data centres low. Each entry that receives an
-// update sends it to one entry of another data centre, so an update crosses as often as a data
-// centre has entries.
+// update sends it to one entry of another data centre, so an update leaves a data centre about as
+// many times as the data centre has entries.
 func (t *Table) RandomAliveMostlyLocal(count int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/members/table.go
+++ b/members/table.go
@@ -158,8 +158,8 @@
 	return result
 }
 
-// refute raises this entry's incarnation and revision above those of an update on it, if that
-// update would supersede its own presence. It returns true if it did.
+// refute handles an update on this entry that another entry has sent. If the update would supersede
+// this entry's own presence, refute makes the presence newer than the update and returns true.
 //
 // Such updates are spread while this entry is paused, or after its clock was set back before a
 // restart. Without refutation, the directory's answers would omit the entry for good.
