--- a/expert/layer.go
+++ b/expert/layer.go
@@ -196,18 +196,18 @@
 	slowest, x := s.rankOfSlot(i), s.slots[i]
 	ownExperts := s.expertsOfRank(slowest)
 	k := s.shape.SlotsOfRank
-	for b, t := range s.rankTimes {
-		if b == slowest {
+	for other, t := range s.rankTimes {
+		if other == slowest {
 			continue
 		}
-		otherExperts := s.slots[b*k : (b+1)*k]
+		otherExperts := s.slots[other*k : (other+1)*k]
 		for n, y := range otherExperts {
 			diff := s.copyLoad[x] - s.copyLoad[y]
-			longest := max(t+diff*s.inverseSpeed[b], s.slowestTime-diff*s.inverseSpeed[slowest])
+			longest := max(t+diff*s.inverseSpeed[other], s.slowestTime-diff*s.inverseSpeed[slowest])
 			if diff <= 0 || longest >= s.maxTime[1] || contains(ownExperts, y) || contains(otherExperts, x) {
 				continue
 			}
-			s.consider(change{first: slotChange{i, y}, second: slotChange{b*k + n, x}, isSwap: true}, longest)
+			s.consider(change{first: slotChange{i, y}, second: slotChange{other*k + n, x}, isSwap: true}, longest)
 		}
 	}
 }
@@ -226,21 +226,21 @@
 		return
 	}
 	k := s.shape.SlotsOfRank
-	for b, t := range s.rankTimes {
-		if b == slowest {
+	for other, t := range s.rankTimes {
+		if other == slowest {
 			continue
 		}
-		otherExperts := s.slots[b*k : (b+1)*k]
+		otherExperts := s.slots[other*k : (other+1)*k]
 		for n, z := range otherExperts {
 			if s.copies[z] < 2 || z == x {
 				continue
 			}
-			longest := max(slowestAfter, t+(newLoadX-s.copyLoad[z])*s.inverseSpeed[b])
+			longest := max(slowestAfter, t+(newLoadX-s.copyLoad[z])*s.inverseSpeed[other])
 			if longest >= s.maxTime[0] || contains(otherExperts, x) {
 				continue
 			}
-			if longest = max(longest, s.longestWithoutCopy(z, b*k+n, x, relief)); longest < s.maxTime[0] {
-				s.consider(change{first: slotChange{b*k + n, x}}, longest)
+			if longest = max(longest, s.longestWithoutCopy(z, other*k+n, x, relief)); longest < s.maxTime[0] {
+				s.consider(change{first: slotChange{other*k + n, x}}, longest)
 			}
 		}
 	}
@@ -294,19 +294,19 @@
 }
 
 // fillSlot puts an expert into a slot and updates the copy loads and rank times.
-func (s *layerSearch) fillSlot(op slotChange) {
-	old := s.slots[op.slot]
-	s.applied = append(s.applied, op)
-	r := s.rankOfSlot(op.slot)
+func (s *layerSearch) fillSlot(c slotChange) {
+	old := s.slots[c.slot]
+	s.applied = append(s.applied, c)
+	r := s.rankOfSlot(c.slot)
 	s.rankTimes[r] -= s.copyLoad[old] * s.inverseSpeed[r]
-	s.holders[old] = slices.DeleteFunc(s.holders[old], func(h int) bool { return h == op.slot })
+	s.holders[old] = slices.DeleteFunc(s.holders[old], func(h int) bool { return h == c.slot })
 	s.copies[old]--
 	s.updateCopyLoad(old)
-	s.slots[op.slot] = op.expert
-	s.rankTimes[r] += s.copyLoad[op.expert] * s.inverseSpeed[r]
-	s.holders[op.expert] = append(s.holders[op.expert], op.slot)
-	s.copies[op.expert]++
-	s.updateCopyLoad(op.expert)
+	s.slots[c.slot] = c.expert
+	s.rankTimes[r] += s.copyLoad[c.expert] * s.inverseSpeed[r]
+	s.holders[c.expert] = append(s.holders[c.expert], c.slot)
+	s.copies[c.expert]++
+	s.updateCopyLoad(c.expert)
 }
 
 // updateCopyLoad divides the load of an expert by its number of copies. In the middle of a swap an
--- a/expert/plan.go
+++ b/expert/plan.go
@@ -150,8 +150,8 @@
 			next = in.Map.Clone()
 		}
 		layer := next.Layer(imp.layer)
-		for _, op := range imp.changes {
-			layer[op.slot] = op.expert
+		for _, c := range imp.changes {
+			layer[c.slot] = c.expert
 		}
 		for r := range s.Ranks {
 			p.movesByRank[r] += rankMoves(in.Map.RankLayer(imp.layer, r), next.RankLayer(imp.layer, r))
@@ -190,8 +190,8 @@
 		return true
 	}
 	k := in.Map.Shape.SlotsOfRank
-	for _, op := range imp.changes {
-		if p.movesByRank[op.slot/k]+changesOnRank(imp.changes, op.slot/k, k) > in.Limits.MaxMovesPerRank {
+	for _, c := range imp.changes {
+		if p.movesByRank[c.slot/k]+changesOnRank(imp.changes, c.slot/k, k) > in.Limits.MaxMovesPerRank {
 			return false
 		}
 	}
@@ -199,10 +199,10 @@
 }
 
 // changesOnRank returns the number of changes on a rank; k is the number of slots on each rank.
-func changesOnRank(ops []slotChange, rank, k int) int {
+func changesOnRank(changes []slotChange, rank, k int) int {
 	n := 0
-	for _, op := range ops {
-		if op.slot/k == rank {
+	for _, c := range changes {
+		if c.slot/k == rank {
 			n++
 		}
 	}
--- a/expert/report.go
+++ b/expert/report.go
@@ -39,8 +39,8 @@
 }
 
 // Coarse bands are half octaves, two of them in a byte. The rounding error is 19 % at most, which
-// cancels out where the loads of many ranks are added. It halves the size of the reports of most
-// ranks.
+// cancels out where the loads of many ranks are added. Coarse bands halve the size of a report.
+// Ranks at the leaves of the collection tree, which are most of the ranks, send them.
 const (
 	bandsPerCoarseBand = bandsPerOctave / 2
 	coarseZero         = 15 // no load, or less than 1/128 of the busiest slot's
