--- a/entry/continue.go
+++ b/entry/continue.go
@@ -19,7 +19,7 @@
 //
 // Continuing an aborted generation from prompt and partial tokens with a reduced budget is
 // described in "Separate-Async RL Training for Omni AR Models" (abort semantics).
-// docs/design/0003-retries.md has measurements.
+// docs/design/0003-retries.md has measurements of it.
 type textStream struct {
 	partialEvent []byte // bytes of an incomplete event
 	text         strings.Builder
@@ -68,7 +68,7 @@
 	}
 }
 
-// textEvent is the part of an event, of either interface, that holds the text.
+// textEvent is the part of an event that holds the text, in the completion and chat interfaces.
 type textEvent struct {
 	Choices []struct {
 		Text  string `json:"text"`
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -99,7 +99,7 @@
 }
 
 // receiveNew returns bytes that Recv has not returned before. It returns none if an event
-// held only earlier bytes.
+// held only bytes that Recv has returned.
 func (x *Exchange) receiveNew() ([]byte, error) {
 	ev, err := x.stream.Recv(x.ctx)
 	if err != nil && x.textStream != nil {
@@ -164,7 +164,7 @@
 	c := x.retrier.call
 	switch {
 	case !c.Repeatable:
-		x.skipBytes = x.deliveredBytes // the home target replays its only run
+		x.skipBytes = x.deliveredBytes // the home target replays the answer of its only run
 		return c.Body, true
 	case x.deliveredBytes == 0:
 		if x.textStream != nil {
--- a/entry/dispatchlog.go
+++ b/entry/dispatchlog.go
@@ -133,8 +133,8 @@
 }
 
 // report raises minVersion to the version of snap. It returns the dispatch report for the
-// agent dest: the keys whose home target is dest and that this entry also sent to other
-// destinations.
+// agent dest: the keys whose home target is dest and that this entry has sent to any other
+// destination.
 func (d *dispatchLog) report(snap *config.Snapshot, dest destination, fleet string) *wire.DispatchReport {
 	names := targetNames(snap.Targets(fleet))
 	d.mu.Lock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -44,7 +44,7 @@
 	Control control.Timing
 	// NoCallers disables the HTTP server; calls then come through Do only.
 	NoCallers bool
-	// Off disables safeguards, for tests of the checkers.
+	// Off disables safeguards, for tests that must detect a missing safeguard.
 	Off safeguard.Off
 }
 
@@ -193,9 +193,10 @@
 // callerShutdownTimeout bounds the wait for connections that stay open without a request.
 const callerShutdownTimeout = 2 * time.Second
 
-// shutdownCallerServer stops the HTTP server. A request may have arrived without being read when
-// no request was in flight; closing at once would end its connection without an answer. The
-// library accepts no new connections, closes idle ones and waits for those with a request.
+// shutdownCallerServer stops the HTTP server. A request that has arrived but has not been read yet
+// does not count as in flight; closing all connections at once would end its connection without an
+// answer. The library accepts no new connections, closes idle ones and waits for those with a
+// request.
 func (e *Entry) shutdownCallerServer(ctx context.Context) {
 	if e.app == nil {
 		return
--- a/entry/eventtext.go
+++ b/entry/eventtext.go
@@ -19,11 +19,11 @@
 	if data[len(data)-1] != '}' || bytes.Contains(data, []byte(`\u`)) {
 		return nil, false
 	}
-	valueAt, ok := findSingleTextKey(data)
+	keyEnd, ok := findSingleTextKey(data)
 	if !ok {
 		return nil, false
 	}
-	rest := skipSpace(data[valueAt:])
+	rest := skipSpace(data[keyEnd:])
 	if len(rest) == 0 || rest[0] != ':' {
 		return nil, false
 	}
--- a/entry/fleetview.go
+++ b/entry/fleetview.go
@@ -101,23 +101,23 @@
 
 // Read implements route.TargetPool.
 func (v *fleetView) Read(i int, r *route.Request, t *route.Target) {
-	at := &v.targets[i]
-	*t = route.Target{Name: at.name, DataCentre: at.dataCentre}
-	l := at.link.Load()
+	vt := &v.targets[i]
+	*t = route.Target{Name: vt.name, DataCentre: vt.dataCentre}
+	l := vt.link.Load()
 	if l == nil {
-		if l = v.entry.link(at.name); l == nil {
+		if l = v.entry.link(vt.name); l == nil {
 			return
 		}
 		l.fleetState.Store(v.state)
-		at.link.Store(l)
+		vt.link.Store(l)
 	}
 	reported, age := l.readTarget(t)
 	v.state.mu.Lock()
 	defer v.state.mu.Unlock()
 	t.Others = v.state.loadMeans.DiscountStale(reported, age.Seconds())
 	v.state.loadMeans.FillSpeeds(t)
-	if at.indexSlot >= 0 && len(r.Blocks) > 0 {
-		t.CachedTokens = v.state.cacheIndex.CachedTokens(at.indexSlot, r.Blocks)
+	if vt.indexSlot >= 0 && len(r.Blocks) > 0 {
+		t.CachedTokens = v.state.cacheIndex.CachedTokens(vt.indexSlot, r.Blocks)
 	}
 }
 
--- a/entry/http.go
+++ b/entry/http.go
@@ -128,8 +128,8 @@
 	Lifetime int      `json:"lifetime"` // seconds for which a caller may cache the answer
 }
 
-// serveEntries lists this entry first, then the other usable entries. Members of the caller's
-// team limits move to the front.
+// serveEntries lists this entry first, then the other usable entries. Entries that enforce the
+// limits of the caller's team move to the front.
 func (e *Entry) serveEntries(c fiber.Ctx) error {
 	answer := EntriesAnswer{Lifetime: int(e.opts.Settings.AnswerLife.Seconds())}
 	vms := e.vms.Load()
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -14,7 +14,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// teamLimits enforces this entry's part of the team limits. A team has a limiter only while it
+// teamLimits enforces this entry's share of the team limits. A team has a limiter only while it
 // has limits and sends requests.
 type teamLimits struct {
 	startedAt time.Time
@@ -25,8 +25,9 @@
 	entriesDigest uint64 // digest of the entry list that memberships was computed for
 }
 
-// teamMembership is a cached membership: ranking all entries for each request would cost more
-// than placing the request.
+// teamMembership is a cached result of newMembership: the entries that enforce a team's limits, and
+// whether this entry is one of them. Ranking all entries for each request would cost more than
+// placing the request.
 type teamMembership struct {
 	limitMembership route.LimitMembership
 	isMember        bool
@@ -94,8 +95,8 @@
 	return err
 }
 
-// limitMembership returns this entry's membership in a team's limits, and whether the entry is
-// one of the team's members.
+// limitMembership returns the entries that enforce a team's limits, and whether this entry is one of
+// them.
 func (e *Entry) limitMembership(team string) (route.LimitMembership, bool) {
 	entriesDigest := e.entriesDigest.Load()
 	l := e.limits
@@ -121,15 +122,16 @@
 // newMembership computes the membership that limitMembership caches.
 func (e *Entry) newMembership(team string) teamMembership {
 	entries := e.liveEntries()
-	p := teamMembership{limitMembership: route.LimitMembership{Self: e.opts.Settings.Name, Entries: len(entries)}}
+	membership := teamMembership{limitMembership: route.LimitMembership{Self: e.opts.Settings.Name, Entries: len(entries)}}
 	for _, m := range route.TeamMembers(team, entries, route.EntriesPerTeam) {
-		p.limitMembership.Members = append(p.limitMembership.Members, m.Name)
-		p.isMember = p.isMember || m.Name == p.limitMembership.Self
+		membership.limitMembership.Members = append(membership.limitMembership.Members, m.Name)
+		membership.isMember = membership.isMember || m.Name == membership.limitMembership.Self
 	}
-	return p
+	return membership
 }
 
-// sendDemandLoop sends the demand of each team at this entry to the other members of the team.
+// sendDemandLoop sends the demand of each team at this entry to the other entries that enforce the
+// team's limits.
 func (e *Entry) sendDemandLoop() {
 	for period := uint64(1); e.sleep(route.DemandPeriod); period++ {
 		for peer, rows := range e.demandByPeer() {
@@ -138,8 +140,8 @@
 	}
 }
 
-// demandByPeer ends the demand period of all limiters and returns what each peer must learn. It
-// removes idle limiters.
+// demandByPeer ends the demand period of all limiters. It returns the changed team demands that
+// each peer must be sent, and removes idle limiters.
 func (e *Entry) demandByPeer() map[string][]wire.TeamDemand {
 	l := e.limits
 	changed := make(map[string]float64)
@@ -156,12 +158,12 @@
 	l.mu.Unlock()
 	peers := make(map[string][]wire.TeamDemand)
 	for team, demand := range changed {
-		p, isMember := e.limitMembership(team)
+		membership, isMember := e.limitMembership(team)
 		if !isMember {
-			continue // the share of a non-member does not depend on demand
+			continue // the share of an entry that is no member does not depend on demand
 		}
-		for _, m := range p.Members {
-			if m != p.Self {
+		for _, m := range membership.Members {
+			if m != membership.Self {
 				peers[m] = append(peers[m], wire.TeamDemand{Team: team, Requests: float32(demand)})
 			}
 		}
@@ -189,8 +191,8 @@
 	return nil
 }
 
-// preferTeamEntries moves the member entries of the caller's team to the front. The order is
-// unchanged if the caller sends no valid key or the team has no limits.
+// preferTeamEntries moves the entries that enforce the limits of the caller's team to the front. The
+// order is unchanged if the caller sends no valid key or the team has no limits.
 func (e *Entry) preferTeamEntries(c fiber.Ctx, addresses []string) {
 	if c.Get(fiber.HeaderAuthorization) == "" {
 		return
@@ -199,15 +201,15 @@
 	if err != nil || (team.Requests == 0 && team.Tokens == 0 && team.InFlight == 0) {
 		return
 	}
-	p, _ := e.limitMembership(team.Name)
+	membership, _ := e.limitMembership(team.Name)
 	vms := e.vms.Load()
 	if vms == nil {
 		return
 	}
 	rank := make(map[string]int)
 	for _, vm := range *vms {
-		if position := slices.Index(p.Members, vm.Name); position >= 0 {
-			rank[vm.Callers] = position - len(p.Members)
+		if position := slices.Index(membership.Members, vm.Name); position >= 0 {
+			rank[vm.Callers] = position - len(membership.Members)
 		}
 	}
 	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(rank[a], rank[b]) })
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// recoverGroup restarts a group that is stalled because a decision is missing.
+// recoverGroup resumes a group that is stalled because a decision is missing. Its ballot keeps the
+// map in use.
 func (o *groupOwner) recoverGroup(ctx context.Context, g *config.Group) {
 	s := &mapSwitch{entry: o.entry, group: g, baseOrder: wire.RankOrder{Group: g.Name, Recovery: true}}
 	err := s.run(ctx)
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -52,11 +52,11 @@
 }
 
 // readAgentPresences reads the agents that were on the log before this entry's presence record.
-// An agent that registers later finds the record and waits for this entry's dispatch report.
+// An agent that registers later finds this entry's record and waits for its dispatch report.
 //
-// Without it, while a VM is replaced and the old one still runs, an entry that starts with an
-// old VM list could let two agents of one target serve the same keys. Reading the records is
-// enough, because the entry connects to no incarnation older than one it has read.
+// Without this reading, while a VM is replaced and the old one still runs, an entry that starts
+// with an old VM list could let two agents of one target serve the same keys. Reading the records
+// is enough, because the entry connects to no incarnation older than one it has read.
 func (e *Entry) readAgentPresences(until uint64) error {
 	for next := uint64(0); next <= until; {
 		ctx, cancel := context.WithTimeout(e.ctx, presenceTimeout)
@@ -89,8 +89,8 @@
 
 // Registered reports whether agents can find this entry on the log and the entry knows every
 // configuration version accepted before its presence record. Without the second condition, an
-// entry that starts late could dispatch under a version when the agents of the next version have
-// already counted the entries.
+// entry that starts late could dispatch under a superseded version after the agents of the next
+// version have read from the log which entries may dispatch.
 func (e *Entry) Registered() bool {
 	offset := e.outcomes.presenceOffset.Load()
 	return offset > 0 && e.outcomes.appliedOffset.Load() >= offset
@@ -115,7 +115,7 @@
 }
 
 // writeShutdownRecords closes the dispatch log and writes its records to the log service. Agents
-// that start later then need not count this entry among those that cannot be asked.
+// that start later then do not wait for a dispatch report of this entry, which can send none.
 func (e *Entry) writeShutdownRecords() {
 	remaining := e.outcomes.dispatchLog.close()
 	if e.outcomes.presenceOffset.Load() == 0 {
--- a/entry/sched.go
+++ b/entry/sched.go
@@ -61,8 +61,8 @@
 	return text
 }
 
-// prepareSched computes the scheduling data that does not depend on the target. answer is
-// the mean answer length in tokens. Later calls have no effect.
+// prepareSched computes the scheduling data that does not depend on the target. Only the first
+// call has an effect.
 func (c *Call) prepareSched(snap *config.Snapshot, svc *config.Service, meanAnswerTokens float64) {
 	s := &c.sched
 	if s.prepared {
--- a/entry/smuggling_test.go
+++ b/entry/smuggling_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Each input hides a second request or leaves its own length ambiguous. The service must run the
-// request before the hidden part or nothing, never the hidden request.
+// Each input hides a second, unauthenticated request or leaves its own length ambiguous. The service
+// must run the request before the hidden part or nothing, never the hidden request.
 func TestSmuggledRequestsNeverRun(t *testing.T) {
 	f, addr, _ := startSmall(t)
 	hidden := "POST /v1/services/logbook/hidden HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nh"
