--- a/control/apply.go
+++ b/control/apply.go
@@ -13,8 +13,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Operator applies configuration changes on behalf of an operator. It reads the log
-// itself, so it reports the same outcome that every other reader of the log derives.
+// Operator appends configuration changes to the log for the operators' tool and reads back
+// their outcomes. It folds the log itself, so it reports the outcome that every entry derives.
 type Operator struct {
 	Log outside.Log
 	// State returns a peer's saved state. It is used when the log was trimmed; may be nil.
@@ -102,12 +102,13 @@
 	return o.appendUntilDecided(ctx, id, records)
 }
 
-// Resume determines the outcome of a change whose outcome was unknown. It appends a
-// record with the same id and a base that can never be in force. If the lost append
-// reaches the log later, its id is a repetition and it changes nothing.
+// Resume determines the outcome of a change whose outcome was unknown. If the log holds no
+// outcome of the change, Resume appends a record with the same id and a base that can never
+// be in force. If the lost append reaches the log later, its id is a repetition and it
+// changes nothing.
 func (o *Operator) Resume(ctx context.Context, id string) (config.Outcome, error) {
 	if err := o.Sync(ctx); err != nil {
-		return config.Outcome{}, result.New(result.ChangeUnknown, "%s: %w", id, err)
+		return config.Outcome{}, result.New(result.ChangeUnknown, "change %s: %w", id, err)
 	}
 	if oldest, full := o.fold.OldestOutcome(); full && id < oldest {
 		return config.Outcome{}, result.New(result.ChangeUnknown, "change %s is too old: outcomes before %s are no longer kept", id, oldest)
@@ -143,7 +144,7 @@
 		select {
 		case <-time.After(operatorRetryInterval):
 		case <-ctx.Done():
-			return config.Outcome{}, result.New(result.ChangeUnknown, "%s: %w", id, errors.Join(err, context.Cause(ctx)))
+			return config.Outcome{}, result.New(result.ChangeUnknown, "change %s: %w", id, errors.Join(err, context.Cause(ctx)))
 		}
 	}
 }
--- a/control/follow.go
+++ b/control/follow.go
@@ -157,8 +157,8 @@
 	return n.foldRecords(first, records, time.Now())
 }
 
-// foldRecords folds consecutive records. The first one has offset first, and all were read
-// from the log at readAt.
+// foldRecords folds consecutive records. The first one has offset first. readAt is when this
+// process, or the peer that sent the records, last read the log.
 func (n *Node) foldRecords(first uint64, records [][]byte, readAt time.Time) error {
 	n.mu.Lock()
 	for i, raw := range records {
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -13,8 +13,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Batches are lost, delayed, duplicated or reordered, and clocks differ within the margin.
-// Two claimants never hold the lease at once, and fencing numbers never decrease.
+// Batches are lost, delayed, duplicated or reordered, claimants read late, and clocks differ within
+// the margin. Two claimants never hold the lease at once, and fencing numbers never decrease.
 func TestLeaseHasOneHolder(t *testing.T) {
 	const res = "group/x"
 	rapid.Check(t, func(t *rapid.T) {
--- a/control/node.go
+++ b/control/node.go
@@ -23,7 +23,7 @@
 	HeartbeatInterval time.Duration // between heartbeats
 	FailureTimeout    time.Duration // after which an observer misses a process
 	LogWait           time.Duration // duration of a long poll of the log or of a peer
-	Coalesce          time.Duration // mean time between two reads, so that many records cost one read
+	Coalesce          time.Duration // least mean time between reads, so that many records cost one read
 	Backoff           time.Duration // after a failed source; doubled up to MaxBackoff
 	MaxBackoff        time.Duration
 	LogBackoff        time.Duration // upper bound for the log, so that its return is noticed soon
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// The log goes down before all nodes have read a change. No node goes back to an older
-// version; a change made after the outage reaches all nodes in time.
+// The log goes down before all nodes have read a change, and an apply in the outage stays unknown.
+// No node goes back to an older version; a change after the outage reaches all nodes in time.
 func TestLogDownForAnHour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/control/publish.go
+++ b/control/publish.go
@@ -32,11 +32,12 @@
 	return now.Sub(s.latestSeenAt) >= wait
 }
 
-// snapshotRankDivisor divides the snapshot period into the delays between ranks.
+// snapshotRankDivisor sets the delay from one rank to the next: 1/snapshotRankDivisor of
+// the snapshot period.
 const snapshotRankDivisor = 30
 
-// maxPublishers bounds the number of entries that publish. With the delay of further
-// ranks, the period would come close to the retention of the log.
+// maxPublishers bounds the number of entries that publish. With more ranks, the period plus
+// the delay of the last rank would come close to the retention of the log.
 const maxPublishers = 16
 
 // publishSnapshots appends the saved state to the log before the records that led to it
--- a/control/relay.go
+++ b/control/relay.go
@@ -19,9 +19,10 @@
 }
 
 // add stores the record at an offset. Snapshot parts and presence records are stored
-// empty: a peer gets a whole state by another message and reads presence records from the
-// log. The parts of 38,000 teams, and a presence record of each of 1,500 processes every
-// two minutes, would exceed the bandwidth budget of each node.
+// empty: serveTail sends a whole state to a peer that needs one, and agents and entries
+// read presence records from the log itself. The parts of 38,000 teams, and a presence
+// record of each of 1,500 processes every two minutes, would exceed the control traffic
+// budget of each node.
 func (r *recordCache) add(offset uint64, raw []byte) {
 	if offset != r.next() {
 		*r = recordCache{first: offset}
