--- a/agent/control.go
+++ b/agent/control.go
@@ -47,7 +47,7 @@
 	return s.versions[len(s.versions)-1].version
 }
 
-// Fence returns the check of fencing numbers.
+// Fence returns the agent's fence, which checks the fencing numbers of orders.
 func (a *Agent) Fence() *control.Fence { return a.config.fence }
 
 // Version returns the newest configuration version that the agent has received.
@@ -61,7 +61,8 @@
 	return p, ok
 }
 
-// recordVersion records when a version newer than all others was received.
+// recordVersion records the arrival time of a version that is newer than all versions
+// received before.
 func (a *Agent) recordVersion(version uint64, now time.Time) {
 	s := &a.config
 	s.mu.Lock()
--- a/agent/crash.go
+++ b/agent/crash.go
@@ -27,7 +27,7 @@
 
 	mu           sync.Mutex
 	running      map[*engineRequest]bool
-	isolated     bool
+	isolated     bool          // a suspect runs alone, or waits until it can
 	noneRunning  chan struct{} // signalled when no request runs
 	failures     *failureBatch
 	refusedUntil map[uint64]time.Time
--- a/agent/dispatchcheck.go
+++ b/agent/dispatchcheck.go
@@ -18,8 +18,9 @@
 	entryListTimeout  = 500 * time.Millisecond // for reading the log to its end
 )
 
-// confirmNotRun returns nil if the key of req, unknown here, certainly ran at no other
-// target or incarnation. It waits up to dispatchReportWait for missing dispatch reports.
+// confirmNotRun returns nil if it is certain that no other target and no earlier incarnation
+// of this agent ran req, whose key is not in the deduplication table. It waits up to
+// dispatchReportWait for missing dispatch reports.
 func (c *dispatchChecker) confirmNotRun(ctx context.Context, req *wire.Request) error {
 	limit := min(dispatchReportWait, time.Duration(req.DeadlineMs)*time.Millisecond/2)
 	deadline := c.now().Add(limit)
@@ -43,7 +44,8 @@
 	}
 }
 
-// entryListUnread stands for an unread entry list among the missing entries.
+// entryListUnread is the value among the missing entries which means that the entry list has
+// not been read from the log. No entry has incarnation 0.
 const entryListUnread uint64 = 0
 
 // checkKey returns nil if the request may run. missing lists the entries whose dispatch
@@ -70,9 +72,9 @@
 	return c.checkEntries(max(from, 1), now, window)
 }
 
-// checkEntries checks that every entry of the window has sent a dispatch report for
-// version from or a later one; from is the version since which the home of the key has
-// been here without a gap. mu is held.
+// checkEntries checks that every entry whose latest presence is within the window has sent a
+// dispatch report for version from or a later one. This agent has been the home of the key
+// since version from, without a gap. mu is held.
 func (c *dispatchChecker) checkEntries(from uint64, now time.Time, window time.Duration) (missing []uint64, err error) {
 	if c.log != nil && (!c.entriesRead || c.entriesVersion < from) {
 		return []uint64{entryListUnread}, result.New(result.KeyInDoubt, "entries that may have dispatched the request are not known yet")
--- a/agent/dispatchreports.go
+++ b/agent/dispatchreports.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// dispatchSlack is how much longer than the window an entry remembers a dispatch,
-	// because the run may begin that much later.
+	// dispatchSlack is how much longer than the deduplication window an entry remembers a
+	// dispatch, because the run may begin that much later.
 	dispatchSlack = 2 * time.Minute
 	// presenceSlack covers the refresh interval of presence records and clock differences.
 	presenceSlack = 6 * time.Minute
@@ -23,13 +23,16 @@
 // dispatchChecker decides whether a request may run whose key is not in the deduplication
 // table.
 //
-// If the agent restarts, or the home of the key moves here with a new configuration, a
-// caller may repeat a request that has already run. Running it again would start an oven
-// twice. This is prevented as follows. Each entry records a dispatch before it sends it.
-// The agent appends its presence to the log before it reads the entries there; an entry
-// that the agent does not find therefore finds the agent and sends to no older agent. The
-// key runs only after each entry found has reported that it dispatched the key nowhere
-// else and will not do so under an older version.
+// The home of a key is the target that runs all requests with the key. If the agent
+// restarts, or the home of the key moves here with a new configuration, a caller may repeat
+// a request that has already run. Running it again would, for example, start an oven twice.
+// Three rules prevent that:
+//   - Each entry records a dispatch before it sends the request.
+//   - The agent appends its presence to the log before it reads there which entries exist.
+//     An entry that the agent does not find therefore finds the agent, and sends to no
+//     older agent.
+//   - A request with the key runs only after each entry found has reported that it
+//     dispatched the key nowhere else and will not do so under an older version.
 type dispatchChecker struct {
 	target      string
 	incarnation uint64
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -32,8 +32,8 @@
 }
 
 // Order brings the engine to a state, if the fencing number is not stale. It returns nil
-// once the engine has been read in that state. result.OrderUnknown means that the engine
-// could not be read in that state; the same order may be given again.
+// once the engine reports that state. result.OrderUnknown means that the engine did not
+// report it: the order may or may not have taken effect, and its sender repeats it.
 //
 // The fencing number is checked while the slot that serialises orders is held. Otherwise a
 // holder that was paused while its lease lapsed could send its order between the check and
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -15,7 +15,8 @@
 )
 
 // rankAgent handles orders for the rank interface of an engine. It alone gives orders to
-// the engine, one after another.
+// the engine, one after another. The orders come from a coordinator: the entry that owns the
+// group, or an entry that recovers it.
 type rankAgent struct {
 	agent  *Agent
 	engine outside.Rank
@@ -82,7 +83,7 @@
 		return
 	}
 	if err := s.SendMessage(wire.MessageRank, reply); err != nil {
-		return // the orderer repeats the order on its next connection
+		return // the coordinator repeats the order on its next connection
 	}
 	_ = s.Finish()
 }
@@ -129,7 +130,7 @@
 }
 
 // enqueueOrder passes an order to the goroutine that gives orders. The order goes on when
-// the orderer stops waiting: no other order may follow one whose outcome is unknown, or
+// the coordinator stops waiting: no other order may follow one whose outcome is unknown, or
 // the unknown one could take effect after it.
 func (r *rankAgent) enqueueOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
 	call := rankCall{order: o, done: make(chan rankResult, 1)}
@@ -294,7 +295,7 @@
 func (e engineOrders) Lift(t expert.HoldToken) error { return e.engine.Lift(e.ctx, t) }
 
 // watchStalls notifies the entries when the rank is stalled for lack of a decision: its
-// orderer has died, or the engine has restarted without a map.
+// coordinator has died, or the engine has restarted without a map.
 func (r *rankAgent) watchStalls() {
 	ticker := time.NewTicker(stallPollInterval)
 	defer ticker.Stop()
--- a/agent/rank_test.go
+++ b/agent/rank_test.go
@@ -20,7 +20,7 @@
 
 const testRanks = 3
 
-// rankBench is a group of three ranks behind real agents. The test plays the orderer.
+// rankBench is a group of three ranks behind real agents. The test plays the coordinator.
 type rankBench struct {
 	g       *WithT
 	group   *fake.LockStep
@@ -74,7 +74,7 @@
 	t.Cleanup(a.Close)
 	nc, err := new(wire.Network).Dial(context.Background(), a.Addr())
 	b.g.Expect(err).NotTo(HaveOccurred())
-	c, err := wire.Client(nc, wire.Hello{Name: "orderer", Role: wire.RoleEntry, Incarnation: 9}, noopHandler{}, wire.Options{})
+	c, err := wire.Client(nc, wire.Hello{Name: "coordinator", Role: wire.RoleEntry, Incarnation: 9}, noopHandler{}, wire.Options{})
 	b.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(c.Close)
 	b.agents[i], b.conns[i] = a, c
@@ -159,8 +159,8 @@
 	b.g.Expect(b.group.Map()).To(Equal(m.ID()))
 }
 
-// An orderer dies once all ranks hold, before it has sent its decision. The next ballot
-// continues with the old map, and a late copy of the dead orderer's decision is refused.
+// A coordinator dies once all ranks hold, before it has sent its decision. The next ballot
+// continues with the old map, and a late copy of the dead coordinator's decision is refused.
 func TestNextBallotKeepsOldMapIfDecisionWasNotSent(t *testing.T) {
 	b := newRankBench(t)
 	b.prepare()
@@ -170,7 +170,7 @@
 	b.expectRunsWith(b.first)
 }
 
-// An orderer dies after one rank has entered the step with the new map. The next ballot
+// A coordinator dies after one rank has entered the step with the new map. The next ballot
 // wants the old map but must let all ranks run that step with the new one.
 func TestNextBallotFinishesSwitchThatOneRankEntered(t *testing.T) {
 	b := newRankBench(t)
@@ -253,7 +253,7 @@
 	b.expectRunsWith(b.first)
 }
 
-// An agent is gone when a switch begins, so the orderer withdraws before the ranks reach
+// An agent is gone when a switch begins, so the coordinator withdraws before the ranks reach
 // the hold. No step is lost, and a late copy of the hold is refused.
 func TestWithdrawnSwitchCostsNoStep(t *testing.T) {
 	b := newRankBench(t)
--- a/agent/run.go
+++ b/agent/run.go
@@ -68,9 +68,9 @@
 	case a.leaving.Load():
 		return result.New(result.TargetLeaving, "%s is leaving", a.opts.Settings.Target)
 	case running > a.opts.Settings.Queue:
-		return result.New(result.TargetBusy, "%d requests at once, limit %d", running, a.opts.Settings.Queue)
+		return result.New(result.TargetBusy, "%d requests in flight, limit %d", running, a.opts.Settings.Queue)
 	case req.DeadlineMs <= 0:
-		return result.New(result.DeadlineUnmet, "no time is left")
+		return result.New(result.DeadlineUnmet, "no time left before the deadline")
 	}
 	return nil
 }
