--- a/wire/accept.go
+++ b/wire/accept.go
@@ -17,9 +17,9 @@
 )
 
 // Acceptor accepts connections from other processes on a listener. It limits the
-// number of connections, and separately those whose hello exchange is pending. An
-// unknown client that connects and sends nothing therefore occupies only a pending
-// slot, and for at most Options.HelloTimeout.
+// number of connections, and separately those whose hello exchange is pending.
+// Unknown clients that connect and send nothing therefore occupy at most MaxPending
+// of the MaxConns connections, each for at most Options.HelloTimeout.
 type Acceptor struct {
 	Listener   net.Listener
 	Hello      Hello
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -147,7 +147,7 @@
 		return result.New(result.WireMalformed, "hello: %w", err)
 	}
 	if c.peer.Schema < OldestSchema || c.peer.Oldest > SchemaVersion {
-		return result.New(result.WireSchema, "peer speaks %d to %d, this build %d to %d",
+		return result.New(result.WireSchema, "peer supports schemas %d to %d, this build %d to %d",
 			c.peer.Oldest, c.peer.Schema, OldestSchema, SchemaVersion)
 	}
 	if c.peer.Window == 0 {
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -65,7 +65,7 @@
 	}
 	payload := fr.buf[:size]
 	if _, err := io.ReadFull(fr.r, payload); err != nil {
-		return Frame{}, fmt.Errorf("frame cut short: %w", err)
+		return Frame{}, fmt.Errorf("truncated frame: %w", err)
 	}
 	f := Frame{
 		Kind:    Kind(fr.header[4]),
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -134,7 +134,7 @@
 	}
 	certs := tc.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
-		return result.New(result.WireRole, "no certificate")
+		return result.New(result.WireRole, "peer presented no certificate")
 	}
 	if err := certs[0].VerifyHostname(RoleName(role)); err != nil {
 		return result.New(result.WireRole, "role %q: %w", role, err)
--- a/wire/options.go
+++ b/wire/options.go
@@ -8,7 +8,7 @@
 	Window       int           // bytes that the peer may send on a stream without further credit; zero: DefaultWindow
 	MaxStreams   int           // streams that the peer may have open at once; zero: DefaultMaxStreams
 	PingEvery    time.Duration // ping interval; zero: one second
-	PeerTimeout  time.Duration // the connection fails after this long without a frame from the peer, or with a blocked write; zero: four seconds
+	PeerTimeout  time.Duration // longest time without a frame from the peer, or in one write; zero: four seconds
 	HelloTimeout time.Duration // limit for the TLS handshake and the hello exchange; zero: five seconds
 }
 
--- a/wire/receive.go
+++ b/wire/receive.go
@@ -40,7 +40,7 @@
 	if f.Stream == 0 || f.Stream%idStep == c.idParity {
 		// With an id of this side the peer could inject frames into a stream that
 		// this side opens later.
-		return result.New(result.WireMalformed, "stream id %d is not the peer's to use", f.Stream)
+		return result.New(result.WireMalformed, "stream id %d is zero or reserved for this side", f.Stream)
 	}
 	s := newStream(c, f.Stream)
 	c.mu.Lock()
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -47,7 +47,7 @@
 type AgentConfig struct {
 	Version  uint64          `msg:"v"`
 	Digest   uint64          `msg:"d"`
-	Entries  int             `msg:"e"` // number of entries in the VM list, from which fence floors can come
+	Entries  int             `msg:"e"` // number of entries in the VM list, which can send fencing floors
 	Policies []ServicePolicy `msg:"p"` // of the services that the target's fleet serves
 	Floors   []FenceFloor    `msg:"f"` // of the resources that concern the target
 }
@@ -58,7 +58,7 @@
 	Policy  []byte `msg:"p"` // encoded config.Policy
 }
 
-// FenceFloor is the lowest fencing token that is still valid for a resource.
+// FenceFloor is the lowest fencing number that is still valid for a resource.
 //
 //msgp:tuple FenceFloor
 type FenceFloor struct {
@@ -97,7 +97,7 @@
 	DataCentre string `msg:"d"`
 	Region     string `msg:"r"`
 	Entries    int    `msg:"n"`
-	Down       int    `msg:"o"` // entries that are down
+	Down       int    `msg:"o"` // number of entries that are down
 	Oldest     uint64 `msg:"v"` // oldest version in force among its entries
 	Newest     uint64 `msg:"w"`
 }
--- a/wire/schema_expert.go
+++ b/wire/schema_expert.go
@@ -30,14 +30,14 @@
 type RankOrder struct {
 	Group    string `msg:"g"`
 	Op       uint8  `msg:"o"`
-	Fence    uint64 `msg:"f"` // fencing token of the lease of the group; 0 in a recovery
-	Recovery bool   `msg:"r"` // recovery of a stalled group, by any entry that detects it
+	Fence    uint64 `msg:"f"` // fencing number of the lease of the group; 0 in a recovery
+	Recovery bool   `msg:"r"` // recovery of a stalled group, by any entry that detects the stall
 
 	Round       uint64        `msg:"b"` // round of the ballot
 	Owner       uint64        `msg:"w"` // owner of the ballot
 	At          uint64        `msg:"a"` // step to hold before
 	Incarnation uint64        `msg:"i"` // incarnation of the agent that replied to the hold
-	Start       uint64        `msg:"s"` // start of the engine that replied to the hold
+	Start       uint64        `msg:"s"` // id of the run of the engine that replied to the hold
 	Schedule    []RankSegment `msg:"c"`
 	Join        uint64        `msg:"j"` // first step of a rank that has entered none since its start
 
@@ -60,11 +60,11 @@
 // RankReply is the position of a rank, and its loads or map if they were queried.
 type RankReply struct {
 	Incarnation uint64   `msg:"i"`
-	Start       uint64   `msg:"s"`
+	Start       uint64   `msg:"s"` // id of the engine's run, new at each start
 	Entered     bool     `msg:"e"` // the engine has entered a step since its start
 	Next        uint64   `msg:"n"` // next step
 	Inside      bool     `msg:"d"` // a step is running
-	Map         uint64   `msg:"m"`
+	Map         uint64   `msg:"m"` // map of the latest step; 0: none was entered
 	Held        bool     `msg:"h"`
 	HoldAt      uint64   `msg:"a"`
 	Round       uint64   `msg:"b"` // round of the highest promised ballot
--- a/wire/schema_outcomes.go
+++ b/wire/schema_outcomes.go
@@ -28,7 +28,7 @@
 type Crash struct {
 	ID       uint64   `msg:"i"` // unique over all agents and restarts
 	Target   string   `msg:"t"`
-	Alone    bool     `msg:"a"` // the only suspect was running in quarantine, alone
+	Alone    bool     `msg:"a"` // the only running request was a suspect already and ran alone
 	Suspects []uint64 `msg:"s"` // fingerprints of the running requests
 	AgeMs    int64    `msg:"g"` // time since the crash; agents repeat reports to entries that connect later
 }
--- a/wire/schema_placement.go
+++ b/wire/schema_placement.go
@@ -43,7 +43,7 @@
 	Weight    int    `msg:"w,omitempty"` // weight of the team
 	Prompt    int    `msg:"p,omitempty"` // uncached prompt tokens, estimated
 	Decode    int    `msg:"d,omitempty"` // tokens to generate, estimated
-	MaxWaitMs int64  `msg:"m,omitempty"` // the agent returns the request if its first token would take longer; 0: never
+	MaxWaitMs int64  `msg:"m,omitempty"` // the agent rejects the request if its first token would take longer; 0: never
 }
 
 // Demand is the demand of teams with limits that one entry observed in the last
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -52,11 +52,11 @@
 	watcher    Watcher
 }
 
-// Watcher observes a stream, for load tracking. Its methods run in the read loop of the
-// connection or in Conn.Close and must not block.
+// Watcher observes a stream, for load tracking. Its methods run in the read loop or in the
+// goroutine that closes the connection, and must not block.
 type Watcher interface {
 	Arrived(chunk []byte) // called for each chunk; chunk is valid during the call
-	Ended()               // called once, when the peer ends or cancels the stream or the connection ends
+	Ended()               // called once when the stream ends or fails, but not after Stream.Close
 }
 
 func newStream(c *Conn, id uint64) *Stream {
@@ -208,7 +208,7 @@
 func (s *Stream) receiveData(p []byte) error {
 	n, p, err := msgp.ReadArrayHeaderBytes(p)
 	if err != nil || n != 2 {
-		return result.New(result.WireMalformed, "chunk header")
+		return result.New(result.WireMalformed, "invalid chunk header")
 	}
 	seq, p, err := msgp.ReadUint64Bytes(p)
 	if err != nil {
