--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Guards against readers that diverge because they started at different offsets,
-// from a snapshot or from the saved state of a peer.
+// Readers start at the first record, fall behind the trimming of the log, or start from
+// a snapshot or a peer's state. All must reach the same state.
 func TestFoldReachesOneState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
@@ -220,8 +220,8 @@
 	}
 }
 
-// The append of a change is delayed, and a resumed apply voids its id and reports
-// that it did not happen. The delayed record arrives while its base is in force.
+// The append of a change is delayed, and a resumed apply voids its id and reports that it did not
+// happen. The delayed record arrives while its base is in force and must change nothing.
 func TestSettledChangeNeverTakesEffect(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
@@ -267,6 +267,7 @@
 	g.Expect(known).To(BeTrue())
 }
 
+// FuzzFold feeds arbitrary records to two folds. Both must reach the same state.
 func FuzzFold(f *testing.F) {
 	f.Add(mustRecords(changeTo("a", 0, nil, teams(2, 0)))[0], []byte{})
 	part, _ := NewRecord(RecordPart, &Part{ID: "p", Index: 1, Data: []byte("x")})
--- a/config/presence.go
+++ b/config/presence.go
@@ -11,8 +11,9 @@
 const RecordPresence = "presence"
 
 // Presence announces on the log a process that handles non-repeatable requests.
-// Agents read it to learn which entries they must query about an idempotency key.
-// Entries read it to learn that a target has a newer agent than the connected one.
+// Agents read it to learn which entries must send a dispatch report before an unknown
+// idempotency key may run. Entries read it to learn that a target has a newer agent
+// than the connected one.
 type Presence struct {
 	Role        string       `msg:"r"` // PresenceEntry or PresenceAgent
 	Name        string       `msg:"n"` // name of the entry or of the target
