--- a/outside/backend_test.go
+++ b/outside/backend_test.go
@@ -93,7 +93,7 @@
 }
 
 // The service closes an idle connection, for example in a restart. A request sent on it
-// would count as possibly run.
+// would count as possibly run, so the backend must open a new connection.
 func TestKeptConnectionThatWasClosedIsNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{}, 1)
--- a/outside/clients.go
+++ b/outside/clients.go
@@ -39,8 +39,8 @@
 // HTTPLog is a client of the log service over HTTP.
 type HTTPLog struct{ Addr string }
 
-// Append implements Log. Every error wraps ErrUnknownOutcome, because the platform may
-// lose the response after the append took effect.
+// Append implements Log. Except for a failure to encode the records, every error wraps
+// ErrUnknownOutcome, because the platform may lose the response after the append took effect.
 func (l *HTTPLog) Append(ctx context.Context, records [][]byte) (uint64, error) {
 	body, err := json.Marshal(AppendRequest{Records: records})
 	if err != nil {
--- a/outside/orders.go
+++ b/outside/orders.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// ErrStaleFence is the refusal of an order with a superseded fencing token, by an
-// engine that checks fencing tokens.
+// ErrStaleFence is the refusal of an order with a superseded fencing number, by an
+// engine that checks fencing numbers.
 var ErrStaleFence = errors.New("order carries an old fencing number")
 
 // EngineState is the loaded model, its adapters and the role of an engine. As an order
--- a/outside/rank.go
+++ b/outside/rank.go
@@ -95,7 +95,7 @@
 	case expert.ErrHoldSuperseded.Error():
 		return nil, expert.ErrHoldSuperseded
 	}
-	return nil, fmt.Errorf("engine refuses: %s", reply.Refused)
+	return nil, fmt.Errorf("engine refused the order: %s", reply.Refused)
 }
 
 // Prepare implements Rank.
