--- a/serving/config.go
+++ b/serving/config.go
@@ -45,9 +45,9 @@
 	Host              string
 	Prefix            string // begins and ends with a slash
 	Kind              Kind
-	Timeout           time.Duration // longest time that a request may be kept waiting
-	LatencyObjective  time.Duration // a response within it counts in full
-	EventGapObjective time.Duration // longest gap between two events of a stream that is in time
+	Timeout           time.Duration // from a request's arrival to its deadline, unless the caller sets an earlier one
+	LatencyObjective  time.Duration // a response, or the first event of a stream, is on time within it
+	EventGapObjective time.Duration // longest gap between two events of a stream that is on time
 	FirstEventTimeout time.Duration // callers disconnect if the first event takes longer
 	Priority          int           // 0 is the most urgent
 	ServiceWeights    []ServiceWeight
@@ -80,15 +80,15 @@
 
 // EngineModel is the cost model of a service's model engines.
 type EngineModel struct {
-	Slots             int
+	Slots             int           // streams that an engine runs at once
 	StepsPerPass      int           // token steps in one pass
-	BaseStepTime      time.Duration // of one token step without running streams
+	BaseStepTime      time.Duration // time of one token step without running streams
 	StepTimePerStream time.Duration
 	PrefillRate       float64 // prompt tokens a second
 	MeanPromptTokens  float64
 	MeanOutputTokens  float64
 	LayerSets         int // sets of layers with one expert map each; 0: the model has no experts
-	Experts           int // in a layer set
+	Experts           int // experts of a layer set
 	ExpertsPerRank    int // experts of a layer set on one rank
 	SpareExperts      int // new experts of a layer set that a rank can load at once
 	ExpertBytes       float64
@@ -100,8 +100,8 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int          // of one target, over all callers
-	ColdRate   float64      // requests a second that one cold target accepts from all entries together; 0: no limit
+	MaxConns   int          // connections of one target, over all callers
+	ColdRate   float64      // requests a second that one cold target takes from all entries together; 0: no limit
 	Engine     *EngineModel // nil for a plain service
 }
 
@@ -113,7 +113,7 @@
 	OverridesPriority bool // Priority replaces the route's
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on a caller's request and its connection.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
--- a/serving/replica.go
+++ b/serving/replica.go
@@ -40,7 +40,7 @@
 	// Newest returns the newest record of each key and the offset from which to read changes.
 	Newest(ctx context.Context, t Topic) ([]Record, uint64, error)
 	// Changes returns the records from an offset on, and the offset from which to continue. It
-	// returns at once if there are any, and otherwise waits at most wait for one.
+	// returns at once if there are any, and otherwise waits up to the time wait for one.
 	Changes(ctx context.Context, t Topic, from uint64, wait time.Duration) ([]Record, uint64, error)
 	// Put writes the record of a key.
 	Put(ctx context.Context, t Topic, key string, value []byte) error
@@ -63,7 +63,7 @@
 // ReplicaUpdate is an update that one replica sends to another.
 type ReplicaUpdate struct {
 	Records []Record
-	// FromOffset is the offset that the receiver must have reached; 0 if Full.
+	// FromOffset is the offset before which the receiver must know all records; 0 if Full.
 	FromOffset uint64
 	NextOffset uint64 // the receiver knows all records before it once the update is applied
 	// Full means that Records holds the newest records of all existing keys.
@@ -71,7 +71,7 @@
 }
 
 // NewReplica returns an empty replica. equivalent reports whether two records of a key have
-// the same meaning, like those that a target writes only as heartbeats. A record that is
+// the same meaning, like the records that a target writes only as heartbeats. A record that is
 // equivalent to the known one is not a change and is not sent to peers. If equivalent is nil,
 // every record is a change.
 func NewReplica(equivalent func(key string, old, new []byte) bool) *Replica {
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -92,7 +92,8 @@
 	return list
 }
 
-// The gap could contain the removal of a target, which the replica would miss.
+// An update begins after the records that a replica knows. The gap could contain the removal of a
+// target, which the replica would miss.
 func TestUpdateAfterGapIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	r := NewReplica(nil)
--- a/serving/targets.go
+++ b/serving/targets.go
@@ -16,7 +16,7 @@
 	Version       string // software version
 	Slots         int
 	Leaving       bool
-	ColdRemaining time.Duration // remaining cold time when the record was written
+	ColdRemaining time.Duration // remaining cold time (see IsCold) when the record was written
 	ColdUntil     time.Time     // latest end of the cold time
 	// Evacuated means that an operator has ordered the data centre of the target to be
 	// evacuated.
@@ -26,11 +26,12 @@
 // IsAvailable reports whether the target may get new requests.
 func (t *Target) IsAvailable() bool { return !t.Leaving && !t.Evacuated }
 
-// IsCold reports whether the target is cold and takes only a few requests a second.
+// IsCold reports whether the target is cold: it has started recently and takes only a few requests
+// a second, see Service.ColdRate.
 func (t *Target) IsCold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
 // Run identifies one run of a target. A target that restarts under its ID has lost the state
-// of its earlier run, so what is recorded about a target is keyed by its run.
+// of its earlier run, so entries record the state of a target by its run.
 type Run struct {
 	ID          string
 	StartedAtMS int64
@@ -56,19 +57,19 @@
 }
 
 // LapsedGrace is the time after a store outage within which a target whose record lapsed
-// during the outage must write it again. The platform states two seconds; the rest is a margin
-// for the read that notices the record.
+// during the outage must write its record again. The platform states that targets do so within
+// two seconds; the rest is a margin for the entry's next read of the store.
 const LapsedGrace = 2300 * time.Millisecond
 
 // TargetSet holds the known targets.
 //
 // The store drops the records of targets that cannot renew them while it is down. Without a
 // grace time, an outage of a few seconds would leave no targets, and every request would be
-// refused although all engines are well. So a target whose record lapses around an outage
+// refused although all engines are healthy. So a target whose record lapses around an outage
 // stays usable until LapsedGrace after the outage.
 type TargetSet struct {
 	byID    map[string]*Target
-	offsets map[string]uint64    // of each target's record
+	offsets map[string]uint64    // offset of each target's record
 	lapsed  map[string]time.Time // targets whose record lapsed around an outage, with the time of their removal
 }
 
@@ -143,13 +144,12 @@
 }
 
 // ByService returns the targets of each service for which isConfigured is true, ordered by ID.
-// A record with another service comes from another writer, and its address may be that of a
-// target.
+// Records of other services are ignored: they come from other writers to the topic, and their
+// addresses may be those of targets.
 //
 // If two records have the same address, the later record counts: the earlier run has ended
-// without removing its record, which lapses only after seconds. After a power loss this is so
-// for half of all records, and requests for the ended runs would be rejected one after the
-// other.
+// without removing its record, which lapses only after seconds. After a power loss half of all
+// records are of ended runs, and requests for these would be rejected one after the other.
 func (s *TargetSet) ByService(isConfigured func(service string) bool) map[string][]*Target {
 	byAddress := make(map[string]*Target, len(s.byID))
 	for _, t := range s.byID {
