--- a/peers/client.go
+++ b/peers/client.go
@@ -30,8 +30,8 @@
 func (c *Client) Addr() string { return c.addr }
 
 // Ask sends a request and decodes the response, both within timeout. After a failure it closes
-// the connection, so that a late response is not taken for that to the next request and a
-// connection that no longer responds is not used again.
+// the connection: a late response must not be taken for the response to the next request, and a
+// connection that has stopped responding must not be used again.
 func (c *Client) Ask(ctx context.Context, kind Kind, request msgp.Marshaler, response msgp.Unmarshaler, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -47,8 +47,8 @@
 	g.Eventually(ask, "5s").Should(Succeed())
 }
 
-// A peer responds to the first request after its timeout. The client must close the
-// connection, or it would take the late response for that to the second request.
+// A peer responds to the first request after the client's timeout. The client must close the
+// connection, or it would take the late response for the response to the second request.
 func TestLateResponseIsNotTakenForNextOne(t *testing.T) {
 	g := NewWithT(t)
 	ln := listen(t)
@@ -80,8 +80,8 @@
 	g.Expect(err).To(MatchError(ErrFrame))
 }
 
-// A large configuration shrinks and is restored unchanged. If it exceeded a limit of the
-// codec, entries that get it only from peers would lack it.
+// A configuration of thousands of routes must shrink and be restored unchanged. If it exceeded a
+// limit of the codec, entries that cannot read the store would not get it from peers.
 func TestLargeUpdateIsCompressed(t *testing.T) {
 	g := NewWithT(t)
 	value := []byte(strings.Repeat(`{"name":"r-1","host":"h","path-prefix":"/x/","timeout-ms":8000},`, 20000))
@@ -116,8 +116,8 @@
 	})
 }
 
-// A process has closed its server while peers hold connections. A response on one of them
-// would make the peer take the process for alive and send callers to it.
+// A process has closed its server while peers still hold connections to it. If it responded on
+// one of them, the peer would consider the process alive and send callers to it.
 func TestClosedServerDoesNotRespond(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -23,12 +23,12 @@
 //msgp:tuple Heartbeat
 type Heartbeat struct {
 	Entry           Presence
-	Members         []Member // recent updates of the sender's member table, or the whole table if the other entry set All
+	Members         []Member // recent updates of the sender's member table; the whole table if the other entry set All
 	Digest          uint64   // of the sender's member table
 	All             bool     // requests the whole member table of the other entry
 	Topics          []TopicState
 	Updates         []TopicUpdate
-	RequestedTopics uint8 // bit set of the topics of which the sender requests the updates that it lacks
+	RequestedTopics uint8 // bit set of the topics for which the sender requests updates
 	FailureReports  []FailureReport
 	Rates           []Rate
 }
@@ -43,25 +43,25 @@
 	AgeMS       uint32  // since the target's latest report
 }
 
-// PermitQuery asks the entry that issues the permits of a target for a permit.
+// PermitQuery asks the permit owner of a target, the entry that issues its permits, for a permit.
 //
 //msgp:tuple PermitQuery
 type PermitQuery struct {
 	Rate           Rate    // rate limit of the target, as the querying entry knows it
 	MaxWaitMS      uint32  // longest time that the request may wait
 	RejectIfDenied bool    // the caller's request is rejected if no permit is granted
-	ColdRate       float64 // requests a second that a cold target accepts; 0: the target is not cold
+	ColdRate       float64 // requests a second that the target takes while it is cold; 0: it is not cold
 }
 
 // PermitResult is the response to a PermitQuery: when the request may be sent to the target.
 //
 //msgp:tuple PermitResult
 type PermitResult struct {
-	Owner        bool // the queried entry issues the permits of the target; if false, the other fields are unset
+	Owner        bool // the queried entry is the permit owner of the target; if false, the other fields are unset
 	Granted      bool
 	WaitMS       uint32 // until the permit is valid or, if denied, until one may be available
 	RetryAfterMS uint32 // retry delay for a rejected caller
-	Rate         Rate   // rate limit of the target, as the entry that issues the permits knows it
+	Rate         Rate   // rate limit of the target, as the permit owner knows it
 }
 
 // FailureReport is what one entry has seen of a target's failures: broken connections and
@@ -158,11 +158,11 @@
 	Counts  bool     // include the expert choices since the last Collect with Counts
 	Lists   bool     // include the experts of each rank in the map in use
 	Leader  string   // address of the group's leader, which sends this
-	Fence   uint64   // pass for which the agent must no longer arm its rank; 0: none
+	Fence   uint64   // number of a pass for which the agent must no longer arm its rank; 0: none
 	Epoch   uint64   // epoch of the group, with Fence
 	Subtree []string // addresses of other agents to which this agent forwards the request
 	LimitMS uint32   // time limit for the response, with Subtree
-	Loads   Loads    // loads of all ranks in the latest round, which entries query; not Known: none
+	Loads   Loads    // loads of all ranks in the leader's latest round, for queries of entries; not Known: none
 }
 
 // RankState is the current state of one rank of a group, read from its engine.
@@ -178,25 +178,25 @@
 	Rank               int
 	Ranks              int // of the whole group
 	Complete           bool
-	Step               uint64 // last pass that was started
+	Step               uint64 // number of the last pass that was started
 	Map                uint64 // version of the map in use
 	Prepared           uint64 // version that is ready to be armed
 	Armed              uint64 // version that is armed
-	Held               uint64 // pass that is held until a release; 0: none
+	Held               uint64 // number of the pass that is held until a release; 0: none
 	Running            int
 	Waiting            int
 	ProxyArm           ProxyArm // outcome of an arm order that the agent sent to an engine on another VM
 	Slowdown           float64  // how many times as long as usual the engine takes for a pass
 	Unit               float64  // choice count of the most chosen expert since the last Collect with Counts
-	Experts            uint32   // number of experts in Bands, over all layer sets; 0: no expert was chosen, or the counts are not included
+	Experts            uint32   // number of experts in Bands, over all layer sets; 0: none was chosen, or counts are not included
 	Bands              []byte   // for each expert, how far its count is below Unit; see expert.EncodeLoads
 	Coarse             bool     // Bands holds two experts in a byte; see expert.PackCoarse
 	HighestMapReceived uint64   // highest map version that the agent received in this epoch; 0: none
 
 	Lists [][]uint16 // experts of this rank in the map in use, by layer set
 
-	QueuedInTime   uint32 // requests queued at the entries that query this agent for loads, that can be in time
-	QueuedLate     uint32 // the same for requests that cannot be in time
+	QueuedInTime   uint32 // queued requests of the entries that query this agent that can still be on time
+	QueuedLate     uint32 // queued requests of these entries that are late
 	EnginesUnknown bool   // the agent does not know which engines the loads belong to
 
 	Subtree []RankState // states of the ranks below; the choices and queued requests are added up in this RankState
@@ -230,10 +230,10 @@
 	Kind       OrderKind
 	Epoch      uint64
 	Version    uint64       // version of the map, for orders about a map
-	Step       uint64       // pass, for orders about a pass
+	Step       uint64       // number of the pass, for orders about a pass
 	Map        [][][]uint16 // with OrderPrepare: experts by layer set and rank, unless Changes is set
-	Changes    []byte       // expert lists that differ from those of the map Base; see lockstep.packChanges
-	Base       uint64       // version of that map; 0: the initial map of the engines
+	Changes    []byte       // expert lists that differ from those of map version Base; see lockstep.packChanges
+	Base       uint64       // version of the map that Changes applies to; 0: the initial map of the engines
 	InitialMap InitialMap   // shape of the initial map, if Base is 0
 	Engine     string       // address of the engine, if it is not the agent's own
 	Recovery   bool         // with OrderArm: sent by an agent that has fenced the pass and completes the switch
@@ -257,7 +257,7 @@
 type OrderResult struct {
 	Accepted    bool          // the order was started or completed, or had been before
 	Refused     bool          // the engine refused the order, which has no effect
-	UnknownBase bool          // the agent does not know the map Base of the order
+	UnknownBase bool          // the agent does not have the map of version Base
 	Subtree     []OrderResult // outcomes at the agents to which the order was forwarded
 }
 
@@ -266,9 +266,9 @@
 //msgp:tuple LoadsQuery
 type LoadsQuery struct {
 	Roster       uint64 // identifies the list of engines that the querying entry knows; 0: none
-	Entry        string // that asks
-	QueuedInTime uint16 // requests queued at the entry that can be in time
-	QueuedLate   uint16 // requests queued at the entry that cannot be in time
+	Entry        string // name of the querying entry
+	QueuedInTime uint16 // queued requests of the entry that can still be on time
+	QueuedLate   uint16 // queued requests of the entry that are late
 }
 
 // Loads holds the loads of the ranks of a group.
@@ -285,8 +285,8 @@
 	PeakImbalance float32  // recent maximum of Imbalance
 	Roster        uint64   // identifies the list of engines
 	Engines       []string // addresses by rank; omitted if the querying entry knows them
-	QueuedInTime  uint16   // requests queued at all entries that can be in time
-	QueuedLate    uint16   // requests queued at all entries that cannot be in time
+	QueuedInTime  uint16   // queued requests of all entries that can still be on time
+	QueuedLate    uint16   // queued requests of all entries that are late
 	Running       []byte   // running requests by rank; 255: that many or more
 	Waiting       []byte   // waiting requests by rank; 255: that many or more
 	Slow          []SlowRank
