--- a/upstream/response.go
+++ b/upstream/response.go
@@ -34,7 +34,7 @@
 	lengthNone    = -2
 )
 
-// setBody sets up the reader of the body by the framing of the response.
+// setBody chooses the reader for the body by the framing of the response.
 func (r *Response) setBody(c *conn, isHead bool) {
 	length := r.Header.ContentLength()
 	r.reusable = !r.Header.ConnectionClose()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -181,8 +181,8 @@
 var errOtherRequest = errors.New("response belongs to another request")
 
 // readResponse reads the head of the response to this request. A faulty target may send a
-// second response to an earlier request where the response to this one is expected; it is
-// recognised by its request ID and skipped.
+// second response to an earlier request where the response to this one is expected. Such a
+// response is recognised by its request ID and skipped.
 func (c *conn) readResponse(req *Request) (*Response, error) {
 	for range maxSkippedResponses + 1 {
 		r, err := c.readResponseHead(req)
@@ -216,9 +216,9 @@
 }
 
 // acquire returns a usable connection and whether it was opened just now. An idle connection
-// is checked first. If the target has closed it, the request would seem to have been sent; if
-// the target has sent unrequested data on it, the request would get the response to another
-// one.
+// is checked first. On a connection that the target has closed, the request would seem to have
+// been sent. On one with unrequested data from the target, the request would get a response that
+// is not its own.
 func (p *Pool) acquire(ctx context.Context) (c *conn, opened bool, err error) {
 	for {
 		c := p.popIdle()
@@ -285,7 +285,7 @@
 	}
 }
 
-// Close closes the idle connections; those in use are closed after their response.
+// Close closes the idle connections. Connections in use are closed after their response.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -136,7 +136,8 @@
 	g.Expect(p.DialCount()).To(BeNumerically(">=", int64(2)))
 }
 
-// A truncated or malformed response must end with an error, however its body is framed.
+// The target closes the connection in the middle of a response, or sends an invalid chunk. The
+// response must end with an error, however its body is framed.
 func TestBrokenResponsesReturnError(t *testing.T) {
 	cases := map[string]string{
 		"length":             "HTTP/1.1 200 OK\r\nId: r\r\nContent-Length: 10\r\n\r\npart",
@@ -183,8 +184,8 @@
 	g.Expect(r.Status).To(Equal(503))
 }
 
-// A failed connection attempt must be reported as not run, and a connection closed after the
-// request was sent as possibly run.
+// After a failed connection attempt the error must state that the request did not run. If the
+// connection is closed after the request was sent, it must state that the request may have run.
 func TestSendErrorReportsWhetherRequestMayHaveRun(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
