--- a/callers/conn.go
+++ b/callers/conn.go
@@ -50,7 +50,7 @@
 		if l.addConn(addr) {
 			return &Conn{Conn: nc, onClose: func() { l.removeConn(addr) }}, nil
 		}
-		_ = nc.Close() // closed without a response: writing one could block and would need a goroutine
+		_ = nc.Close() // no lingering close as in Conn.Close, which would need a goroutine
 		l.onReject(nc.RemoteAddr())
 	}
 }
@@ -142,8 +142,8 @@
 	return c.Conn.Read(p)
 }
 
-// writeTimeout limits how long a caller may read nothing. Without it, a caller that stops
-// reading would hold its connection and the memory of the response indefinitely.
+// writeTimeout limits how long a write may wait for a caller that does not read. Without it, a
+// caller that stops reading would hold its connection and the memory of the response indefinitely.
 const writeTimeout = 30 * time.Second
 
 // Write implements net.Conn.
@@ -239,7 +239,7 @@
 	return func() {
 		stopOnce.Do(func() {
 			close(stopped)
-			_ = c.Conn.SetReadDeadline(aLongTimeAgo) // it fails only on a closed connection, which has no pending read
+			_ = c.Conn.SetReadDeadline(aLongTimeAgo) // fails only if the connection is closed, and then no read is pending
 			<-done
 			_ = c.Conn.SetReadDeadline(time.Time{})
 		})
