--- a/outcomes/bench.go
+++ b/outcomes/bench.go
@@ -83,9 +83,9 @@
 }
 
 const (
-	requestsPerWay = 3000
-	benchCallers   = 24
-	logDelay       = 5 * time.Millisecond
+	requestsPerVariant = 3000
+	benchCallers       = 24
+	logDelay           = 5 * time.Millisecond
 )
 
 // benchAtMostOnce compares the latency of at-most-once execution with that of requests
@@ -108,7 +108,7 @@
 	}
 	claims := newLogClaims(w.Log)
 	defer claims.close()
-	ways := []struct {
+	variants := []struct {
 		name string
 		send func(entryIdx int, key string)
 	}{
@@ -117,17 +117,17 @@
 		{"plain path again", sendPlain},
 		{"log claim, batched", func(entryIdx int, key string) { claims.append(key); sendPlain(entryIdx, key) }},
 	}
-	for _, way := range ways {
+	for _, variant := range variants {
 		appendsBefore, sentBefore := w.Log.Appends(), len(w.History.Invocations)
 		startedAt := time.Now()
-		times := measureLatencies(way.name, way.send)
+		times := measureLatencies(variant.name, variant.send)
 		seconds := time.Since(startedAt).Seconds()
 		slices.Sort(times)
-		r.Add(way.name, "median", "ms", milliseconds(times[len(times)/2]))
-		r.Add(way.name, "p99", "ms", milliseconds(times[len(times)*99/100]))
-		r.Add(way.name, "log appends", "1/s", float64(w.Log.Appends()-appendsBefore)/seconds)
-		r.Add(way.name, "requests", "1/s", requestsPerWay/seconds)
-		r.Add(way.name, "answered whole", "share", completeShare(w.History.Invocations[sentBefore:]))
+		r.Add(variant.name, "median", "ms", milliseconds(times[len(times)/2]))
+		r.Add(variant.name, "p99", "ms", milliseconds(times[len(times)*99/100]))
+		r.Add(variant.name, "log appends", "1/s", float64(w.Log.Appends()-appendsBefore)/seconds)
+		r.Add(variant.name, "requests", "1/s", requestsPerVariant/seconds)
+		r.Add(variant.name, "answered whole", "share", completeShare(w.History.Invocations[sentBefore:]))
 	}
 	return nil
 }
@@ -143,11 +143,11 @@
 }
 
 func measureLatencies(name string, send func(entryIdx int, key string)) []time.Duration {
-	times := make([]time.Duration, requestsPerWay)
+	times := make([]time.Duration, requestsPerVariant)
 	var wg sync.WaitGroup
 	for callerIdx := range benchCallers {
 		wg.Go(func() {
-			for n := callerIdx; n < requestsPerWay; n += benchCallers {
+			for n := callerIdx; n < requestsPerVariant; n += benchCallers {
 				startedAt := time.Now()
 				send(n%3, fmt.Sprintf("%s-%d", name, n))
 				times[n] = time.Since(startedAt)
@@ -209,7 +209,7 @@
 		for i := range batch {
 			records[i] = batch[i].record
 		}
-		_, _ = c.log.Append(context.Background(), records) // the fake log fails only if told to
+		_, _ = c.log.Append(context.Background(), records) // the fake log fails only with LogFaults set
 		for i := range batch {
 			close(batch[i].ok)
 		}
@@ -256,21 +256,21 @@
 // benchContinuation kills the engine half way through generations and compares
 // continuing on another engine with starting over.
 func benchContinuation(r *bench.Report) error {
-	for _, way := range []struct {
+	for _, variant := range []struct {
 		name string
 		off  safeguard.Off
 	}{{"continued", safeguard.Off{}}, {"started over", safeguard.Off{Continue: true}}} {
 		tokens, took := 0, time.Duration(0)
 		for n := range continuationRuns {
-			i, produced, err := runInterrupted(n, way.off)
+			i, produced, err := runInterrupted(n, variant.off)
 			if err != nil {
 				return err
 			}
 			tokens += produced
 			took += i.EndedAt.Sub(i.StartedAt)
 		}
-		r.Add(way.name, "tokens generated for 256", "count", float64(tokens)/continuationRuns)
-		r.Add(way.name, "time to finish", "ms", milliseconds(took)/continuationRuns)
+		r.Add(variant.name, "tokens generated for 256", "count", float64(tokens)/continuationRuns)
+		r.Add(variant.name, "time to finish", "ms", milliseconds(took)/continuationRuns)
 	}
 	return nil
 }
--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// An agent loses its deduplication table in a restart, and the caller repeats a key. The
-// entry that dispatched the key must report it, so that it ends as possibly run.
+// An agent loses its deduplication table in a restart, and the caller repeats a key. The entry
+// that dispatched the key must report it, and the repeat must end with "may have run".
 func TestRestartedAgentRefusesDispatchedKeys(t *testing.T) {
 	for _, newAddress := range []bool{false, true} { // on the same VM, or on a new one
 		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
@@ -157,7 +157,7 @@
 func (ignoreHandler) ServeNote(*wire.Conn, wire.Note, []byte)                        {}
 
 // The log service is down. Running processes must continue; an agent that starts in the
-// meantime must end unknown keys as possibly run until it has read the log.
+// meantime must answer unknown keys with "may have run" until it has read the log.
 func TestLogOutageAffectsOnlyStartingProcesses(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		w.Log.SetFaults(fake.LogFaults{Down: true})
@@ -221,8 +221,8 @@
 	})
 }
 
-// A target is lost, and a configuration moves its keys to a new home. Keys that it ran
-// must end as possibly run there, and unused keys must run.
+// A target is lost, and a configuration moves its keys to a new home. The new home must answer
+// keys that the lost target ran with "may have run", and must run unused keys.
 func TestKeysOfLostTargetMoveToNewHome(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		g.Expect(w.applyConfig(true)).To(Succeed())
@@ -246,9 +246,8 @@
 	})
 }
 
-// The entry that dispatched a key and the agent die within one deduplication window. All
-// unknown keys must end as possibly run, unless the entry shut down gracefully and
-// left its dispatched keys on the log.
+// The entry that dispatched a key and the agent die within one deduplication window. All unknown
+// keys must get "may have run", unless the entry shut down and left its dispatched keys on the log.
 func TestUnknownKeysMayHaveRunAfterLossOfEntryAndAgent(t *testing.T) {
 	for _, graceful := range []bool{false, true} {
 		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
--- a/outcomes/crash_test.go
+++ b/outcomes/crash_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A request crashes every engine that runs it. After the first crash the requests on that
-// engine are suspects and run alone; after the second crash the request must be refused.
+// A request crashes every engine that runs it. The requests on the first crashed engine are
+// suspects and run alone. After the second crash only the crashing request may be refused.
 func TestCrashingRequestTakesDownAtMostTwoTargets(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/outcomes/faults.go
+++ b/outcomes/faults.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// must panics on an error. Starting a process in memory does not fail, so the run is
-// invalid then.
+// must panics on an error, because the run cannot continue without the process. Starting a
+// process in memory is not expected to fail.
 func (w *World) must(err error) {
 	if err != nil {
 		panic(err)
--- a/outcomes/history.go
+++ b/outcomes/history.go
@@ -20,7 +20,7 @@
 // Invocation is one attempt of a caller and its result.
 type Invocation struct {
 	ID            string // unique to the attempt
-	Key           string // empty: repeatable
+	Key           string // idempotency key; empty: the request may run more than once
 	Service       string
 	Entry         string
 	StartedAt     time.Time
--- a/outcomes/network.go
+++ b/outcomes/network.go
@@ -18,7 +18,7 @@
 	mu         sync.Mutex
 	listeners  map[string]*listener
 	conns      map[*faultyConn]bool
-	paused     map[string]chan struct{} // by process; closed when the process resumes
+	paused     map[string]chan struct{} // by process; the channel is closed when the process resumes
 	extraDelay map[string]time.Duration // by process
 	redirects  map[string]string        // process and dialled address -> address that is reached instead
 }
@@ -227,7 +227,7 @@
 	if remaining < 0 || remaining >= len(p) {
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:remaining]) // report the injected break instead
+	n, _ := c.Conn.Write(p[:remaining]) // the injected break is reported instead of a write error
 	_ = c.Close()
 	_ = c.peer.Close()
 	return n, net.ErrClosed
--- a/outcomes/run_test.go
+++ b/outcomes/run_test.go
@@ -14,8 +14,8 @@
 
 const seeds = 210
 
-// Results must be correct under single faults and pairs of faults. Each seed selects the
-// faults and their times, and callers retry requests with an unknown outcome.
+// Each seed selects one or two faults and their times; callers retry requests with an unknown
+// outcome. Results must be correct, and more than a third of the requests must succeed.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(seeds) {
 		plan := outcomes.PlanForSeed(seed)
--- a/outcomes/world.go
+++ b/outcomes/world.go
@@ -165,7 +165,7 @@
 	w.targets[name] = t
 }
 
-// engineRestart is how long a crashed engine stays down.
+// engineRestart is the time for which a crashed engine stays down.
 const engineRestart = 2 * time.Second
 
 func (w *World) crashEngine(t *target) {
