--- a/soak/callers.go
+++ b/soak/callers.go
@@ -22,7 +22,7 @@
 const (
 	meanCallPause  = 30 * time.Millisecond
 	callTimeout    = 4 * time.Second
-	directoryTTL   = time.Second // how long a caller uses one directory answer
+	directoryTTL   = time.Second // how long a caller uses one response of the directory
 	resolveTimeout = 500 * time.Millisecond
 )
 
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -17,7 +17,7 @@
 	Sent time.Time
 }
 
-// kind is the retry class of a request.
+// kind says whether a request may run more than once, or is a stream.
 type kind uint8
 
 const (
@@ -35,7 +35,7 @@
 	corrupt    func(Record) Record
 	mu         sync.Mutex
 	records    []Record
-	executions map[string][]standin.Execution // by request id
+	executions map[string][]standin.Execution // by request ID
 }
 
 func newChecker(corrupt func(Record) Record) *checker {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,8 +1,8 @@
 // Package soak runs the real programs as separate processes on loopback against
-// stand-ins and injects faults into processes, connections and stand-ins, while
-// callers check the service guarantees. The seed determines the sequence of faults
-// and their intervals. Their exact timing relative to the work in the processes
-// varies from run to run.
+// stand-ins. It injects faults into processes, connections and stand-ins while callers
+// send requests. Afterwards it checks the service guarantees against the records of
+// callers and targets. The seed determines the sequence of faults and their intervals.
+// Their exact timing relative to the work in the processes varies from run to run.
 package soak
 
 import (
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -25,8 +25,8 @@
 	return soak.Options{Program: program, Seed: seed, For: 12 * time.Second, Entries: 3, Targets: 3, Callers: 12, Out: out}
 }
 
-// Entries are killed, the store fails and targets drop answers. No non-idempotent request
-// runs twice, no refused one runs, answers are right and complete, and service recovers.
+// Entries are killed, the store fails and targets drop responses. No non-idempotent request
+// runs twice, no refused one runs, responses are right and complete, and service recovers.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
@@ -37,7 +37,7 @@
 }
 
 // Every 50th record has the body of another request, as if an entry had mixed up
-// answers. The checker must report the violation.
+// responses. The checker must report the violation.
 func TestCheckerDetectsWrongBodies(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
