--- a/story/cause.go
+++ b/story/cause.go
@@ -4,7 +4,7 @@
 
 // Cause states in one sentence why a request was refused, failed or late, based on its
 // last line and its context. It returns an empty text for a request that was answered
-// in time without a failed attempt, and a text that starts with "unknown" if the lines
+// on time without a failed attempt, and a text that starts with "unknown" if the lines
 // do not show the cause.
 func (s *Story) Cause() string {
 	if len(s.Lines) == 0 {
@@ -24,8 +24,8 @@
 	return "unknown: the log lines do not show it"
 }
 
-// lateCause states why an answer was late or which attempt failed before it. It is
-// empty if the answer was in time and no attempt failed.
+// lateCause states why a response was late or which attempt failed before it. It is
+// empty if the response was on time and no attempt failed.
 func (s *Story) lateCause(last *Line) string {
 	failed := s.firstFailedAttempt()
 	switch last.Get("late") {
--- a/story/story.go
+++ b/story/story.go
@@ -122,8 +122,8 @@
 	return value, text[len(quoted):], nil
 }
 
-// contextWindow is how long before the start of a request an event may happen and
-// still be listed as its context.
+// contextWindow is the time before the start of a request from which on other events are
+// listed as its context. The context ends with the last line of the request.
 const contextWindow = 2 * time.Second
 
 // contextEvents are events that concern all requests in progress at that time.
@@ -138,7 +138,7 @@
 type Story struct {
 	Request       string
 	Lines         []Line // lines of the request itself, by time
-	Context       []Line // lines of context events near the request, by time
+	Context       []Line // lines of contextEvents during the request and contextWindow before it, by time
 	UnparsedLines int    // number of lines that could not be parsed
 }
 
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -38,7 +38,7 @@
 	g.Expect(b.String()).To(HavePrefix("request r7 came at 08:45:40.700\n"))
 }
 
-// No log line has the requested id. The output must say so.
+// No log line has the requested ID. The output must state that.
 func TestUnknownRequestIsReported(t *testing.T) {
 	g := NewWithT(t)
 	s, err := story.Read(strings.NewReader(recorded), "r99")
@@ -76,7 +76,7 @@
 `
 
 // Requests are late, refused or broken off for different reasons. Cause must name the
-// reason from the log lines, and none for a request that was answered in time.
+// reason from the log lines, and none for a request that was answered on time.
 func TestCauseNamesReasonOfFailureOrDelay(t *testing.T) {
 	g := NewWithT(t)
 	for id, cause := range map[string]string{
