--- a/losses/cause.go
+++ b/losses/cause.go
@@ -15,7 +15,7 @@
 	CallerFault       Cause = iota // the caller disconnected, or its request was invalid or not allowed
 	NoConfig                       // the entry had no configuration or no target yet
 	EntryStopping                  // the entry was shutting down
-	TargetFailed                   // a target was lost, or its answer failed or was incomplete
+	TargetFailed                   // a target was lost, or its response failed or was incomplete
 	TargetRateLimited              // the rate limits of all targets were used up
 	AfterRestart                   // most processes had just restarted
 	GroupBroken                    // a rank was lost
@@ -38,8 +38,8 @@
 }
 
 // Savable reports whether a load balancer with perfect information could have served
-// the request in time. That is impossible without a working target or group whose
-// passes are short enough.
+// the request on time. That is impossible without a working target or without a group
+// whose passes are short enough.
 func (c Cause) Savable() bool {
 	switch c {
 	case CallerFault, NoConfig, TargetRateLimited, GroupBroken, SlowRank, TargetSlow:
@@ -50,11 +50,11 @@
 
 // Thresholds from which a logged value counts as a cause.
 const (
-	slowdownThreshold  = 2.0 // step time over the usual step time
-	imbalanceThreshold = 1.5 // load of the most loaded rank over the mean
+	slowdownThreshold  = 2.0 // step time divided by the usual step time
+	imbalanceThreshold = 1.5 // load of the most loaded rank divided by the mean
 	staleReportAge     = 2 * time.Second
 	restartWindow      = 6 * time.Second // time to work off the backlog of a restart
-	restartShare       = 0.5             // share of all processes that start at about the same time
+	restartShare       = 0.5             // least share of all processes that start within two seconds
 )
 
 // causeByReason maps the logged reason of a refusal or failure to its cause.
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -36,7 +36,7 @@
 // Analysis holds the requests found in the logs and the cause of each loss.
 type Analysis struct {
 	Seconds       int // length of the logs
-	Answered      int // requests answered in time
+	Answered      int // requests answered on time
 	Losses        []Loss
 	UnparsedLines int // lines that could not be parsed
 }
@@ -44,10 +44,10 @@
 // analyser collects log lines and derives an Analysis from them.
 type analyser struct {
 	finished       []story.Line           // last lines of requests
-	failedRequests map[string]bool        // ids of requests with a failed attempt
+	failedRequests map[string]bool        // IDs of requests with a failed attempt
 	statsBySecond  map[int64]*secondStats // by Unix time in seconds
-	processes      map[string]bool        // sources that logged a start
-	dataCentres    map[string]string      // by source
+	processes      map[string]bool        // by Line.Source; processes that logged a start
+	dataCentres    map[string]string      // by Line.Source
 	unparsed       int
 }
 
@@ -156,8 +156,8 @@
 	return out
 }
 
-// outcomeOf returns the outcome from a request's last line, and false if the request
-// was answered in time.
+// outcomeOf returns the outcome of a request from its last line. The second result is
+// false if the request was answered on time.
 func outcomeOf(line *story.Line) (Outcome, bool) {
 	switch line.Event {
 	case "refused":
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -37,8 +37,8 @@
 front-1 time=2026-04-20T08:45:32.500Z level=info event=answered request=r11 kind=stream ms=400 late="first event"
 `
 
-// Requests are lost for different reasons, some of them at the same time. Each loss must
-// be attributed to one cause, the one with the highest precedence.
+// Requests are lost for different reasons, some of which apply at the same time. Each loss
+// must be attributed to one cause, the one with the highest precedence.
 func TestEachLossIsAttributedToOneCause(t *testing.T) {
 	g := NewWithT(t)
 	a, err := losses.Read(strings.NewReader(logLines))
