--- a/logging/async.go
+++ b/logging/async.go
@@ -10,7 +10,7 @@
 // Async is a writer that passes log lines to one goroutine through a bounded queue, so
 // that a slow or blocked log reader never delays the goroutines that log. While the
 // queue is full, lines are dropped and counted. The next batch that is written ends
-// with a "log lines dropped" event that has the count.
+// with a "log lines dropped" event, which contains the count.
 type Async struct {
 	w       io.Writer
 	lines   chan string
@@ -24,7 +24,7 @@
 	// asyncBatchDelay is the pause between batches. Lines collect during it, so that one
 	// system call writes about a dozen of them.
 	asyncBatchDelay = 50 * time.Millisecond
-	asyncBatchBytes = 64 << 10 // bytes
+	asyncBatchBytes = 64 << 10
 )
 
 // NewAsync returns an Async that writes to w. Each call of Write must pass exactly one
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -96,8 +96,8 @@
 	return b.String()
 }
 
-// quote quotes a value unless it is plain printable ASCII without spaces, quotes and
-// '='. Values come from callers too, and a line feed in one must not start a new event.
+// quote quotes a value unless it is printable ASCII without spaces, quotes and '='. Some
+// values come from callers, and a line feed in a value must not start a new event.
 func quote(s string) string {
 	if s == "" || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == '"' || r == '=' || r > '~' }) {
 		return strconv.Quote(s)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -41,8 +41,8 @@
 	}
 )
 
-// New returns an empty set. It uses tally's test scope, which has no reporter and
-// keeps running totals, as an endpoint that collectors poll needs them.
+// New returns an empty set. It uses tally's test scope, which has no reporter and keeps
+// running totals. An endpoint that collectors poll needs totals.
 func New() *Set {
 	scope := tally.NewTestScope("heatherrail", nil)
 	return &Set{
--- a/result/result.go
+++ b/result/result.go
@@ -17,7 +17,7 @@
 
 // Values of Run.
 const (
-	// RunDone: the target ran the request and the complete answer was delivered.
+	// RunDone: the target ran the request and the complete response was delivered.
 	RunDone Run = iota
 	// RunNot: the request did not run. Sending it again is safe.
 	RunNot
@@ -62,9 +62,9 @@
 // New returns an Error with a formatted detail. An error passed with %w becomes the
 // cause, unless it wraps io.EOF.
 //
-// A connection that is lost in the middle of an answer returns an error that wraps the
-// socket's io.EOF. A reader that checks errors.Is(err, io.EOF) would take it for the
-// end of the answer, and the caller would get a truncated answer that looks complete.
+// A connection that is lost in the middle of a response returns an error that wraps the
+// socket's io.EOF. A reader that checks errors.Is(err, io.EOF) would take the loss for the
+// end of the response, and the caller would get a truncated response that looks complete.
 // Therefore no Error wraps io.EOF.
 func New(c Code, format string, args ...any) *Error {
 	wrapped := fmt.Errorf(format, args...)
@@ -94,9 +94,9 @@
 	return e.Code.Info().RetryAfter
 }
 
-// From returns err as an Error. If err is not a result, some code failed to assign one.
-// It then becomes Internal, whose run state is "may have run" because nothing is known
-// about execution.
+// From returns err as an Error. An err without an Error in its chain means that some code
+// failed to assign a result. It becomes Internal, which states "may have run" because
+// nothing is known about execution.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -10,8 +10,8 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// The connection to the agent is lost in the middle of an answer, and its error wraps
-// io.EOF. The reader of the answer must not take it for the end of the answer.
+// The connection to the agent is lost in the middle of a response, and its error wraps
+// io.EOF. The reader must not take the error for the end of the response.
 func TestLostConnectionIsNotEOF(t *testing.T) {
 	g := NewWithT(t)
 	lost := result.New(result.WireClosed, "connection ended: %w", fmt.Errorf("read: %w", io.EOF))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -106,11 +106,11 @@
 	Network  *wire.Network // derived from TLS
 }
 
-// toolListenAddr is passed to the check of [tls] for the tool, which has no listener. It
-// is on loopback, so that plain TCP is allowed.
+// toolListenAddr is the listen address in the check of [tls] for the tool, which has no
+// listener. It is on loopback, so that plain TCP is allowed.
 const toolListenAddr = "127.0.0.1:0"
 
-// LoadTool reads and validates a settings file. The error lists all faults.
+// LoadTool reads and validates the settings file of the operators' tool. The error lists all faults.
 func LoadTool(path string) (*ToolFile, error) {
 	var f ToolFile
 	l := load(path, map[string]any{"platform": &f.Platform, "tls": &f.TLS})
@@ -118,7 +118,7 @@
 	return &f, l.err()
 }
 
-// LoadEntry reads and validates a settings file. The error lists all faults.
+// LoadEntry reads and validates the settings file of heatherrail-entry. The error lists all faults.
 func LoadEntry(path string) (*EntryFile, error) {
 	var f EntryFile
 	l := load(path, map[string]any{"entry": &f.Entry, "platform": &f.Platform, "tls": &f.TLS})
@@ -126,7 +126,7 @@
 	return &f, l.err()
 }
 
-// LoadAgent reads and validates a settings file. The error lists all faults.
+// LoadAgent reads and validates the settings file of heatherrail-agent. The error lists all faults.
 func LoadAgent(path string) (*AgentFile, error) {
 	var f AgentFile
 	l := load(path, map[string]any{"agent": &f.Agent, "platform": &f.Platform, "tls": &f.TLS})
@@ -160,9 +160,8 @@
 	l.errs = append(l.errs, &ini.Error{File: l.path, Line: line, Where: section + "." + key, What: message})
 }
 
-// network loads the keys of [tls] and checks that they suffice for the listen address,
-// which belongs to the given section. It returns nil if the file or its keys have a
-// fault.
+// network loads the keys of [tls] and checks that they suffice for the listen address in
+// the given section. It returns nil if the file or its keys have a fault.
 func (l *settingsFile) network(t *TLS, section, listen string) *wire.Network {
 	if l.err() != nil {
 		return nil
