--- a/internal/ablate/ablate.go
+++ b/internal/ablate/ablate.go
@@ -18,8 +18,8 @@
 	LateShare    Mechanism = "late-share"    // late streams use all remaining headroom
 	Breaker      Mechanism = "breaker"       // requests are sent to a broken group
 	InTimeFirst  Mechanism = "in-time-first" // requests are admitted in the order of arrival
-	RefuseEarly  Mechanism = "refuse-early"  // requests are queued although the expected wait is too long
-	CannotFinish Mechanism = "cannot-finish" // streams are admitted that can't finish in time
+	RefuseEarly  Mechanism = "refuse-early"  // requests are queued even if the expected wait is too long
+	CannotFinish Mechanism = "cannot-finish" // streams are admitted that can't finish on time
 	Sample       Mechanism = "sample"        // each placement compares all targets
 	SlowWeight   Mechanism = "slow-weight"   // a slow rank gets the same share of work as others
 	SlowLeftOut  Mechanism = "slow-left-out" // a very slow rank gets work
--- a/internal/fake/completion.go
+++ b/internal/fake/completion.go
@@ -36,7 +36,7 @@
 	return n, nil
 }
 
-// fill encodes the next event of a stream, or the complete answer, into buf.
+// fill encodes the next event of a stream, or the whole document, into buf.
 func (b *engineBody) fill() error {
 	if b.stream {
 		token, ok, err := b.nextToken()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// nextToken waits for the next token; false after the last one.
+// nextToken waits for the next token. The second result is false after the last one.
 func (b *engineBody) nextToken() (string, bool, error) {
 	select {
 	case token, ok := <-b.gen.tokens:
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -35,7 +35,7 @@
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) { c.mux.ServeHTTP(w, r) }
 
 // Handle registers f for a pattern of http.ServeMux. The response is the value that f
-// returns, as JSON, or status 400 with the text of the error.
+// returns, as JSON. If f returns an error, the response is status 400 with its text.
 func (c *Control) Handle(pattern string, f func(r *http.Request) (any, error)) {
 	c.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		v, err := f(r)
@@ -95,7 +95,7 @@
 	Steps uint64 `json:"steps"` // completed steps
 	Idle  uint64 `json:"idle"`  // ticks without a completed step although all engines could run
 	Map   string `json:"map"`   // id of the current expert map, hexadecimal
-	Mixed string `json:"mixed"` // error of the first step that used two maps or a map not loaded; empty: none
+	Mixed string `json:"mixed"` // error of the first step with two maps or with a map that was not loaded; empty: none
 }
 
 // AddGroups adds requests for the state and expert loads of rank groups.
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -23,8 +23,8 @@
 }
 
 // Engine is a stand-in for a model engine. Each token is a function of the complete text
-// before it. Tests can therefore verify an answer, and an answer that is continued after
-// a break equals an unbroken one.
+// before it. Tests can therefore verify a generated text, and a text that is continued on
+// another engine equals an uninterrupted one.
 type Engine struct {
 	Name  string
 	Model string
@@ -91,7 +91,7 @@
 	return " " + words[xxhash.Sum64String(text)%uint64(len(words))]
 }
 
-// Generate returns the answer that an engine generates for a prompt, without the prompt.
+// Generate returns the text that an engine generates for a prompt, without the prompt.
 func Generate(prompt string, tokens int) string {
 	text := prompt
 	for range tokens {
--- a/internal/fake/lockstep.go
+++ b/internal/fake/lockstep.go
@@ -10,8 +10,8 @@
 
 // LockStep is a rank group that uses expert maps. In each tick, every rank that is
 // allowed to enters its next step; a step completes when all live ranks have entered it.
-// An engine that is down does not block the group. A restarted engine blocks it until
-// the engine gets the step at which to join.
+// An engine that is down does not block the group. A restarted engine blocks the group
+// until it gets the step at which it is to join.
 type LockStep struct {
 	ExpertBytes int64 // size of the weights of one expert
 
@@ -24,7 +24,7 @@
 	steps     uint64
 	idle      uint64 // ticks without a completed step although no engine was stalled or down
 	mapOfStep map[uint64]expert.MapID
-	mixed     error // see Mixed
+	mixed     error // first error in the use of maps, see Mixed
 	stop      chan struct{}
 	done      chan struct{}
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// live returns the ranks whose engines run. impaired reports that at least one engine
-// of the group is stalled or down.
+// live returns the ranks whose engines are not down. impaired reports that at least one
+// engine of the group is stalled or down.
 func (g *LockStep) live() (live []*Rank, impaired bool) {
 	for _, r := range g.ranks {
 		if r.engine.isDown() {
@@ -110,8 +110,8 @@
 	return live, impaired
 }
 
-// enterStep lets a rank enter its next step if it may, and checks that the rank has
-// loaded its map and that all ranks use the same map in that step.
+// enterStep lets a rank enter its next step if its position allows it. It sets mixed if the
+// rank has not loaded its map, or uses another map in that step than other ranks.
 func (g *LockStep) enterStep(r *Rank) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +178,7 @@
 	return g.mixed
 }
 
-// Map returns the id of the current map, as rank 0 knows it.
+// Map returns the ID of the map that rank 0 uses.
 func (g *LockStep) Map() expert.MapID {
 	r := g.ranks[0]
 	r.mu.Lock()
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -8,7 +8,7 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// errAnswerLost is the error of an order that took effect but whose answer was lost.
+// errAnswerLost is the error of an order that took effect but whose response was lost.
 var errAnswerLost = errors.New("answer lost")
 
 // OrderedEngine is a stand-in for the order interface of an engine.
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -11,7 +11,7 @@
 )
 
 // Plain is a stand-in for a plain service. POST adds an entry. The response to every
-// request has the number of entries.
+// request contains the number of entries.
 type Plain struct {
 	Name string
 
@@ -94,7 +94,7 @@
 	}), nil
 }
 
-// awaitTurn blocks a call until the stall and then the delay are over, or ctx ends.
+// awaitTurn blocks a call during a stall and then for the delay, or until ctx ends.
 func (p *Plain) awaitTurn(ctx context.Context) error {
 	p.mu.Lock()
 	delay, resume := p.delay, p.resume
--- a/internal/fake/rank.go
+++ b/internal/fake/rank.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// addMap adds a loaded map. If there is no memory left, it drops the oldest map that is
+// addMap adds a loaded map. If maxMaps are loaded already, it drops the oldest map that is
 // not in use.
 func (r *Rank) addMap(m *expert.Map) {
 	for i, loaded := range r.maps {
@@ -152,9 +152,9 @@
 	r.maps = nil
 }
 
-// RankHandler serves the rank interface over HTTP for the rank that the function rank
-// returns, and passes all other requests to next. While rank returns nil, because the
-// engine is in no group, requests to the rank interface get status 404.
+// RankHandler serves the rank interface of an engine over HTTP and passes all other
+// requests to next. The function rank returns the engine's rank. While it returns nil,
+// because the engine is in no group, requests to the rank interface get status 404.
 func RankHandler(rank func() *Rank, next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", next)
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Frames between heatherrail processes start with a header of length (4 bytes), kind and
-// stream id. A relay needs only the length.
+// Frames between heatherrail processes start with a header: length (4 bytes), kind (1
+// byte) and stream ID (8 bytes). A relay needs only the length.
 const (
 	frameHeaderBytes   = 4 + 1 + 8
 	maxFrameBytes      = 64 << 20
--- a/internal/fake/targets.go
+++ b/internal/fake/targets.go
@@ -62,7 +62,7 @@
 	if text != nil && *text != "" && bytes.Contains(call.Body, []byte(*text)) {
 		t.crashes.Add(1)
 		t.Kill()
-		time.AfterFunc(crashRestart, func() { _ = t.Restart() }) // if the port is in use, the target stays down, which the test detects
+		time.AfterFunc(crashRestart, func() { _ = t.Restart() }) // if the port is in use, the target stays down
 		return nil, &outside.SendError{MayHaveRun: true, Err: errEngineDown}
 	}
 	return t.backend.Run(ctx, call)
--- a/internal/fake/vms.go
+++ b/internal/fake/vms.go
@@ -16,7 +16,7 @@
 	history []vmVersion
 }
 
-// vmVersion is the list as of a change.
+// vmVersion is the list after one change.
 type vmVersion struct {
 	at  time.Time
 	vms []outside.VM
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -18,7 +18,7 @@
 	"github.com/heatherrail/heatherrail/platform"
 )
 
-// Process holds what Run sets up for a program.
+// Process holds the settings, log, metrics and listener that Run sets up for a program.
 type Process struct {
 	Settings  *platform.Settings
 	Log       logr.Logger
@@ -37,7 +37,7 @@
 const metricsPort = "9464"
 
 // Run sets up a process, calls serve and returns the exit code of serve. If the setup
-// fails, Run returns an exit code without a call of serve.
+// fails, Run returns an exit code and does not call serve.
 func Run(serve func(p *Process) int) int {
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -59,8 +59,8 @@
 	return serve(p)
 }
 
-// Wait blocks until a signal asks the process to stop, shuts the service down within the
-// grace period and returns the exit code. SIGHUP logs changed settings.
+// Wait blocks until SIGTERM or SIGINT, shuts the service down within the grace period and
+// returns the exit code. At each SIGHUP it logs whether the settings file has changed.
 func (p *Process) Wait(s daemon.Service) int {
 	return daemon.WaitAndReload(s, p.Settings.ShutdownGrace, func() { platform.LogSettingsChange(p.Log, p.Settings) })
 }
--- a/internal/ini/fuzz_test.go
+++ b/internal/ini/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Files hold arbitrary text. Every error must have file, line and text, and a decoded
-// value without an error must be within its bounds.
+// A file contains arbitrary text. Every error must have file, line and text, and without an
+// error every decoded value must be within its bounds.
 func FuzzParse(f *testing.F) {
 	f.Add("[team a]\nweight = 5\nservices = x, y\n")
 	f.Add("# c\n[a b c]\n=\nkey\n[]\n[x\n")
--- a/internal/ini/ini.go
+++ b/internal/ini/ini.go
@@ -1,6 +1,6 @@
-// Package ini reads INI files. It records the line of every key, which other INI
-// libraries discard, so that operators get all errors of a file at once, each with file
-// and line.
+// Package ini reads INI files. It records the line of every key, which the INI libraries
+// that were considered discard. Operators therefore get all errors of a file at once,
+// each with file and line.
 //
 // Syntax: sections "[kind]" or "[kind name]", lines "key = value", and comment lines that
 // start with '#' or ';'. There are no escapes and no continuation lines.
--- a/internal/tcp/dial.go
+++ b/internal/tcp/dial.go
@@ -13,10 +13,10 @@
 
 // Limits for the detection of unreachable peers.
 //
-// A VM without power or behind a partition does not acknowledge anything, and the
-// kernel by default retransmits for many minutes. Reads from such a connection would
-// hang. Keepalive probes end an idle connection and the user timeout ends one with
-// unacknowledged data, both within about userTimeout.
+// A VM without power or behind a partition acknowledges nothing, and by default the
+// kernel retransmits for many minutes. Reads from such a connection would hang. Keepalive
+// probes end an idle connection, and the user timeout ends a connection with
+// unacknowledged data. Both take about userTimeout.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
--- a/internal/tools/gendocs/results.go
+++ b/internal/tools/gendocs/results.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// formatWait formats a delay; empty for none.
+// formatWait formats a delay. It returns an empty text for zero.
 func formatWait(d time.Duration) string {
 	if d == 0 {
 		return ""
