--- a/losses/cause.go
+++ b/losses/cause.go
@@ -79,19 +79,19 @@
 		return TargetSlow
 	}
 	duration := time.Duration(line.Int("ms")) * time.Millisecond
-	m := a.statsBetween(line.At.Add(-duration), line.At)
+	stats := a.statsBetween(line.At.Add(-duration), line.At)
 	switch {
-	case m.restarted:
+	case stats.restarted:
 		return AfterRestart
-	case m.groupBroken:
+	case stats.groupBroken:
 		return GroupBroken
-	case m.slowdown >= slowdownThreshold:
+	case stats.slowdown >= slowdownThreshold:
 		return SlowRank
-	case m.groupHeld:
+	case stats.groupHeld:
 		return GroupHeld
-	case m.reportAge >= staleReportAge:
+	case stats.reportAge >= staleReportAge:
 		return LoadReportStale
-	case m.imbalance >= imbalanceThreshold:
+	case stats.imbalance >= imbalanceThreshold:
 		return MapOutdated
 	}
 	return Backlog
@@ -107,25 +107,25 @@
 }
 
 // merge adds the stats of another second.
-func (m *secondStats) merge(o *secondStats) {
-	m.slowdown, m.imbalance, m.reportAge = max(m.slowdown, o.slowdown), max(m.imbalance, o.imbalance), max(m.reportAge, o.reportAge)
-	m.groupHeld, m.groupBroken, m.restarted = m.groupHeld || o.groupHeld, m.groupBroken || o.groupBroken, m.restarted || o.restarted
+func (s *secondStats) merge(o *secondStats) {
+	s.slowdown, s.imbalance, s.reportAge = max(s.slowdown, o.slowdown), max(s.imbalance, o.imbalance), max(s.reportAge, o.reportAge)
+	s.groupHeld, s.groupBroken, s.restarted = s.groupHeld || o.groupHeld, s.groupBroken || o.groupBroken, s.restarted || o.restarted
 }
 
 // recordStats adds what a line reports about the system to the stats of its second.
 func (a *analyser) recordStats(line *story.Line) {
-	m := a.statsAt(line.At)
+	stats := a.statsAt(line.At)
 	switch line.Event {
 	case "placed", "group load":
-		m.slowdown = max(m.slowdown, line.Float("pace"))
-		m.imbalance = max(m.imbalance, line.Float("imbalance"))
-		m.reportAge = max(m.reportAge, time.Duration(line.Int("report_ms"))*time.Millisecond)
+		stats.slowdown = max(stats.slowdown, line.Float("pace"))
+		stats.imbalance = max(stats.imbalance, line.Float("imbalance"))
+		stats.reportAge = max(stats.reportAge, time.Duration(line.Int("report_ms"))*time.Millisecond)
 	case "this rank is left held", "group stands still", "group held by nobody", "group let go without its leader":
-		m.groupHeld = true
+		stats.groupHeld = true
 	case "try failed":
-		m.groupBroken = m.groupBroken || line.Get("reason") == "rank_lost"
+		stats.groupBroken = stats.groupBroken || line.Get("reason") == "rank_lost"
 	case "started":
-		m.starts++
+		stats.starts++
 		a.processes[line.Source] = true
 		if dc := line.Get("data_centre"); dc != "" {
 			a.dataCentres[line.Source] = dc
@@ -137,8 +137,8 @@
 // within two seconds.
 func (a *analyser) markRestarts() {
 	first := a.firstSecond()
-	for second, m := range a.statsBySecond {
-		if second <= first || float64(m.starts+a.startsIn(second-1)) < restartShare*float64(len(a.processes)) {
+	for second, stats := range a.statsBySecond {
+		if second <= first || float64(stats.starts+a.startsIn(second-1)) < restartShare*float64(len(a.processes)) {
 			continue // the initial start of the system is not a restart
 		}
 		for s := second; s < second+int64(restartWindow/time.Second); s++ {
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -92,20 +92,20 @@
 
 // statsAt returns the stats of the second of a time and creates them if necessary.
 func (a *analyser) statsAt(at time.Time) *secondStats {
-	m := a.statsBySecond[at.Unix()]
-	if m == nil {
-		m = new(secondStats)
-		a.statsBySecond[at.Unix()] = m
+	stats := a.statsBySecond[at.Unix()]
+	if stats == nil {
+		stats = new(secondStats)
+		a.statsBySecond[at.Unix()] = stats
 	}
-	return m
+	return stats
 }
 
 // statsBetween merges the stats of all seconds from one time to another.
 func (a *analyser) statsBetween(from, to time.Time) *secondStats {
 	sum := new(secondStats)
 	for s := from.Unix(); s <= to.Unix(); s++ {
-		if m := a.statsBySecond[s]; m != nil {
-			sum.merge(m)
+		if stats := a.statsBySecond[s]; stats != nil {
+			sum.merge(stats)
 		}
 	}
 	return sum
@@ -124,8 +124,8 @@
 
 // startsIn returns how many processes started in a second.
 func (a *analyser) startsIn(second int64) int {
-	if m := a.statsBySecond[second]; m != nil {
-		return m.starts
+	if stats := a.statsBySecond[second]; stats != nil {
+		return stats.starts
 	}
 	return 0
 }
