--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -94,7 +94,7 @@
 type GroupState struct {
 	Steps uint64 `json:"steps"` // completed steps
 	Idle  uint64 `json:"idle"`  // ticks without a completed step although all engines could run
-	Map   string `json:"map"`   // id of the current expert map, hexadecimal
+	Map   string `json:"map"`   // ID of the current expert map, hexadecimal
 	Mixed string `json:"mixed"` // error of the first step with two maps or with a map that was not loaded; empty: none
 }
 
@@ -177,7 +177,7 @@
 	}
 }
 
-// isYes parses yes or no; false if the value is absent.
+// isYes parses yes or no. It returns false if the value is absent.
 func (f *formReader) isYes(name string) bool {
 	v := f.r.FormValue(name)
 	if v != "" && v != "yes" && v != "no" {
--- a/internal/fake/rank.go
+++ b/internal/fake/rank.go
@@ -124,7 +124,7 @@
 // tokensPerSecond is the computing rate of a rank with speed 1.
 const tokensPerSecond = 1e6
 
-// findMap returns the loaded map with an id, nil if it is not loaded.
+// findMap returns the loaded map with an ID, or nil if it is not loaded.
 func (r *Rank) findMap(id expert.MapID) *expert.Map {
 	for _, m := range r.maps {
 		if m.ID() == id {
--- a/result/codes.go
+++ b/result/codes.go
@@ -65,7 +65,7 @@
 )
 
 // 33x: the outcome of an order or a configuration change is unknown. The sender must
-// repeat it with the same id.
+// repeat it with the same ID.
 const (
 	OrderUnknown  Code = 330
 	ChangeUnknown Code = 331
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 	}
-	// Seed and process id select the addresses, so that several soaks can run at once.
+	// Seed and process ID select the addresses, so that several soaks can run at once.
 	net2, net3 := 1+s.opts.Seed%200, 1+uint64(os.Getpid())%250
 	for i := range s.opts.Entries {
 		e := &entryProc{name: fmt.Sprintf("entry-%d", i+1), ip: fmt.Sprintf("127.%d.%d.%d", net2, net3, i+1)}
