--- a/losses/cause.go
+++ b/losses/cause.go
@@ -15,7 +15,7 @@
 	CallerFault       Cause = iota // the caller disconnected, or its request was invalid or not allowed
 	NoConfig                       // the entry had no configuration or no target yet
 	EntryStopping                  // the entry was shutting down
-	TargetFailed                   // a target was lost, or its answer failed or was incomplete
+	TargetFailed                   // a target was lost, or its response failed or was incomplete
 	TargetRateLimited              // the rate limits of all targets were used up
 	AfterRestart                   // most processes had just restarted
 	GroupBroken                    // a rank was lost
@@ -38,8 +38,8 @@
 }
 
 // Savable reports whether a load balancer with perfect information could have served
-// the request in time. That is impossible without a working target or group whose
-// passes are short enough.
+// the request on time. That is impossible without a working target or without a group
+// whose passes are short enough.
 func (c Cause) Savable() bool {
 	switch c {
 	case CallerFault, NoConfig, TargetRateLimited, GroupBroken, SlowRank, TargetSlow:
@@ -50,11 +50,11 @@
 
 // Thresholds from which a logged value counts as a cause.
 const (
-	slowdownThreshold  = 2.0 // step time over the usual step time
-	imbalanceThreshold = 1.5 // load of the most loaded rank over the mean
+	slowdownThreshold  = 2.0 // step time divided by the usual step time
+	imbalanceThreshold = 1.5 // load of the most loaded rank divided by the mean
 	staleReportAge     = 2 * time.Second
 	restartWindow      = 6 * time.Second // time to work off the backlog of a restart
-	restartShare       = 0.5             // share of all processes that start at about the same time
+	restartShare       = 0.5             // least share of all processes that start within two seconds
 )
 
 // causeByReason maps the logged reason of a refusal or failure to its cause.
@@ -79,19 +79,19 @@
 		return TargetSlow
 	}
 	duration := time.Duration(line.Int("ms")) * time.Millisecond
-	m := a.statsBetween(line.At.Add(-duration), line.At)
+	stats := a.statsBetween(line.At.Add(-duration), line.At)
 	switch {
-	case m.restarted:
+	case stats.restarted:
 		return AfterRestart
-	case m.groupBroken:
+	case stats.groupBroken:
 		return GroupBroken
-	case m.slowdown >= slowdownThreshold:
+	case stats.slowdown >= slowdownThreshold:
 		return SlowRank
-	case m.groupHeld:
+	case stats.groupHeld:
 		return GroupHeld
-	case m.reportAge >= staleReportAge:
+	case stats.reportAge >= staleReportAge:
 		return LoadReportStale
-	case m.imbalance >= imbalanceThreshold:
+	case stats.imbalance >= imbalanceThreshold:
 		return MapOutdated
 	}
 	return Backlog
@@ -107,25 +107,25 @@
 }
 
 // merge adds the stats of another second.
-func (m *secondStats) merge(o *secondStats) {
-	m.slowdown, m.imbalance, m.reportAge = max(m.slowdown, o.slowdown), max(m.imbalance, o.imbalance), max(m.reportAge, o.reportAge)
-	m.groupHeld, m.groupBroken, m.restarted = m.groupHeld || o.groupHeld, m.groupBroken || o.groupBroken, m.restarted || o.restarted
+func (s *secondStats) merge(o *secondStats) {
+	s.slowdown, s.imbalance, s.reportAge = max(s.slowdown, o.slowdown), max(s.imbalance, o.imbalance), max(s.reportAge, o.reportAge)
+	s.groupHeld, s.groupBroken, s.restarted = s.groupHeld || o.groupHeld, s.groupBroken || o.groupBroken, s.restarted || o.restarted
 }
 
 // recordStats adds what a line reports about the system to the stats of its second.
 func (a *analyser) recordStats(line *story.Line) {
-	m := a.statsAt(line.At)
+	stats := a.statsAt(line.At)
 	switch line.Event {
 	case "placed", "group load":
-		m.slowdown = max(m.slowdown, line.Float("pace"))
-		m.imbalance = max(m.imbalance, line.Float("imbalance"))
-		m.reportAge = max(m.reportAge, time.Duration(line.Int("report_ms"))*time.Millisecond)
+		stats.slowdown = max(stats.slowdown, line.Float("pace"))
+		stats.imbalance = max(stats.imbalance, line.Float("imbalance"))
+		stats.reportAge = max(stats.reportAge, time.Duration(line.Int("report_ms"))*time.Millisecond)
 	case "this rank is left held", "group stands still", "group held by nobody", "group let go without its leader":
-		m.groupHeld = true
+		stats.groupHeld = true
 	case "try failed":
-		m.groupBroken = m.groupBroken || line.Get("reason") == "rank_lost"
+		stats.groupBroken = stats.groupBroken || line.Get("reason") == "rank_lost"
 	case "started":
-		m.starts++
+		stats.starts++
 		a.processes[line.Source] = true
 		if dc := line.Get("data_centre"); dc != "" {
 			a.dataCentres[line.Source] = dc
@@ -137,8 +137,8 @@
 // within two seconds.
 func (a *analyser) markRestarts() {
 	first := a.firstSecond()
-	for second, m := range a.statsBySecond {
-		if second <= first || float64(m.starts+a.startsIn(second-1)) < restartShare*float64(len(a.processes)) {
+	for second, stats := range a.statsBySecond {
+		if second <= first || float64(stats.starts+a.startsIn(second-1)) < restartShare*float64(len(a.processes)) {
 			continue // the initial start of the system is not a restart
 		}
 		for s := second; s < second+int64(restartWindow/time.Second); s++ {
--- a/result/codes.go
+++ b/result/codes.go
@@ -65,7 +65,7 @@
 )
 
 // 33x: the outcome of an order or a configuration change is unknown. The sender must
-// repeat it with the same id.
+// repeat it with the same ID.
 const (
 	OrderUnknown  Code = 330
 	ChangeUnknown Code = 331
@@ -106,7 +106,7 @@
 	WirePlain         Code = 410
 )
 
-// shortRetryAfter is the delay before a retry after a refusal that usually ends soon.
+// shortRetryAfter is the delay before a retry if the reason of the refusal usually ends soon.
 const shortRetryAfter = time.Second
 
 var table = []Info{
