--- a/cmd/heatherrail-agent/main.go
+++ b/cmd/heatherrail-agent/main.go
@@ -1,4 +1,4 @@
-// Command heatherrail-agent is the process beside each target.
+// Command heatherrail-agent runs next to each target and relays requests to it.
 package main
 
 import (
@@ -16,7 +16,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	f := daemon.Parse("heatherrail-agent is the only door to one target.")
+	f := daemon.Parse("heatherrail-agent relays requests to one target and is the only process that connects to it.")
 	file, err := settings.LoadAgent(f.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/heatherrail-entry/main.go
+++ b/cmd/heatherrail-entry/main.go
@@ -1,4 +1,5 @@
-// Command heatherrail-entry is the process that callers talk to.
+// Command heatherrail-entry is the process that callers connect to. It admits requests and
+// relays them to targets.
 package main
 
 import (
--- a/cmd/heatherrail-gateway/main.go
+++ b/cmd/heatherrail-gateway/main.go
@@ -1,5 +1,5 @@
-// Command heatherrail-gateway is the process that callers talk to on the users'
-// machines.
+// Command heatherrail-gateway is the entry process of the hosted deployment on the users'
+// machines. Callers connect to it.
 package main
 
 import (
@@ -14,24 +14,27 @@
 
 func main() { os.Exit(hosted.Run(serve)) }
 
+// serve serves callers, peers, the directory and readiness checks, and waits for the end of
+// the process. It returns the exit code.
 func serve(p *hosted.Process) int {
 	callers, err := tcp.Listen(p.Settings.CallerAddr)
 	if err != nil {
-		p.Log.Error(err, "can't listen for callers")
+		p.Log.Error(err, "failed to listen for callers")
 		return daemon.ExitFail
 	}
 	g := gateway.Start(options(p), callers, p.Peers)
 	if err := platform.ServeDirectory(p.Settings.DirectoryAddr, g.Entries); err != nil {
-		p.Log.Error(err, "can't serve the directory")
+		p.Log.Error(err, "failed to serve the directory")
 		return daemon.ExitFail
 	}
 	if err := platform.ServeReady(p.Settings.ReadyAddr, g.Ready); err != nil {
-		p.Log.Error(err, "can't serve readiness checks")
+		p.Log.Error(err, "failed to serve readiness checks")
 		return daemon.ExitFail
 	}
 	return p.Wait(g)
 }
 
+// options returns the gateway's options from the settings of the process.
 func options(p *hosted.Process) gateway.Options {
 	s := p.Settings
 	return gateway.Options{
--- a/cmd/heatherrail-rank/main.go
+++ b/cmd/heatherrail-rank/main.go
@@ -1,5 +1,5 @@
-// Command heatherrail-rank is the process beside each model engine on the users'
-// machines.
+// Command heatherrail-rank is the agent next to each model engine of the hosted deployment
+// on the users' machines.
 package main
 
 import (
@@ -12,6 +12,7 @@
 
 func main() { os.Exit(hosted.Run(serve)) }
 
+// serve runs the agent until the process ends, and returns the exit code.
 func serve(p *hosted.Process) int {
 	s := p.Settings
 	return p.Wait(lockstep.Start(lockstep.Options{
--- a/cmd/heatherrail/apply.go
+++ b/cmd/heatherrail/apply.go
@@ -14,11 +14,11 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Exit codes of apply besides the common ones.
+// Exit codes of apply in addition to the common ones.
 const (
-	exitRefused = 3 // another change won
-	exitUnknown = 4 // ask again with --resume
-	exitBehind  = 5 // accepted, not yet in force everywhere
+	exitRefused    = 3 // refused: another change was accepted first
+	exitUnknown    = 4 // the outcome is unknown; --resume settles it
+	exitNotInForce = 5 // accepted, but not yet in force at all entries
 )
 
 type applyCommand struct {
@@ -46,7 +46,7 @@
 	var out config.Outcome
 	if c.Resume != "" {
 		if _, err := ulid.ParseStrict(c.Resume); err != nil {
-			return &exitError{exitUsage, fmt.Errorf("--resume %s: no id of a change: %w", c.Resume, err)}
+			return &exitError{exitUsage, fmt.Errorf("--resume %s: not a valid change id: %w", c.Resume, err)}
 		}
 		out, err = op.Resume(ctx, c.Resume)
 	} else {
@@ -56,13 +56,14 @@
 		return outcomeError(err)
 	}
 	if out.Version == 0 {
-		return nil // nothing to do
+		return nil // no change was sent
 	}
 	fmt.Printf("accepted: version %d\n", out.Version)
-	return c.inForce(ctx, client, out.Version)
+	return c.waitInForce(ctx, client, out.Version)
 }
 
-// outcomeError gives each outcome an exit code that scripts can tell apart.
+// outcomeError wraps err with an exit code that tells scripts whether the change was
+// refused, has an unknown outcome or failed in another way.
 func outcomeError(err error) error {
 	switch {
 	case result.From(err).Code == result.ChangeRefused:
@@ -74,6 +75,8 @@
 	}
 }
 
+// apply sends the configuration in c.Args.Dir as a change on the base version. The outcome
+// has version 0 if the configuration has no difference to the version in force.
 func (c *applyCommand) apply(ctx context.Context, op *control.Operator) (config.Outcome, error) {
 	cfg, err := config.LoadDir(c.Args.Dir)
 	if err != nil {
@@ -90,8 +93,8 @@
 	if c.Base >= 0 {
 		base = uint64(c.Base)
 	}
-	if empty := config.ServicesLosingTargets(old, cfg); len(empty) > 0 && !c.AllowEmpty {
-		return config.Outcome{}, fmt.Errorf("nothing was sent: no target would be left for %s; --allow-empty applies it all the same", strings.Join(empty, ", "))
+	if affected := config.ServicesLosingTargets(old, cfg); len(affected) > 0 && !c.AllowEmpty {
+		return config.Outcome{}, fmt.Errorf("nothing was sent: no target would be left for %s; --allow-empty applies it all the same", strings.Join(affected, ", "))
 	}
 	if len(config.Diff(old, cfg)) == 0 && c.Base < 0 {
 		fmt.Printf("no difference to version %d, nothing was sent\n", base)
@@ -102,22 +105,24 @@
 	return op.Apply(ctx, id, base, cfg)
 }
 
-func (c *applyCommand) inForce(ctx context.Context, client *control.Client, version uint64) error {
+// waitInForce waits until all entries have the version in force, and prints those that
+// have not.
+func (c *applyCommand) waitInForce(ctx context.Context, client *control.Client, version uint64) error {
 	behind, err := client.WaitInForce(ctx, version)
 	if err != nil {
-		return &exitError{exitBehind, fmt.Errorf("accepted; entries can't be asked: %w", err)}
+		return &exitError{exitNotInForce, fmt.Errorf("accepted; entries could not be queried: %w", err)}
 	}
 	if len(behind) == 0 {
 		fmt.Println("in force at all listed entries")
 		return nil
 	}
 	for _, a := range behind {
-		fmt.Printf("behind: %s\n", describe(a))
+		fmt.Printf("behind: %s\n", processState(a))
 	}
-	return &exitError{exitBehind, fmt.Errorf("accepted, but %d entries have not reported version %d", len(behind), version)}
+	return &exitError{exitNotInForce, fmt.Errorf("accepted, but %d entries have not reported version %d", len(behind), version)}
 }
 
-func describe(a control.Answer) string {
+func processState(a control.Answer) string {
 	if a.Err != nil {
 		return a.VM.Name + ": " + a.Err.Error()
 	}
--- a/cmd/heatherrail/bench.go
+++ b/cmd/heatherrail/bench.go
@@ -7,7 +7,7 @@
 	"github.com/heatherrail/heatherrail/bench"
 )
 
-// benchCommand groups the benches; each bench has a file of its own.
+// benchCommand groups the benchmarks as subcommands.
 type benchCommand struct {
 	Expert   benchExpertCommand `command:"expert" description:"expert maps: skew, bytes moved and planner time against the baselines"`
 	Outcomes benchOutcomes      `command:"outcomes" description:"what callers are told under faults, and what at most once costs"`
@@ -18,19 +18,20 @@
 	Relay    benchRelay         `command:"relay" description:"what entry and agent add to a streamed answer"`
 }
 
-// benchFlags are the flags that all benches share.
+// benchFlags are the flags shared by all benchmarks.
 type benchFlags struct {
 	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"format of the report"`
 	Seed   uint64 `long:"seed" default:"1" description:"seed of everything random"`
 }
 
-// collect takes the reports in place of standard output while bench all runs.
-var collect func(*bench.Report)
+// reportSink, if set, receives the reports instead of standard output. "bench all" sets it
+// while it runs.
+var reportSink func(*bench.Report)
 
-// print writes a report to standard output.
+// print writes a report to standard output, or passes it to reportSink if that is set.
 func (f *benchFlags) print(r *bench.Report) error {
-	if collect != nil {
-		collect(r)
+	if reportSink != nil {
+		reportSink(r)
 		return nil
 	}
 	if err := r.Write(os.Stdout, f.Output); err != nil {
--- a/cmd/heatherrail/bench_all.go
+++ b/cmd/heatherrail/bench_all.go
@@ -23,8 +23,8 @@
 		return err
 	}
 	var set bench.Set
-	collect = func(r *bench.Report) { set.Reports = append(set.Reports, r) }
-	defer func() { collect = nil }()
+	reportSink = func(r *bench.Report) { set.Reports = append(set.Reports, r) }
+	defer func() { reportSink = nil }()
 	for i := range b.Runs {
 		for _, name := range names {
 			fmt.Fprintf(os.Stderr, "run %d of %d: %s\n", i+1, b.Runs, name)
@@ -36,7 +36,8 @@
 	return set.Write(os.Stdout, b.Output)
 }
 
-// benchNames returns the benches to run, all if none are given.
+// benchNames returns the names of the benchmarks to run: only, or all if only is empty. It
+// fails for an unknown name.
 func benchNames(only []string) ([]string, error) {
 	known := make(map[string]bool)
 	var names []string
@@ -51,13 +52,13 @@
 	}
 	for _, name := range only {
 		if !known[name] {
-			return nil, fmt.Errorf("there is no bench %q, there are %v", name, names)
+			return nil, fmt.Errorf("unknown bench %q, known are %v", name, names)
 		}
 	}
 	return only, nil
 }
 
-// runBench runs one bench as the command line would, with its own defaults.
+// runBench runs one benchmark with a seed and otherwise the defaults of its command.
 func runBench(name string, seed uint64) error {
 	_, err := newParser(new(options)).ParseArgs([]string{"bench", name, "--seed", strconv.FormatUint(seed, 10)})
 	return err
--- a/cmd/heatherrail/bench_compare.go
+++ b/cmd/heatherrail/bench_compare.go
@@ -18,18 +18,19 @@
 
 // Execute implements flags.Commander.
 func (c *benchCompare) Execute([]string) error {
-	older, err := readSet(c.Args.Old)
+	older, err := readReportSet(c.Args.Old)
 	if err != nil {
 		return err
 	}
-	newer, err := readSet(c.Args.New)
+	newer, err := readReportSet(c.Args.New)
 	if err != nil {
 		return err
 	}
 	return bench.Compare(older, newer).Write(os.Stdout, c.Output)
 }
 
-func readSet(path string) (*bench.Set, error) {
+// readReportSet reads a JSON file written by "bench all".
+func readReportSet(path string) (*bench.Set, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read reports: %w", err)
--- a/cmd/heatherrail/bench_outcomes.go
+++ b/cmd/heatherrail/bench_outcomes.go
@@ -5,7 +5,7 @@
 	"github.com/heatherrail/heatherrail/outcomes"
 )
 
-// benchOutcomes runs small systems under faults and checks what callers were told.
+// benchOutcomes runs small systems under faults and checks the results that callers got.
 type benchOutcomes struct {
 	benchFlags
 	Seeds int `long:"seeds" default:"16" description:"runs under faults; each takes about twelve seconds, eight at a time"`
--- a/cmd/heatherrail/demo.go
+++ b/cmd/heatherrail/demo.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	demoLimit    = 20 * time.Second
-	demoLifetime = 30 * time.Second
+	demoTimeout      = 20 * time.Second
+	demoDirectoryTTL = 30 * time.Second
 )
 
 type demoCommand struct {
@@ -35,24 +35,24 @@
 func (c *demoCommand) Execute([]string) error {
 	switch {
 	case c.StandinsOnly:
-		return c.standins()
+		return c.startStandins()
 	case c.Keep:
-		return c.keepUp()
+		return c.startAndWait()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), demoLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	return hosted.Run(ctx, c.log(), os.Stdout)
+	return hosted.Run(ctx, c.logger(), os.Stdout)
 }
 
-func (c *demoCommand) log() logr.Logger {
+func (c *demoCommand) logger() logr.Logger {
 	if c.Quiet {
 		return logr.Discard()
 	}
 	return logging.New(os.Stderr, 0)
 }
 
-// keepUp starts the programs of our own form before stand-ins.
-func (c *demoCommand) keepUp() error {
+// startAndWait starts entries and agents in front of stand-ins, and waits for a signal.
+func (c *demoCommand) startAndWait() error {
 	cfg, err := exampleConfig(c.Example)
 	if err != nil {
 		return err
@@ -61,19 +61,19 @@
 		Config:     cfg,
 		Entries:    c.Entries,
 		StepTime:   c.Step,
-		AnswerLife: demoLifetime,
-		Logger:     c.log(),
+		AnswerLife: demoDirectoryTTL,
+		Logger:     c.logger(),
 	})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), demoLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
 	if err := f.WaitReady(ctx); err != nil {
 		return err
 	}
-	return keep(f.Describe())
+	return describeAndWait(f.Describe())
 }
 
 func exampleConfig(name string) (*config.Config, error) {
@@ -84,7 +84,8 @@
 	return config.Load(files)
 }
 
-func (c *demoCommand) standins() error {
+// startStandins starts the stand-ins without entries and agents, and waits for a signal.
+func (c *demoCommand) startStandins() error {
 	cfg, err := exampleConfig(c.Example)
 	if err != nil {
 		return err
@@ -99,11 +100,11 @@
 			return err
 		}
 	}
-	return keep(s.Describe())
+	return describeAndWait(s.Describe())
 }
 
-// keep prints the description and waits for a signal.
-func keep(d demo.Description) error {
+// describeAndWait prints the description and returns after SIGTERM or SIGINT.
+func describeAndWait(d demo.Description) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	if err := d.Write(os.Stdout); err != nil {
--- a/cmd/heatherrail/diff.go
+++ b/cmd/heatherrail/diff.go
@@ -8,7 +8,7 @@
 	"github.com/heatherrail/heatherrail/config"
 )
 
-// exitError ends the tool with an exit code of its own.
+// exitError is an error with the exit code to end the program with.
 type exitError struct {
 	code int
 	err  error
@@ -17,11 +17,11 @@
 // Error implements error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// errDiffers has no text: the differences were printed.
-var errDiffers = fmt.Errorf("")
+// errDifferences has no text because diff has already printed the differences.
+var errDifferences = fmt.Errorf("")
 
 type diffCommand struct {
 	platformFlags
@@ -30,20 +30,22 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. The exit code is that of diff: 0 for no
-// difference, 1 for some, 2 for trouble.
+// Execute implements flags.Commander. Exit codes follow diff(1): 0 for no difference,
+// 1 for differences, 2 for an error.
 func (c *diffCommand) Execute([]string) error {
-	differs, err := c.run()
+	differs, err := c.printDiff()
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
 	if differs {
-		return &exitError{exitFail, errDiffers}
+		return &exitError{exitFail, errDifferences}
 	}
 	return nil
 }
 
-func (c *diffCommand) run() (bool, error) {
+// printDiff prints the differences between the directory and the version in force, and
+// returns whether there are any.
+func (c *diffCommand) printDiff() (bool, error) {
 	cfg, err := config.LoadDir(c.Args.Dir)
 	if err != nil {
 		return false, err
@@ -52,7 +54,7 @@
 	if err != nil {
 		return false, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	if err := op.Sync(ctx); err != nil {
 		return false, err
@@ -62,11 +64,11 @@
 	if s := op.Current(); s != nil {
 		old, version = s.Config, s.Version
 	}
-	ds := config.Diff(old, cfg)
-	if len(ds) == 0 {
+	diffs := config.Diff(old, cfg)
+	if len(diffs) == 0 {
 		fmt.Printf("no difference to version %d\n", version)
 		return false, nil
 	}
 	fmt.Printf("against version %d:\n", version)
-	return true, config.WriteDiff(os.Stdout, ds)
+	return true, config.WriteDiff(os.Stdout, diffs)
 }
--- a/cmd/heatherrail/drain.go
+++ b/cmd/heatherrail/drain.go
@@ -15,7 +15,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-const drainPoll = 500 * time.Millisecond
+const drainPollInterval = 500 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
@@ -23,9 +23,9 @@
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout+c.Wait)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout+c.Wait)
 	defer cancel()
-	end := time.Now().Add(c.Wait)
+	deadline := time.Now().Add(c.Wait)
 	for {
 		a, err := client.Drain(ctx, c.Args.Name, c.Undo)
 		if err != nil {
@@ -35,10 +35,10 @@
 			fmt.Printf("%s is back in service\n", c.Args.Name)
 			return nil
 		}
-		if a.Status.InFlight == 0 || time.Now().After(end) {
+		if a.Status.InFlight == 0 || time.Now().After(deadline) {
 			fmt.Printf("%s takes no new work, %d requests in flight\n", c.Args.Name, a.Status.InFlight)
 			return nil
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/cmd/heatherrail/explain_test.go
+++ b/cmd/heatherrail/explain_test.go
@@ -18,14 +18,14 @@
 
 func (l vmList) List(context.Context) ([]outside.VM, error) { return l, nil }
 
-// One entry is gone, one does not know the request, the third does: its answer
-// counts. Without the team's key nobody is asked.
-func TestExplainAsksEntryAfterEntry(t *testing.T) {
+// The first entry is unreachable, the second has no record of the request and the third
+// has a decision. Without a team key no entry is queried.
+func TestExplainReturnsTheFirstDecisionThatAnEntryHolds(t *testing.T) {
 	g := NewWithT(t)
-	asked := 0
+	queries := 0
 	server := func(answer string, status int) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked++
+			queries++
 			g.Expect(r.URL.Path).To(Equal("/v1/explain/R1"))
 			g.Expect(r.Header.Get("Authorization")).To(Equal("Bearer secret"))
 			w.WriteHeader(status)
@@ -34,25 +34,25 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
 	list := vmList{
-		{Name: "entry-1", Role: outside.RoleEntry, Callers: strings.TrimPrefix(gone.URL, "http://")},
+		{Name: "entry-1", Role: outside.RoleEntry, Callers: strings.TrimPrefix(unreachable.URL, "http://")},
 		{Name: "target-1", Role: outside.RoleTarget},
 		{Name: "entry-2", Role: outside.RoleEntry, Callers: server(`{"decisions":[]}`, http.StatusNotFound)},
 	}
-	t.Setenv(teamKeyVariable, "")
+	t.Setenv(teamKeyEnv, "")
 	g.Expect(explain(t.Context(), list, "R1")).NotTo(Succeed())
-	g.Expect(asked).To(BeZero())
-	t.Setenv(teamKeyVariable, "secret")
+	g.Expect(queries).To(BeZero())
+	t.Setenv(teamKeyEnv, "secret")
 	g.Expect(explain(t.Context(), list, "R1")).To(MatchError(errNoDecision))
-	known := server(`{"decisions":[{"chosen":"t7","candidates":[{"target":"t7"}]}]}`, http.StatusOK)
-	list = append(list, outside.VM{Name: "entry-3", Role: outside.RoleEntry, Callers: known})
+	withDecision := server(`{"decisions":[{"chosen":"t7","candidates":[{"target":"t7"}]}]}`, http.StatusOK)
+	list = append(list, outside.VM{Name: "entry-3", Role: outside.RoleEntry, Callers: withDecision})
 	g.Expect(explain(t.Context(), list, "R1")).To(Succeed())
-	g.Expect(asked).To(Equal(3))
+	g.Expect(queries).To(Equal(3))
 }
 
-func TestWriteDecisions(t *testing.T) {
+func TestWriteDecisionsNamesTheTargetAndItsScore(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
 	g.Expect(writeDecisions(&out, "entry-3", []entry.DecisionView{
--- a/cmd/heatherrail/main.go
+++ b/cmd/heatherrail/main.go
@@ -1,4 +1,4 @@
-// Command heatherrail is the operators' tool.
+// Command heatherrail is the command-line tool for operators.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes.
+// Exit codes that all commands share.
 const (
 	exitOK    = 0
 	exitFail  = 1
@@ -30,8 +30,8 @@
 	Version versionCommand `command:"version" description:"print the version"`
 }
 
-// about is the help of the program.
-const about = `heatherrail routes requests to groups of expert-parallel model engines and the plain services beside them. This is its operators' tool.
+// programHelp is the long description in the output of --help.
+const programHelp = `heatherrail routes requests to groups of expert-parallel model engines and the plain services beside them. This is its operators' tool.
 
 First steps, without any set-up: "heatherrail demo" sends requests through a whole small system; "heatherrail demo --keep" leaves it up.
 
@@ -42,26 +42,26 @@
 func main() {
 	var o options
 	parser := newParser(&o)
-	parser.LongDescription = about
+	parser.LongDescription = programHelp
 	os.Exit(run(parser))
 }
 
 func run(parser *flags.Parser) int {
 	_, err := parser.Parse()
-	var fe *flags.Error
-	var ee *exitError
+	var flagsErr *flags.Error
+	var exitErr *exitError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &ee):
-		if text := ee.Error(); text != "" {
+	case errors.As(err, &exitErr):
+		if text := exitErr.Error(); text != "" {
 			fmt.Fprintln(os.Stderr, text)
 		}
-		return ee.code
-	case errors.As(err, &fe) && fe.Type == flags.ErrHelp:
+		return exitErr.code
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
 		fmt.Println(err)
 		return exitOK
-	case errors.As(err, &fe):
+	case errors.As(err, &flagsErr):
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	default:
--- a/cmd/heatherrail/platform.go
+++ b/cmd/heatherrail/platform.go
@@ -8,14 +8,16 @@
 	"github.com/heatherrail/heatherrail/settings"
 )
 
-// platformFlags name the platform that a command talks to.
+// platformFlags are the flags of commands that connect to the platform and its processes.
 type platformFlags struct {
 	Settings string `long:"settings" value-name:"FILE" default:"heatherrail.ini" description:"settings with a [platform] section"`
 }
 
-// askTimeout bounds commands that only ask.
-const askTimeout = 20 * time.Second
+// queryTimeout limits commands that only read state.
+const queryTimeout = 20 * time.Second
 
+// open reads the settings file and returns clients for the configuration log and for the
+// processes in the VM list.
 func (f *platformFlags) open() (*control.Operator, *control.Client, error) {
 	file, err := settings.LoadTool(f.Settings)
 	if err != nil {
--- a/cmd/heatherrail/status.go
+++ b/cmd/heatherrail/status.go
@@ -19,27 +19,27 @@
 	platformFlags
 	Explain string `long:"explain" value-name:"REQUEST-ID" description:"say why a request was placed where it was; needs a team key in HEATHERRAIL_TEAM_KEY"`
 	Args    struct {
-		What string `positional-arg-name:"maps" description:"maps: expert maps and the last plans of each rank group"`
+		View string `positional-arg-name:"maps" description:"maps: expert maps and the last plans of each rank group"`
 	} `positional-args:"yes"`
 }
 
 const statusMaps = "maps"
 
-var errStatusWhat = errors.New("status shows everything, or maps")
+var errStatusArgument = errors.New("status takes no argument, or maps")
 
-// writeMaps prints what the owners of the groups say.
+// writeMaps prints the map status that each owner of a group reports.
 func writeMaps(w io.Writer, answers []control.Answer) error {
-	planned := false
+	found := false
 	for _, a := range answers {
 		if a.Err != nil || a.Status.Maps == "" {
 			continue
 		}
-		planned = true
+		found = true
 		if _, err := fmt.Fprintf(w, "owner %s\n%s", a.VM.Name, a.Status.Maps); err != nil {
 			return fmt.Errorf("write status: %w", err)
 		}
 	}
-	if !planned {
+	if !found {
 		fmt.Fprintln(w, "no plan yet: an owner makes its first one after plan-every")
 	}
 	return nil
@@ -47,14 +47,14 @@
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	if c.Args.What != "" && c.Args.What != statusMaps {
-		return &exitError{exitUsage, errStatusWhat}
+	if c.Args.View != "" && c.Args.View != statusMaps {
+		return &exitError{exitUsage, errStatusArgument}
 	}
 	_, client, err := c.open()
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	if c.Explain != "" {
 		return explain(ctx, client.VMs, c.Explain)
@@ -63,14 +63,14 @@
 	if err != nil {
 		return err
 	}
-	if c.Args.What == statusMaps {
+	if c.Args.View == statusMaps {
 		return writeMaps(os.Stdout, answers)
 	}
 	return writeStatus(os.Stdout, answers)
 }
 
-// writeStatus prints versions, then leases and targets as the most up to date
-// entry sees them.
+// writeStatus prints the state of each process, then leases, targets and summaries as the
+// entry with the newest version reports them.
 func writeStatus(w io.Writer, answers []control.Answer) error {
 	newest := newestStatus(answers)
 	version := uint64(0)
@@ -94,6 +94,8 @@
 	return nil
 }
 
+// newestStatus returns the status of the entry with the newest version; nil if no entry
+// answered.
 func newestStatus(answers []control.Answer) *wire.StatusReply {
 	var best *wire.StatusReply
 	for _, a := range answers {
@@ -104,6 +106,8 @@
 	return best
 }
 
+// processRow returns the row of one process, with tabs between cells. version is the newest
+// version in force.
 func processRow(a *control.Answer, version uint64) string {
 	if a.Err != nil {
 		return fmt.Sprintf("%s\t%s\t%s\t-\t-\t-\tno answer: %v", a.VM.Name, a.VM.Role, a.VM.DataCentre, a.Err)
--- a/cmd/heatherrail/version.go
+++ b/cmd/heatherrail/version.go
@@ -6,7 +6,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// version is the release that this source leads to.
+// version is the next release.
 const version = "0.1.0-dev"
 
 type versionCommand struct{}
