--- a/demo/demo.go
+++ b/demo/demo.go
@@ -15,58 +15,62 @@
 	"github.com/heatherrail/heatherrail/examples"
 )
 
-// Run shows the whole path to w: it asks an entry for addresses, sends a streamed
-// drafting request and a log entry that may not be repeated, and prints what came
-// back.
+// Run demonstrates a running fleet and prints each step to w. It reads the addresses of the
+// entries, sends a streamed draft and a log entry that must not run twice, and shows an
+// expert map switch if a group plans often enough. It fails if a response is incomplete or
+// the log entry did not run exactly once.
 func Run(ctx context.Context, f *Fleet, w io.Writer) error {
-	p := &printer{w: w}
-	first := f.Entries[0].Addr()
-	var list entry.EntriesAnswer
-	if err := getJSON(ctx, "http://"+first+"/v1/entries", &list); err != nil {
+	p := &printer{out: w}
+	entryAddr := f.Entries[0].Addr()
+	var answer entry.EntriesAnswer
+	if err := getJSON(ctx, "http://"+entryAddr+"/v1/entries", &answer); err != nil {
 		return err
 	}
-	if len(list.Entries) == 0 {
-		return errors.New("the entry named no addresses")
+	if len(answer.Entries) == 0 {
+		return errors.New("the entry returned an empty list of entry addresses")
 	}
-	p.line("entries: %s (keep for %d s)", strings.Join(list.Entries, " "), list.Lifetime)
-	base := "http://" + list.Entries[0]
-	if err := draft(ctx, p, base, f); err != nil {
+	p.printf("entries: %s (keep for %d s)", strings.Join(answer.Entries, " "), answer.Lifetime)
+	base := "http://" + answer.Entries[0]
+	if err := showDraft(ctx, p, base, f); err != nil {
 		return fmt.Errorf("draft: %w", err)
 	}
-	if err := logEntry(ctx, p, base, f); err != nil {
+	if err := showLogEntry(ctx, p, base, f); err != nil {
 		return fmt.Errorf("log entry: %w", err)
 	}
 	if err := showSwitch(ctx, p, base, f); err != nil {
 		return err
 	}
-	p.line("counters:")
+	p.printf("counters:")
 	if err := f.Metrics.Write(p); err != nil {
 		return err
 	}
 	return p.err
 }
 
+// printer writes lines and keeps the first write error.
 type printer struct {
-	w   io.Writer
+	out io.Writer
 	err error
 }
 
-func (p *printer) line(format string, args ...any) {
+func (p *printer) printf(format string, args ...any) {
 	fmt.Fprintf(p, format+"\n", args...)
 }
 
-// Write implements io.Writer and keeps the first error.
+// Write implements io.Writer. After the first error it writes nothing and returns that error.
 func (p *printer) Write(b []byte) (int, error) {
 	if p.err != nil {
 		return 0, p.err
 	}
 	var n int
-	n, p.err = p.w.Write(b)
+	n, p.err = p.out.Write(b)
 	return n, p.err
 }
 
+// demoTeam is the team that sends the requests.
 const demoTeam = "kitchens-north"
 
+// post sends a JSON request with the key of demoTeam. It fails for any status but 200.
 func post(ctx context.Context, url, body string, headers map[string]string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -82,7 +86,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(resp.Body) // the status alone says enough if the body is cut
+		text, _ := io.ReadAll(resp.Body) // if the body is truncated, the status alone is reported
 		_ = resp.Body.Close()
 		return nil, fmt.Errorf("status %d: %s", resp.StatusCode, text)
 	}
@@ -92,8 +96,9 @@
 const draftBody = `{"model":"drafter","stream":true,"max_tokens":24,"messages":[` +
 	`{"role":"user","content":"Fridge 3 reads 9 degrees. Draft a corrective action."}]}`
 
-func draft(ctx context.Context, p *printer, base string, f *Fleet) error {
-	begin := time.Now()
+// showDraft sends a streamed draft and prints its text. It fails if the stream is incomplete.
+func showDraft(ctx context.Context, p *printer, base string, f *Fleet) error {
+	start := time.Now()
 	resp, err := post(ctx, base+"/v1/chat/completions", draftBody, nil)
 	if err != nil {
 		return err
@@ -104,16 +109,16 @@
 		return err
 	}
 	events := bytes.Count(text, []byte("data: "))
-	p.line("draft: request %s ran on %s: %d events in %d ms",
-		resp.Header.Get(entry.HeaderRequestID), resp.Header.Get(entry.HeaderTarget), events, time.Since(begin).Milliseconds())
-	p.line("  %s", streamedText(text))
+	p.printf("draft: request %s ran on %s: %d events in %d ms",
+		resp.Header.Get(entry.HeaderRequestID), resp.Header.Get(entry.HeaderTarget), events, time.Since(start).Milliseconds())
+	p.printf("  %s", streamedText(text))
 	if !bytes.HasSuffix(text, []byte("data: [DONE]\n\n")) {
-		return errors.New("the stream did not end as a whole answer does")
+		return errors.New("the stream ended without its [DONE] event")
 	}
 	return nil
 }
 
-// streamedText joins the tokens of a chat stream.
+// streamedText returns the concatenated tokens of a chat completion stream.
 func streamedText(stream []byte) string {
 	var b strings.Builder
 	for line := range bytes.SplitSeq(stream, []byte("\n")) {
@@ -131,7 +136,9 @@
 	return strings.TrimSpace(b.String())
 }
 
-func logEntry(ctx context.Context, p *printer, base string, f *Fleet) error {
+// showLogEntry sends a log entry that must not run twice. It fails unless the plain targets
+// ran exactly one request.
+func showLogEntry(ctx context.Context, p *printer, base string, f *Fleet) error {
 	headers := map[string]string{entry.HeaderRepeatable: "no", entry.HeaderKey: "opening-check-7"}
 	resp, err := post(ctx, base+"/v1/services/logbook/entries", `{"check":"fridge 3","degrees":9}`, headers)
 	if err != nil {
@@ -142,19 +149,19 @@
 	if err != nil {
 		return err
 	}
-	runs := 0
+	executions := 0
 	for _, plain := range f.Plains {
-		runs += len(plain.Runs())
+		executions += len(plain.Runs())
 	}
-	p.line("log entry: request %s ran on %s: %s", resp.Header.Get(entry.HeaderRequestID), resp.Header.Get(entry.HeaderTarget), text)
-	p.line("  entries written in all: %d", runs)
-	if runs != 1 {
-		return fmt.Errorf("the log entry ran %d times", runs)
+	p.printf("log entry: request %s ran on %s: %s", resp.Header.Get(entry.HeaderRequestID), resp.Header.Get(entry.HeaderTarget), text)
+	p.printf("  entries written in all: %d", executions)
+	if executions != 1 {
+		return fmt.Errorf("the log entry ran %d times, want 1", executions)
 	}
 	return nil
 }
 
-func getJSON(ctx context.Context, url string, into any) error {
+func getJSON(ctx context.Context, url string, result any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -164,5 +171,5 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(result)
 }
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -16,7 +16,8 @@
 	"github.com/heatherrail/heatherrail/examples"
 )
 
-func start(t *testing.T) (*demo.Fleet, context.Context) {
+// startFleet starts the fleet of an example with three entries and waits until it is ready.
+func startFleet(t *testing.T) (*demo.Fleet, context.Context) {
 	t.Helper()
 	g := NewWithT(t)
 	files, err := examples.Files(examples.Clarach)
@@ -38,19 +39,19 @@
 	return f, ctx
 }
 
-func TestWholePath(t *testing.T) {
+func TestRunShowsADraftAndExactlyOneLogEntry(t *testing.T) {
 	g := NewWithT(t)
-	f, ctx := start(t)
+	f, ctx := startFleet(t)
 	var out strings.Builder
 	g.Expect(demo.Run(ctx, f, &out)).To(Succeed())
 	g.Expect(out.String()).To(ContainSubstring("entries written in all: 1"))
 }
 
-// What --keep prints is enough to reach everything, and the control address that
-// it names changes the running system.
-func TestDescriptionAndControl(t *testing.T) {
+// The description that --keep prints lists every address and key, and requests to its
+// control address change the running system.
+func TestDescriptionListsAllAddressesAndControlChangesTheSystem(t *testing.T) {
 	g := NewWithT(t)
-	f, ctx := start(t)
+	f, ctx := startFleet(t)
 	var out strings.Builder
 	g.Expect(f.Describe().Write(&out)).To(Succeed())
 	g.Expect(strings.Count(out.String(), "\n")).To(Equal(1))
--- a/demo/description.go
+++ b/demo/description.go
@@ -9,7 +9,8 @@
 	"github.com/heatherrail/heatherrail/examples"
 )
 
-// Description is the one JSON line that tells a script where everything is.
+// Description holds the addresses and keys of a fleet. Write encodes it as one JSON line for
+// scripts.
 type Description struct {
 	Entries  []string            `json:"entries"`  // addresses for callers
 	Agents   map[string]string   `json:"agents"`   // address by target
@@ -17,21 +18,21 @@
 	Teams    map[string]string   `json:"teams"`    // key by team
 }
 
-// StandinsDescription says where the stand-ins are.
+// StandinsDescription holds the addresses of the stand-ins.
 type StandinsDescription struct {
-	Platform string               `json:"platform"` // log service and VM list
-	Control  string               `json:"control"`  // faults
-	Targets  map[string]TargetRow `json:"targets"`
+	Platform string                       `json:"platform"` // address of the log service and the VM list
+	Control  string                       `json:"control"`  // address that injects faults
+	Targets  map[string]TargetDescription `json:"targets"`
 }
 
-// TargetRow is what an agent's settings need to know of its target.
-type TargetRow struct {
+// TargetDescription holds the values that an agent's settings need for its target.
+type TargetDescription struct {
 	Address    string `json:"address"`
 	Kind       string `json:"kind"`
 	DataCentre string `json:"data_centre"`
 }
 
-// Describe returns the description of stand-ins without a system before them.
+// Describe returns the description of the stand-ins, without entries and agents.
 func (s *Standins) Describe() Description {
 	d := Description{
 		Entries: []string{},
@@ -39,12 +40,12 @@
 		Standins: StandinsDescription{
 			Platform: s.Platform,
 			Control:  s.ControlAddr,
-			Targets:  make(map[string]TargetRow, len(s.Targets)),
+			Targets:  make(map[string]TargetDescription, len(s.Targets)),
 		},
 		Teams: teamKeys(s.Config),
 	}
 	for _, t := range s.Config.Targets {
-		d.Standins.Targets[t.Name] = TargetRow{
+		d.Standins.Targets[t.Name] = TargetDescription{
 			Address:    s.Targets[t.Name].Server.Addr,
 			Kind:       s.Kind(t),
 			DataCentre: t.DataCentre,
@@ -53,7 +54,7 @@
 	return d
 }
 
-// teamKeys returns the demo keys of the teams that use them.
+// teamKeys returns the demo key of each team whose configuration has the hash of that key.
 func teamKeys(c *config.Config) map[string]string {
 	keys := make(map[string]string, len(c.Teams))
 	for _, t := range c.Teams {
@@ -67,7 +68,7 @@
 	return keys
 }
 
-// Describe returns the description of a whole fleet.
+// Describe returns the description of the fleet: entries, agents and stand-ins.
 func (f *Fleet) Describe() Description {
 	d := f.Standins.Describe()
 	for _, e := range f.Entries {
@@ -81,7 +82,7 @@
 	return d
 }
 
-// Write writes the description as one JSON line.
+// Write writes the description to w as one JSON line.
 func (d Description) Write(w io.Writer) error {
 	if err := json.NewEncoder(w).Encode(d); err != nil {
 		return fmt.Errorf("describe: %w", err)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -1,5 +1,5 @@
-// Package demo starts a whole small system in one process: stand-ins, agents and
-// entries on loopback ports chosen by the operating system.
+// Package demo starts a complete small system in one process: stand-ins, agents and
+// entries, each on a loopback port that the operating system chooses.
 package demo
 
 import (
@@ -20,27 +20,27 @@
 	"github.com/heatherrail/heatherrail/settings"
 )
 
-// Options of a fleet.
+// Options configure a fleet.
 type Options struct {
 	Config     *config.Config
-	Entries    int
-	StepTime   time.Duration
-	AnswerLife time.Duration
-	Arrival    time.Duration // of a request; zero: the entry's default
+	Entries    int           // number of entries
+	StepTime   time.Duration // duration of one engine step
+	AnswerLife time.Duration // TTL of the list of entries that callers read
+	Arrival    time.Duration // timeout for receiving a whole request; zero: the entry's default
 	Logger     logr.Logger
 }
 
-// Fleet is a running system. All of its parts are stopped by Close.
+// Fleet is a running system. Close stops all of its parts.
 type Fleet struct {
 	*Standins
 	Entries []*entry.Entry
 	Metrics *metrics.Set
 
-	opts    Options
-	mu      sync.Mutex
-	Agents  map[string]*agent.Agent // by target; the control address may replace some
-	vms     map[string]outside.VM   // of the agents, by target
-	nextInc uint64
+	opts         Options
+	mu           sync.Mutex
+	Agents       map[string]*agent.Agent // by target; requests to the control address may replace agents
+	agentVMs     map[string]outside.VM   // VMs of the agents, by target
+	incarnations uint64
 }
 
 const (
@@ -48,7 +48,7 @@
 	maxCallers = 8192
 )
 
-// Start brings everything up and applies the configuration.
+// Start starts stand-ins, agents and entries, and applies the configuration.
 func Start(o Options) (*Fleet, error) {
 	standins, err := StartStandins(o.Config, o.StepTime)
 	if err != nil {
@@ -59,7 +59,7 @@
 		Metrics:  metrics.New(),
 		opts:     o,
 		Agents:   make(map[string]*agent.Agent),
-		vms:      make(map[string]outside.VM),
+		agentVMs: make(map[string]outside.VM),
 	}
 	if err := f.start(); err != nil {
 		f.Close()
@@ -83,13 +83,14 @@
 	return f.Apply()
 }
 
-func (f *Fleet) incarnation() uint64 {
-	f.nextInc++
-	return uint64(time.Now().UnixNano()) + f.nextInc
+// nextIncarnation returns a process incarnation that is greater than all earlier ones.
+func (f *Fleet) nextIncarnation() uint64 {
+	f.incarnations++
+	return uint64(time.Now().UnixNano()) + f.incarnations
 }
 
-// startAgent starts the agent of a target on a VM of its own; it replaces an
-// earlier VM of the target.
+// startAgent starts the agent of a target on a new VM and removes the previous VM of the
+// target from the VM list.
 func (f *Fleet) startAgent(t config.Target) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,21 +104,21 @@
 			Listen:     loopback,
 			Backend:    addr,
 			Kind:       f.Kind(t),
-			Queue:      4 * maxRunning,
-			Slots:      maxRunning,
+			Queue:      4 * engineSlots,
+			Slots:      engineSlots,
 		},
 		Backend:     backend,
 		Logger:      f.opts.Logger,
 		Metrics:     f.Metrics,
-		Incarnation: f.incarnation(),
+		Incarnation: f.nextIncarnation(),
 		Log:         &outside.HTTPLog{Addr: f.Platform},
 	})
 	if err != nil {
 		return fmt.Errorf("start agent: %w", err)
 	}
-	f.VMs.Remove(f.vms[t.Name].ID)
+	f.VMs.Remove(f.agentVMs[t.Name].ID)
 	f.Agents[t.Name] = a
-	f.vms[t.Name] = outside.VM{
+	f.agentVMs[t.Name] = outside.VM{
 		ID:         ulid.Make().String(),
 		Name:       t.Name,
 		Role:       outside.RoleTarget,
@@ -125,23 +126,23 @@
 		DataCentre: t.DataCentre,
 		State:      outside.StateLive,
 	}
-	f.VMs.Put(f.vms[t.Name])
+	f.VMs.Put(f.agentVMs[t.Name])
 	return nil
 }
 
-// Agent returns the agent of a target, nil if there is none.
+// Agent returns the agent of a target, or nil if there is none.
 func (f *Fleet) Agent(target string) *agent.Agent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Agents[target]
 }
 
-// controlAgent lets scenarios kill, replace and drain the agents of this process.
+// controlAgent handles requests to kill, restart or drain an agent of this process.
 func (f *Fleet) controlAgent(r *http.Request) (any, error) {
 	name := r.PathValue("name")
 	a := f.Agent(name)
 	if a == nil {
-		return nil, errNoTarget
+		return nil, errUnknownTarget
 	}
 	switch r.PathValue("action") {
 	case "kill":
@@ -151,12 +152,12 @@
 	case "restart":
 		return struct{}{}, f.RestartAgent(name)
 	default:
-		return nil, fmt.Errorf("want kill, drain or restart")
+		return nil, fmt.Errorf("unknown action: want kill, drain or restart")
 	}
 	return struct{}{}, nil
 }
 
-// RestartAgent kills the agent of a target and starts another one on a new VM.
+// RestartAgent closes the agent of a target and starts another one on a new VM.
 func (f *Fleet) RestartAgent(target string) error {
 	if a := f.Agent(target); a != nil {
 		a.Close()
@@ -166,7 +167,7 @@
 			return f.startAgent(t)
 		}
 	}
-	return errNoTarget
+	return errUnknownTarget
 }
 
 func (f *Fleet) startEntry(i int) error {
@@ -187,7 +188,7 @@
 		VMs:         &outside.HTTPVMList{Addr: f.Platform},
 		Logger:      f.opts.Logger,
 		Metrics:     f.Metrics,
-		Incarnation: f.incarnation(),
+		Incarnation: f.nextIncarnation(),
 	})
 	if err != nil {
 		return fmt.Errorf("start entry: %w", err)
@@ -205,11 +206,11 @@
 	return nil
 }
 
-// WaitReady returns when every entry has the configuration and every target can
-// be reached through it.
+// WaitReady waits until every entry is ready and connected to every target. It fails when ctx
+// ends first.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for {
-		if f.ready() {
+		if f.isReady() {
 			return nil
 		}
 		select {
@@ -220,7 +221,7 @@
 	}
 }
 
-func (f *Fleet) ready() bool {
+func (f *Fleet) isReady() bool {
 	for _, e := range f.Entries {
 		if !e.Ready() || e.Linked() < len(f.Config.Targets) {
 			return false
@@ -229,7 +230,7 @@
 	return true
 }
 
-// Close stops all parts.
+// Close stops entries, agents and stand-ins.
 func (f *Fleet) Close() {
 	for _, e := range f.Entries {
 		e.Close()
--- a/demo/hosted/callers.go
+++ b/demo/hosted/callers.go
@@ -15,72 +15,73 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// What callers do, and what they expect.
+// Request rates, timeouts and objectives of the callers.
 const (
-	draftEvery  = 60 * time.Millisecond
-	logEvery    = 120 * time.Millisecond
-	draftWait   = 8 * time.Second
-	logWait     = 4 * time.Second
-	firstAim    = 500 * time.Millisecond
-	pauseAim    = 120 * time.Millisecond
-	directEvery = 500 * time.Millisecond // how long callers keep an answer of the directory
-	callerTries = 3
+	draftInterval       = 60 * time.Millisecond
+	logInterval         = 120 * time.Millisecond
+	draftTimeout        = 8 * time.Second
+	logTimeout          = 4 * time.Second
+	firstEventObjective = 500 * time.Millisecond
+	eventGapObjective   = 120 * time.Millisecond
+	directoryTTL        = 500 * time.Millisecond // how long callers use a directory answer
+	maxAttempts         = 3
 )
 
-// callers send requests until they are stopped, and keep count.
-type callers struct {
-	f         *Fleet
+// loadGenerator sends streams and log entries as callers do, and counts the results.
+type loadGenerator struct {
+	fleet     *Fleet
 	transport http.Transport
 	tasks     sync.WaitGroup
 
-	mu        sync.Mutex
-	addresses []string
-	asked     time.Time
-	sent      int
-	tally     tally
+	mu              sync.Mutex
+	addresses       []string
+	directoryReadAt time.Time
+	requestCount    int
+	stats           callerStats
 }
 
-// tally is what callers got.
-type tally struct {
-	Drafts, DraftsInTime, DraftsWhole int
-	Logs, LogsAnswered                int
-	Again                             int           // requests that were sent again, to another entry
-	LongestPause                      time.Duration // between two events of a stream, since it was taken last
+// callerStats counts the requests of callers by result.
+type callerStats struct {
+	Drafts, DraftsInTime, DraftsComplete int
+	Logs, LogsAnswered                   int
+	Retries                              int           // attempts after the first, each at another entry
+	LongestGap                           time.Duration // between two events of a stream, since the latest takeStats
 }
 
-func newCallers(f *Fleet) *callers {
-	return &callers{f: f, transport: http.Transport{DisableKeepAlives: true}}
+func newLoadGenerator(f *Fleet) *loadGenerator {
+	return &loadGenerator{fleet: f, transport: http.Transport{DisableKeepAlives: true}}
 }
 
-// run sends drafts and log entries until ctx ends, and waits for the last answers.
-func (c *callers) run(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { c.every(ctx, draftEvery, c.draft) })
-	both.Go(func() { c.every(ctx, logEvery, c.log) })
-	both.Wait()
-	c.tasks.Wait()
+// run sends drafts and log entries until ctx ends, and returns after the last response.
+func (l *loadGenerator) run(ctx context.Context) {
+	var senders sync.WaitGroup
+	senders.Go(func() { l.sendEvery(ctx, draftInterval, l.sendDraft) })
+	senders.Go(func() { l.sendEvery(ctx, logInterval, l.sendLogEntry) })
+	senders.Wait()
+	l.tasks.Wait()
 }
 
-func (c *callers) every(ctx context.Context, pause time.Duration, send func(id string)) {
-	for sleep(ctx, pause) {
-		c.mu.Lock()
-		c.sent++
-		id := "request-" + number(c.sent)
-		c.mu.Unlock()
-		c.tasks.Go(func() { send(id) })
+// sendEvery calls send with a new request id every interval until ctx ends.
+func (l *loadGenerator) sendEvery(ctx context.Context, interval time.Duration, send func(id string)) {
+	for sleep(ctx, interval) {
+		l.mu.Lock()
+		l.requestCount++
+		id := "request-" + decimal(l.requestCount)
+		l.mu.Unlock()
+		l.tasks.Go(func() { send(id) })
 	}
 }
 
-// entry returns the address to connect to, as the directory tells; it is asked again now
-// and then. Callers leave out addresses that have failed them.
-func (c *callers) entry(failed []string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.asked) > directEvery {
-		c.addresses, c.asked = c.f.directory(), now
+// pickEntry returns a random entry address from the directory, which is read again after
+// directoryTTL. Addresses in failed are left out. It returns "" if none remains.
+func (l *loadGenerator) pickEntry(failed []string) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now := time.Now(); now.Sub(l.directoryReadAt) > directoryTTL {
+		l.addresses, l.directoryReadAt = l.fleet.directoryAddresses(), now
 	}
 	var usable []string
-	for _, address := range c.addresses {
+	for _, address := range l.addresses {
 		if !slices.Contains(failed, address) {
 			usable = append(usable, address)
 		}
@@ -91,22 +92,22 @@
 	return usable[rand.IntN(len(usable))]
 }
 
-// log sends a log entry, which may run once at most. It is sent again only where no
-// connection came about.
-func (c *callers) log(id string) {
+// sendLogEntry sends a log entry, which must not run twice. It retries, with a new request
+// id, only if the attempt got no response status.
+func (l *loadGenerator) sendLogEntry(id string) {
 	answered := false
 	var failed []string
-	for try := range callerTries {
-		address := c.entry(failed)
-		a := standin.Send(&c.transport, address, standin.Request{Host: host, Path: "/log/entry", ID: fmt.Sprintf("%s-%d", id, try), Key: key, Timeout: logWait})
-		answered = a.Status == http.StatusOK && a.Complete
-		if a.Status != 0 || answered {
+	for attempt := range maxAttempts {
+		address := l.pickEntry(failed)
+		response := standin.Send(&l.transport, address, standin.Request{Host: host, Path: "/log/entry", ID: fmt.Sprintf("%s-%d", id, attempt), Key: key, Timeout: logTimeout})
+		answered = response.Status == http.StatusOK && response.Complete
+		if response.Status != 0 || answered {
 			break
 		}
 		failed = append(failed, address)
-		c.count(func(t *tally) { t.Again++ })
+		l.updateStats(func(t *callerStats) { t.Retries++ })
 	}
-	c.count(func(t *tally) {
+	l.updateStats(func(t *callerStats) {
 		t.Logs++
 		if answered {
 			t.LogsAnswered++
@@ -114,54 +115,55 @@
 	})
 }
 
-// draft sends a stream, and again from the start if it breaks off.
-func (c *callers) draft(id string) {
-	begun := time.Now()
-	var s streamSeen
+// sendDraft requests a stream, and retries it from the start if it is incomplete.
+func (l *loadGenerator) sendDraft(id string) {
+	start := time.Now()
+	var result streamResult
 	var failed []string
-	for try := range callerTries {
-		address := c.entry(failed)
-		s = c.stream(address, fmt.Sprintf("%s-%d", id, try))
-		if s.whole {
+	for attempt := range maxAttempts {
+		address := l.pickEntry(failed)
+		result = l.readStream(address, fmt.Sprintf("%s-%d", id, attempt))
+		if result.complete {
 			break
 		}
 		failed = append(failed, address)
-		c.count(func(t *tally) { t.Again++ })
+		l.updateStats(func(t *callerStats) { t.Retries++ })
 	}
-	c.count(func(t *tally) {
+	l.updateStats(func(t *callerStats) {
 		t.Drafts++
-		t.LongestPause = max(t.LongestPause, s.longest)
-		if s.whole {
-			t.DraftsWhole++
+		t.LongestGap = max(t.LongestGap, result.longestGap)
+		if result.complete {
+			t.DraftsComplete++
 		}
-		if s.whole && s.first.Sub(begun) <= firstAim && s.longest <= pauseAim {
+		if result.complete && result.firstEvent.Sub(start) <= firstEventObjective && result.longestGap <= eventGapObjective {
 			t.DraftsInTime++
 		}
 	})
 }
 
-// streamSeen is what a caller sees of a stream.
-type streamSeen struct {
-	first   time.Time
-	longest time.Duration // pause between two events
-	whole   bool
+// streamResult is one attempt at a stream as its caller sees it.
+type streamResult struct {
+	firstEvent time.Time
+	longestGap time.Duration // between two events
+	complete   bool
 }
 
-func (c *callers) stream(address, id string) (s streamSeen) {
-	ctx, cancel := context.WithTimeout(context.Background(), draftWait)
+// readStream requests a stream from an entry and reads its events.
+func (l *loadGenerator) readStream(address, id string) (result streamResult) {
+	ctx, cancel := context.WithTimeout(context.Background(), draftTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/draft/one", strings.NewReader("a draft"))
 	if err != nil {
-		return s
+		return result
 	}
 	req.Host = host
 	req.Header.Set("X-Request-Id", id)
-	req.Header.Set("X-Deadline-Ms", number(int(draftWait.Milliseconds())))
+	req.Header.Set("X-Deadline-Ms", decimal(int(draftTimeout.Milliseconds())))
 	req.Header.Set("X-Key", key)
 	req.Header.Set("X-Token-Count", "100,64")
-	resp, err := c.transport.RoundTrip(req)
+	resp, err := l.transport.RoundTrip(req)
 	if err != nil {
-		return s
+		return result
 	}
 	defer resp.Body.Close()
 	var last time.Time
@@ -173,48 +175,49 @@
 		}
 		now := time.Now()
 		if events == 0 {
-			s.first = now
+			result.firstEvent = now
 		} else {
-			s.longest = max(s.longest, now.Sub(last))
+			result.longestGap = max(result.longestGap, now.Sub(last))
 		}
 		last = now
 		events++
 	}
-	s.whole = lines.Err() == nil && events == shape.Events
-	return s
+	result.complete = lines.Err() == nil && events == groupConfig.Events
+	return result
 }
 
-func (c *callers) count(change func(*tally)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	change(&c.tally)
+// updateStats calls update on the counts while it holds the lock.
+func (l *loadGenerator) updateStats(update func(*callerStats)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	update(&l.stats)
 }
 
-// take returns the tally so far, and begins a new longest pause.
-func (c *callers) take() tally {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	t := c.tally
-	c.tally.LongestPause = 0
+// takeStats returns the counts so far and resets LongestGap.
+func (l *loadGenerator) takeStats() callerStats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.stats
+	l.stats.LongestGap = 0
 	return t
 }
 
-// served tells whether an entry answers a request on the route that is added.
-func (c *callers) served(vm *entryVM) bool {
-	c.mu.Lock()
-	c.sent++
-	id := "added-" + number(c.sent)
-	c.mu.Unlock()
-	a := standin.Send(&c.transport, vm.callers, standin.Request{Host: host, Path: addedPath, ID: id, Key: key, Timeout: logWait})
-	return a.Status == http.StatusOK
+// servesAddedRoute reports whether an entry answers a request on the added route with 200.
+func (l *loadGenerator) servesAddedRoute(vm *entryVM) bool {
+	l.mu.Lock()
+	l.requestCount++
+	id := "added-" + decimal(l.requestCount)
+	l.mu.Unlock()
+	response := standin.Send(&l.transport, vm.callerAddr, standin.Request{Host: host, Path: addedRoutePath, ID: id, Key: key, Timeout: logTimeout})
+	return response.Status == http.StatusOK
 }
 
-// reachable tells whether anybody listens at an address.
-func reachable(address string) bool {
+// isReachable reports whether a TCP connection to address succeeds within a second.
+func isReachable(address string) bool {
 	nc, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
 	}
-	_ = nc.Close() // nothing was sent
+	_ = nc.Close() // nothing was sent on it
 	return true
 }
--- a/demo/hosted/evacuate_test.go
+++ b/demo/hosted/evacuate_test.go
@@ -7,31 +7,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// ranAt returns how many requests have run at a plain target.
-func (r *runs) ranAt(target string) int {
+// countAt returns how many requests a plain target has executed.
+func (r *executionCounts) countAt(target string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byTarget[target]
 }
 
-// Guards against an order to evacuate, in the platform's words, that an entry does not keep, one
-// that starts while it is in force among them, and against targets that get no work after it.
+// Guards against an entry, also one that starts during the evacuation, that sends work to an
+// evacuated zone, and against targets that get no work after the evacuation has ended.
 func TestAnEvacuatedZoneGetsNoWorkFromAnyEntry(t *testing.T) {
 	g := NewWithT(t)
-	f, c, end := startWithCallers(t)
-	away := f.plain[1].ID
-	g.Eventually(func() int { return f.books.ranAt(away) }, "5s", "20ms").Should(BeNumerically(">", 0))
+	f, load, end := startWithLoad(t)
+	evacuated := f.plainTargets[1].ID
+	g.Eventually(func() int { return f.executions.countAt(evacuated) }, "5s", "20ms").Should(BeNumerically(">", 0))
 
-	f.store.Evacuate(plainZones[1], true)
-	time.Sleep(configApply)
-	ran := f.books.ranAt(away)
-	g.Expect(f.startEntry(entryVMs)).To(Succeed())
-	time.Sleep(configApply)
-	g.Expect(f.books.ranAt(away)).To(Equal(ran))
+	f.store.Evacuate(plainTargetZones[1], true)
+	time.Sleep(configApplyTimeout)
+	executed := f.executions.countAt(evacuated)
+	g.Expect(f.startEntry(entryCount)).To(Succeed())
+	time.Sleep(configApplyTimeout)
+	g.Expect(f.executions.countAt(evacuated)).To(Equal(executed))
 
-	f.store.Evacuate(plainZones[1], false)
-	g.Eventually(func() int { return f.books.ranAt(away) }, "5s", "20ms").Should(BeNumerically(">", ran))
+	f.store.Evacuate(plainTargetZones[1], false)
+	g.Eventually(func() int { return f.executions.countAt(evacuated) }, "5s", "20ms").Should(BeNumerically(">", executed))
 	end()
-	tally := c.take()
-	g.Expect(tally.LogsAnswered).To(Equal(tally.Logs), "the other target has room")
+	stats := load.takeStats()
+	g.Expect(stats.LogsAnswered).To(Equal(stats.Logs), "the target outside the evacuated zone has capacity for all log entries")
 }
--- a/demo/hosted/fleet.go
+++ b/demo/hosted/fleet.go
@@ -1,6 +1,7 @@
-// Package hosted is a whole small system of the programs that run on the users' machines, in
-// one process: entries, agents beside a group of lock-step engines, plain services, and a
-// stand-in of the platform's store. Each VM has a loopback address of its own.
+// Package hosted runs a complete small system of the hosted deployment in one process: the
+// programs of the users' machines (entries, and agents next to a group of lock-step engines),
+// plain services, and a stand-in for the platform's store. Each VM has its own loopback
+// address.
 package hosted
 
 import (
@@ -23,12 +24,12 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Sizes of the system.
+// Sizes and settings of the system.
 const (
-	entryVMs  = 3
-	rankVMs   = 6
-	plainVMs  = 2
-	firstHost = 10 // the last number of the first VM's address
+	entryCount       = 3
+	rankCount        = 6
+	plainTargetCount = 2
+	hostNumberBase   = 10 // the n-th VM has the address 127.0.0.(hostNumberBase+n), n from 1
 
 	draftService = "drafter"
 	plainService = "logbook"
@@ -36,74 +37,75 @@
 	team         = "kitchens-north"
 	key          = "demo-key-of-kitchens-north"
 
-	targetBeat  = 400 * time.Millisecond
-	configApply = 2 * time.Second
-	drain       = 2 * time.Second
-	lifetimeMax = time.Second
-	grace       = 5 * time.Second
+	targetHeartbeatInterval = 400 * time.Millisecond
+	configApplyTimeout      = 2 * time.Second
+	drainTimeout            = 2 * time.Second
+	maxDirectoryTTL         = time.Second
+	shutdownGrace           = 5 * time.Second
 )
 
-// plainZones are where the plain targets are, none of them near an entry.
-var plainZones = [plainVMs]string{"x", "y"}
+// plainTargetZones are the zones of the plain targets. No entry is in one of them.
+var plainTargetZones = [plainTargetCount]string{"x", "y"}
 
-var shape = standin.GroupConfig{
-	Ranks: rankVMs, Sets: 2, Experts: 24, Places: 6, Slots: 10,
+var groupConfig = standin.GroupConfig{
+	Ranks: rankCount, Sets: 2, Experts: 24, Places: 6, Slots: 10,
 	BasePass: 20 * time.Millisecond, PassPerStream: 4 * time.Millisecond, CopyTime: 15 * time.Millisecond, Events: 16,
 }
 
 // Fleet is a running system.
 type Fleet struct {
-	log     logr.Logger
-	store   *standin.Store
-	address string // of the store
-	group   *standin.Group
-	mu      sync.Mutex // guards entries while callers ask which there are
-	entries []*entryVM
-	agents  []*lockstep.Agent
-	plain   []*standin.Target
-	books   runs
+	log          logr.Logger
+	store        *standin.Store
+	storeAddr    string
+	engineGroup  *standin.Group
+	mu           sync.Mutex // guards entries, which callers read while entries start and crash
+	entries      []*entryVM
+	agents       []*lockstep.Agent
+	plainTargets []*standin.Target
+	executions   executionCounts
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  conc.WaitGroup
-	vms    int
-	port   string // of agents, the same on every VM
+	ctx       context.Context
+	cancel    context.CancelFunc
+	tasks     conc.WaitGroup
+	hostCount int
+	agentPort string // peer port of the agents, the same on every VM
 }
 
 type entryVM struct {
-	name    string
-	callers string
-	gateway *gateway.Gateway
-	down    bool
+	name       string
+	callerAddr string
+	gateway    *gateway.Gateway
+	crashed    bool
 }
 
-// runs counts how often plain targets have run each request.
-type runs struct {
+// executionCounts counts executions at plain targets, by request and by target.
+type executionCounts struct {
 	mu       sync.Mutex
 	byID     map[string]int
 	byTarget map[string]int
 }
 
-func (r *runs) note(run standin.Execution) {
+func (r *executionCounts) record(run standin.Execution) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.byID[run.Request]++
 	r.byTarget[run.Target]++
 }
 
-// most returns how many requests ran, and the most runs of one.
-func (r *runs) most() (requests, most int) {
+// totals returns the number of requests that ran, and the highest number of executions of
+// one request.
+func (r *executionCounts) totals() (requests, maxExecutions int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.byID {
-		most = max(most, n)
+		maxExecutions = max(maxExecutions, n)
 	}
-	return len(r.byID), most
+	return len(r.byID), maxExecutions
 }
 
-// Start starts a system.
+// Start starts a system. Close must be called to stop it.
 func Start(log logr.Logger) (*Fleet, error) {
-	f := &Fleet{log: log, store: standin.NewStore(), group: standin.NewGroup(shape), books: runs{byID: make(map[string]int), byTarget: make(map[string]int)}}
+	f := &Fleet{log: log, store: standin.NewStore(), engineGroup: standin.NewGroup(groupConfig), executions: executionCounts{byID: make(map[string]int), byTarget: make(map[string]int)}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	if err := f.start(); err != nil {
 		f.Close()
@@ -114,15 +116,15 @@
 
 func (f *Fleet) start() error {
 	var err error
-	if f.address, err = f.serve("127.0.0.1:0", f.store); err != nil {
+	if f.storeAddr, err = f.serve("127.0.0.1:0", f.store); err != nil {
 		return err
 	}
 	f.store.PutConfig(f.config(1))
 	if err := f.startTargets(); err != nil {
 		return err
 	}
-	f.tasks.Go(func() { f.group.Run(f.ctx) })
-	for n := range entryVMs {
+	f.tasks.Go(func() { f.engineGroup.Run(f.ctx) })
+	for n := range entryCount {
 		if err := f.startEntry(n); err != nil {
 			return err
 		}
@@ -130,10 +132,10 @@
 	return nil
 }
 
-// nextHost returns the loopback address of another VM.
+// nextHost returns the loopback address of a new VM.
 func (f *Fleet) nextHost() string {
-	f.vms++
-	return fmt.Sprintf("127.0.0.%d", firstHost+f.vms)
+	f.hostCount++
+	return fmt.Sprintf("127.0.0.%d", hostNumberBase+f.hostCount)
 }
 
 // serve serves HTTP at an address until the fleet is closed.
@@ -143,28 +145,28 @@
 		return "", err
 	}
 	s := &http.Server{Handler: h}
-	f.tasks.Go(func() { f.logEnd(s.Serve(ln)) })
+	f.tasks.Go(func() { f.logServeError(s.Serve(ln)) })
 	f.tasks.Go(func() {
 		<-f.ctx.Done()
-		f.logEnd(s.Close())
+		f.logServeError(s.Close())
 	})
 	return ln.Addr().String(), nil
 }
 
-func (f *Fleet) logEnd(err error) {
+func (f *Fleet) logServeError(err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		f.log.Error(err, "stand-in ended")
+		f.log.Error(err, "stand-in server failed")
 	}
 }
 
 func (f *Fleet) startTargets() error {
 	var engines []string
-	for _, e := range f.group.Engines() {
+	for _, e := range f.engineGroup.Engines() {
 		address, err := f.serve(f.nextHost()+":0", e)
 		if err != nil {
 			return err
 		}
-		f.announce(e.ID, standin.TargetRecord{Service: draftService, Address: address})
+		f.publishTarget(e.ID, standin.TargetRecord{Service: draftService, Address: address})
 		engines = append(engines, address)
 	}
 	for n, address := range engines {
@@ -172,43 +174,44 @@
 			return err
 		}
 	}
-	for n := range plainVMs {
+	for n := range plainTargetCount {
 		id := fmt.Sprintf("logbook-%d", n)
-		target := standin.NewTarget(id, uint64(n), f.books.note)
-		f.plain = append(f.plain, target)
+		target := standin.NewTarget(id, uint64(n), f.executions.record)
+		f.plainTargets = append(f.plainTargets, target)
 		address, err := f.serve(f.nextHost()+":0", target)
 		if err != nil {
 			return err
 		}
-		f.announce(id, standin.TargetRecord{Service: plainService, Address: address, Zone: plainZones[n]})
+		f.publishTarget(id, standin.TargetRecord{Service: plainService, Address: address, Zone: plainTargetZones[n]})
 	}
 	return nil
 }
 
-// announce writes a target's records to the store until the fleet is closed.
-func (f *Fleet) announce(id string, record standin.TargetRecord) {
+// publishTarget writes a heartbeat record of a target to the store every
+// targetHeartbeatInterval until the fleet is closed.
+func (f *Fleet) publishTarget(id string, record standin.TargetRecord) {
 	record.Sequence = 1
 	f.store.PutTarget(id, record.Fields())
 	f.tasks.Go(func() {
-		for sleep(f.ctx, targetBeat) {
+		for sleep(f.ctx, targetHeartbeatInterval) {
 			record.Sequence++
 			f.store.PutTarget(id, record.Fields())
 		}
 	})
 }
 
-// startAgent starts the agent beside an engine.
+// startAgent starts the agent of an engine, on the IP address of the engine.
 func (f *Fleet) startAgent(n int, engine string) error {
 	ip, _, err := net.SplitHostPort(engine)
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", net.JoinHostPort(ip, f.port))
+	ln, err := net.Listen("tcp", net.JoinHostPort(ip, f.agentPort))
 	if err != nil {
 		return err
 	}
-	if f.port == "" {
-		_, f.port, _ = net.SplitHostPort(ln.Addr().String()) // of a listener, always well formed
+	if f.agentPort == "" {
+		_, f.agentPort, _ = net.SplitHostPort(ln.Addr().String()) // the address of a listener is always valid
 	}
 	f.agents = append(f.agents, lockstep.Start(lockstep.Options{
 		VM:              fmt.Sprintf("rank-%d", n),
@@ -216,8 +219,8 @@
 		EngineAddr:      engine,
 		Service:         draftService,
 		PeerAddr:        ln.Addr().String(),
-		PeerPort:        f.port,
-		Store:           platform.NewStore(f.address),
+		PeerPort:        f.agentPort,
+		Store:           platform.NewStore(f.storeAddr),
 		NewRemoteEngine: func(address string) lockstep.Engine { return platform.NewEngine(address) },
 		Dial:            lockstep.DialPeer,
 		DecodeTarget:    platform.DecodeTarget,
@@ -238,25 +241,25 @@
 	if err != nil {
 		return errors.Join(err, callers.Close())
 	}
-	vm := &entryVM{name: fmt.Sprintf("entry-%d", n), callers: callers.Addr().String()}
+	vm := &entryVM{name: fmt.Sprintf("entry-%d", n), callerAddr: callers.Addr().String()}
 	vm.gateway = gateway.Start(gateway.Options{
 		Name:                    vm.name,
 		Incarnation:             uint64(time.Now().UnixNano()),
 		DataCentre:              "z",
-		CallerAddr:              vm.callers,
+		CallerAddr:              vm.callerAddr,
 		PeerAddr:                peers.Addr().String(),
 		Headers:                 platform.HeaderNames(),
-		Store:                   platform.NewStore(f.address),
+		Store:                   platform.NewStore(f.storeAddr),
 		DecodeConfig:            platform.DecodeConfigRecord,
 		DecodeEvacuation:        platform.DecodeEvacuation,
 		DecodeTarget:            platform.DecodeTarget,
-		DrainTimeout:            drain,
-		ConfigApplyTimeout:      configApply,
-		TargetHeartbeatInterval: targetBeat,
-		ShutdownGrace:           grace,
-		MaxDirectoryTTL:         lifetimeMax,
+		DrainTimeout:            drainTimeout,
+		ConfigApplyTimeout:      configApplyTimeout,
+		TargetHeartbeatInterval: targetHeartbeatInterval,
+		ShutdownGrace:           shutdownGrace,
+		MaxDirectoryTTL:         maxDirectoryTTL,
 		RetryBudget:             gateway.RetryBudget{Ratio: 0.2, Slack: 90, Window: 10 * time.Second},
-		AgentPort:               f.port,
+		AgentPort:               f.agentPort,
 		Log:                     f.log,
 		Metrics:                 metrics.New(),
 	}, callers, peers)
@@ -266,66 +269,66 @@
 	return nil
 }
 
-// config returns the configuration of a version; from the second on there is a route more.
+// config returns a version of the configuration. Versions above 1 have an additional route.
 func (f *Fleet) config(version int) map[string]any {
 	routes := []standin.Route{
 		{Name: "draft", Host: host, Prefix: "/draft/", Kind: standin.KindStream, Service: draftService, TimeoutMS: 8000},
 		{Name: "log", Host: host, Prefix: "/log/", Kind: standin.KindNonIdempotent, Service: plainService, TimeoutMS: 4000},
 	}
 	if version > 1 {
-		routes = append(routes, standin.Route{Name: "added", Host: host, Prefix: addedPath, Kind: standin.KindIdempotent, Service: plainService, TimeoutMS: 4000})
+		routes = append(routes, standin.Route{Name: "added", Host: host, Prefix: addedRoutePath, Kind: standin.KindIdempotent, Service: plainService, TimeoutMS: 4000})
 	}
 	c := standin.Config(version, team, key, []string{plainService}, routes)
-	c["services"] = append(c["services"].([]any), f.group.Service(draftService))
+	c["services"] = append(c["services"].([]any), f.engineGroup.Service(draftService))
 	return c
 }
 
-// addedPath is that of the route that a configuration adds while the system runs.
-const addedPath = "/added/"
+// addedRoutePath is the path of the route that the second version of the configuration adds.
+const addedRoutePath = "/added/"
 
-// kill ends an entry as a crash would.
-func (f *Fleet) kill(n int) {
+// crashEntry aborts an entry without a shutdown, as a crash does.
+func (f *Fleet) crashEntry(n int) {
 	f.mu.Lock()
 	vm := f.entries[n]
-	vm.down = true
+	vm.crashed = true
 	f.mu.Unlock()
 	vm.gateway.Abort()
 }
 
-// alive returns an entry that was not killed.
-func (f *Fleet) alive(n int) *entryVM {
+// aliveEntry returns the first entry from index n on that has not crashed.
+func (f *Fleet) aliveEntry(n int) *entryVM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.entries {
-		if vm := f.entries[(n+i)%len(f.entries)]; !vm.down {
+		if vm := f.entries[(n+i)%len(f.entries)]; !vm.crashed {
 			return vm
 		}
 	}
 	return f.entries[n%len(f.entries)]
 }
 
-// directory returns the addresses that a living entry tells callers.
-func (f *Fleet) directory() []string {
-	return f.alive(0).gateway.Entries("z").Addresses
+// directoryAddresses returns the entry addresses that an alive entry serves to callers.
+func (f *Fleet) directoryAddresses() []string {
+	return f.aliveEntry(0).gateway.Entries("z").Addresses
 }
 
-// Close ends everything.
+// Close stops the entries, agents and stand-ins.
 func (f *Fleet) Close() {
 	f.cancel()
 	for _, vm := range f.entries {
-		if !vm.down {
+		if !vm.crashed {
 			vm.gateway.Abort()
 		}
 	}
 	for _, a := range f.agents {
 		if err := a.Shutdown(context.Background()); err != nil {
-			f.log.Error(err, "agent not stopped")
+			f.log.Error(err, "failed to shut down agent")
 		}
 	}
 	f.tasks.Wait()
 }
 
-// sleep waits; false if ctx has ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -337,4 +340,4 @@
 	}
 }
 
-func number(n int) string { return strconv.Itoa(n) }
+func decimal(n int) string { return strconv.Itoa(n) }
--- a/demo/hosted/limit_test.go
+++ b/demo/hosted/limit_test.go
@@ -12,49 +12,51 @@
 )
 
 const (
-	// limitSettles is from when on a rate must be kept. Source: the least that the platform grants.
-	limitSettles = 3 * time.Second
-	limitWindow  = 4 * time.Second
+	// rateLimitSettleTime is the time after which a new rate limit must hold. Source: the
+	// shortest time that the platform grants.
+	rateLimitSettleTime = 3 * time.Second
+	rateLimitWindow     = 4 * time.Second
 )
 
-// startWithCallers starts a system and callers; end stops the callers and waits for their answers.
-func startWithCallers(t *testing.T) (f *Fleet, c *callers, end func()) {
+// startWithLoad starts a system and callers. end stops the callers and waits for their
+// responses.
+func startWithLoad(t *testing.T) (f *Fleet, load *loadGenerator, end func()) {
 	t.Helper()
 	g := NewWithT(t)
 	f, err := Start(logr.Discard())
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(f.Close)
-	g.Eventually(f.directory, "5s", "20ms").Should(HaveLen(entryVMs))
-	c = newCallers(f)
+	g.Eventually(f.directoryAddresses, "5s", "20ms").Should(HaveLen(entryCount))
+	load = newLoadGenerator(f)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.run(ctx)
+		load.run(ctx)
 	}()
-	return f, c, func() {
+	return f, load, func() {
 		cancel()
 		<-done
 	}
 }
 
-// Guards against a rank of a group and a plain target that name a rate in the platform's words
-// and get more from all entries together.
-func TestEnginesAndPlainTargetsGetNoMoreThanTheRateThatTheyName(t *testing.T) {
+// Guards against entries that together exceed the rate limit that a rank of a group or a plain
+// target announces.
+func TestEnginesAndPlainTargetsGetAtMostTheirAnnouncedRate(t *testing.T) {
 	g := NewWithT(t)
-	f, c, end := startWithCallers(t)
+	f, load, end := startWithLoad(t)
 	time.Sleep(2 * time.Second)
 	const rate = 1.5
-	f.group.Engines()[0].SetRateLimit(rate)
-	f.plain[0].SetRateLimit(rate)
-	time.Sleep(limitSettles + limitWindow + 2*time.Second)
-	for name, rates := range map[string][]standin.RateLimit{"engine": f.group.Engines()[0].RateLimits(), "plain target": f.plain[0].RateLimits()} {
+	f.engineGroup.Engines()[0].SetRateLimit(rate)
+	f.plainTargets[0].SetRateLimit(rate)
+	time.Sleep(rateLimitSettleTime + rateLimitWindow + 2*time.Second)
+	for name, rates := range map[string][]standin.RateLimit{"engine": f.engineGroup.Engines()[0].RateLimits(), "plain target": f.plainTargets[0].RateLimits()} {
 		g.Expect(rates).To(HaveLen(1))
-		g.Expect(rates[0].MaxInWindow(limitWindow, limitSettles)).To(And(
-			BeNumerically("<=", int(rate*limitWindow.Seconds())+2), BeNumerically(">=", 2)), name)
+		g.Expect(rates[0].MaxInWindow(rateLimitWindow, rateLimitSettleTime)).To(And(
+			BeNumerically("<=", int(rate*rateLimitWindow.Seconds())+2), BeNumerically(">=", 2)), name)
 	}
 	end()
-	tally := c.take()
-	g.Expect(tally.DraftsWhole).To(Equal(tally.Drafts), "the other engines have room")
-	g.Expect(tally.LogsAnswered).To(Equal(tally.Logs))
+	stats := load.takeStats()
+	g.Expect(stats.DraftsComplete).To(Equal(stats.Drafts), "the other engines have capacity")
+	g.Expect(stats.LogsAnswered).To(Equal(stats.Logs))
 }
--- a/demo/hosted/show.go
+++ b/demo/hosted/show.go
@@ -11,33 +11,33 @@
 	"github.com/go-logr/logr"
 )
 
-// Times of the show.
+// Timeouts and intervals of the demonstration.
 const (
-	readyWithin  = 4 * time.Second
-	calmFor      = 700 * time.Millisecond
-	followWithin = 2 * time.Second
-	leaveWithin  = 3 * time.Second
-	lookEvery    = 10 * time.Millisecond
-	afterwards   = 300 * time.Millisecond
+	readyTimeout        = 4 * time.Second
+	settleTime          = 700 * time.Millisecond
+	mapSwitchTimeout    = 2 * time.Second
+	entryRemovalTimeout = 3 * time.Second
+	pollInterval        = 10 * time.Millisecond
+	endDelay            = 300 * time.Millisecond
 )
 
-// Report is what the show has seen.
+// Report holds the measurements of a demonstration.
 type Report struct {
-	Ready, MapFollowed, EntryLeft, ConfigApplied time.Duration
-	ImbalanceBefore, ImbalanceAfter              float64
-	PauseCalm, PauseSwitch                       time.Duration // the longest of any stream
-	MapsMixed                                    int
-	RunsMost                                     int // of one log entry
-	Tally                                        tally
+	ReadyAfter, BalancedAfter, EntryRemovedAfter, ConfigAppliedAfter time.Duration
+	ImbalanceBefore, ImbalanceAfter                                  float64
+	GapBefore, GapDuringSwitch                                       time.Duration // longest gap between two events of any stream
+	MixedMapPasses                                                   int
+	MaxExecutions                                                    int // highest number of executions of one log entry
+	Stats                                                            callerStats
 }
 
-// Run starts a system and shows what it does: callers send streams and log entries all the
-// while, other experts are wanted, an entry crashes, a configuration adds a route. The report
-// is written to w; an error tells what did not go as it must.
+// Run starts a system and writes a report on it to w. Callers send streams and log entries
+// throughout, while demand shifts to other experts, an entry crashes and a configuration adds
+// a route. Run returns an error if a step times out or a guarantee is violated.
 func Run(ctx context.Context, log logr.Logger, w io.Writer) error {
 	f, err := Start(log)
 	if err != nil {
-		return fmt.Errorf("start the demo's system: %w", err)
+		return fmt.Errorf("start the demo system: %w", err)
 	}
 	defer f.Close()
 	r, err := f.show(ctx)
@@ -47,143 +47,149 @@
 	if err := r.write(w); err != nil {
 		return err
 	}
-	return r.verdict()
+	return r.checkGuarantees()
 }
 
+// show runs the steps of the demonstration under load.
 func (f *Fleet) show(ctx context.Context) (*Report, error) {
 	r := &Report{}
 	var err error
-	if r.Ready, err = until(ctx, readyWithin, "the entries take requests", f.ready); err != nil {
+	if r.ReadyAfter, err = waitFor(ctx, readyTimeout, "all entries accept requests", f.isReady); err != nil {
 		return nil, err
 	}
-	c := newCallers(f)
-	calling, stop := context.WithCancel(ctx)
+	load := newLoadGenerator(f)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.run(calling)
+		load.run(loadCtx)
 	}()
-	steps := []func(context.Context, *callers, *Report) error{f.showSwitch, f.showCrash, f.showConfig}
+	steps := []func(context.Context, *loadGenerator, *Report) error{f.showSwitch, f.showCrash, f.showConfig}
 	for _, step := range steps {
-		if err := step(ctx, c, r); err != nil {
+		if err := step(ctx, load, r); err != nil {
 			return nil, err
 		}
-		sleep(ctx, calmFor)
+		sleep(ctx, settleTime)
 	}
 	stop()
 	<-done
-	r.Tally = c.take()
-	_, r.RunsMost = f.books.most()
-	_, _, _, r.MapsMixed = f.group.State()
+	r.Stats = load.takeStats()
+	_, r.MaxExecutions = f.executions.totals()
+	_, _, _, r.MixedMapPasses = f.engineGroup.State()
 	return r, nil
 }
 
-func (f *Fleet) ready() bool {
-	return len(f.directory()) == len(f.entries) && !slices.ContainsFunc(f.entries, func(vm *entryVM) bool { return !vm.gateway.Ready() })
+func (f *Fleet) isReady() bool {
+	return len(f.directoryAddresses()) == len(f.entries) && !slices.ContainsFunc(f.entries, func(vm *entryVM) bool { return !vm.gateway.Ready() })
 }
 
-// showSwitch waits until the map fits what is wanted, and has other experts wanted.
-func (f *Fleet) showSwitch(ctx context.Context, c *callers, r *Report) error {
-	if _, err := until(ctx, followWithin, "a first map", f.even); err != nil {
+// showSwitch waits until the expert map is balanced, shifts demand to other experts and waits
+// until a new map is balanced again.
+func (f *Fleet) showSwitch(ctx context.Context, load *loadGenerator, r *Report) error {
+	if _, err := waitFor(ctx, mapSwitchTimeout, "a first balanced map", f.isBalanced); err != nil {
 		return err
 	}
-	c.take()
-	sleep(ctx, calmFor)
-	r.PauseCalm = c.take().LongestPause
-	f.group.ShiftDemand(shape.Experts / 3)
-	_, r.ImbalanceBefore, _, _ = f.group.State()
+	load.takeStats()
+	sleep(ctx, settleTime)
+	r.GapBefore = load.takeStats().LongestGap
+	f.engineGroup.ShiftDemand(groupConfig.Experts / 3)
+	_, r.ImbalanceBefore, _, _ = f.engineGroup.State()
 	var err error
-	if r.MapFollowed, err = until(ctx, followWithin, "a map that fits what is wanted now", f.even); err != nil {
+	if r.BalancedAfter, err = waitFor(ctx, mapSwitchTimeout, "a balanced map after the demand shift", f.isBalanced); err != nil {
 		return err
 	}
-	_, r.ImbalanceAfter, _, _ = f.group.State()
-	sleep(ctx, calmFor)
-	r.PauseSwitch = c.take().LongestPause
+	_, r.ImbalanceAfter, _, _ = f.engineGroup.State()
+	sleep(ctx, settleTime)
+	r.GapDuringSwitch = load.takeStats().LongestGap
 	return nil
 }
 
-// fits is an imbalance that a map has which was made for what is wanted.
-const fits = 1.3
+// maxBalancedImbalance is an imbalance that only a map made for the current demand stays
+// below.
+const maxBalancedImbalance = 1.3
 
-func (f *Fleet) even() bool {
-	version, imbalance, _, _ := f.group.State()
-	return version != 0 && imbalance < fits
+// isBalanced reports whether the group has a planned map that suits the current demand.
+func (f *Fleet) isBalanced() bool {
+	version, imbalance, _, _ := f.engineGroup.State()
+	return version != 0 && imbalance < maxBalancedImbalance
 }
 
-// showCrash ends an entry without notice.
-func (f *Fleet) showCrash(ctx context.Context, _ *callers, r *Report) error {
+// showCrash crashes an entry and waits until the directory no longer lists it.
+func (f *Fleet) showCrash(ctx context.Context, _ *loadGenerator, r *Report) error {
 	victim := len(f.entries) - 1
-	address := f.entries[victim].callers
-	f.kill(victim)
+	address := f.entries[victim].callerAddr
+	f.crashEntry(victim)
 	var err error
-	r.EntryLeft, err = until(ctx, leaveWithin, "the crashed entry left out of the directory", func() bool {
-		return !slices.Contains(f.directory(), address) && !reachable(address)
+	r.EntryRemovedAfter, err = waitFor(ctx, entryRemovalTimeout, "removal of the crashed entry from the directory", func() bool {
+		return !slices.Contains(f.directoryAddresses(), address) && !isReachable(address)
 	})
 	return err
 }
 
-// showConfig applies a configuration that adds a route.
-func (f *Fleet) showConfig(ctx context.Context, c *callers, r *Report) error {
+// showConfig applies a configuration that adds a route, and waits until all entries serve it.
+func (f *Fleet) showConfig(ctx context.Context, load *loadGenerator, r *Report) error {
 	f.store.PutConfig(f.config(2))
 	var err error
-	r.ConfigApplied, err = until(ctx, configApply, "the added route served by all entries", func() bool {
-		return !slices.ContainsFunc(f.entries, func(vm *entryVM) bool { return !vm.down && !c.served(vm) })
+	r.ConfigAppliedAfter, err = waitFor(ctx, configApplyTimeout, "the added route at all entries", func() bool {
+		return !slices.ContainsFunc(f.entries, func(vm *entryVM) bool { return !vm.crashed && !load.servesAddedRoute(vm) })
 	})
 	return err
 }
 
-var errLate = errors.New("did not come about in time")
+var errTimeout = errors.New("condition not met in time")
 
-// until waits for something to hold and returns how long that took.
-func until(ctx context.Context, limit time.Duration, what string, holds func() bool) (time.Duration, error) {
-	begun := time.Now()
-	for !holds() {
-		if time.Since(begun) > limit || !sleep(ctx, lookEvery) {
-			return 0, fmt.Errorf("%s: %w", what, errLate)
+// waitFor polls condition until it is true and returns the time that took. It fails after
+// timeout, or when ctx ends.
+func waitFor(ctx context.Context, timeout time.Duration, what string, condition func() bool) (time.Duration, error) {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout || !sleep(ctx, pollInterval) {
+			return 0, fmt.Errorf("%s: %w", what, errTimeout)
 		}
 	}
-	return time.Since(begun), nil
+	return time.Since(start), nil
 }
 
 func (r *Report) write(w io.Writer) error {
-	t := &r.Tally
+	s := &r.Stats
 	_, err := fmt.Fprintf(w, `%d entries, %d engines of one lock-step group with an agent each, %d plain targets
-ready                    all entries took requests after %s
-demand moved             imbalance %.2f; a map that fits (%.2f) was in use after %s
-  streams meanwhile      longest pause of any stream %s, %s before the move (aim %s)
-an entry crashed         left out of the directory after %s
-a configuration          its new route was served by all entries after %s
-streams                  %d sent, %d whole, %d in time
-log entries              %d sent, %d answered, no one ran more than %d time
-sent again               %d requests, to another entry
+ready                    all entries accepted requests after %s
+demand shift             imbalance %.2f; a balanced map (%.2f) was in use after %s
+  streams meanwhile      longest gap between two events %s, %s before the shift (objective %s)
+entry crash              removed from the directory after %s
+configuration change     the added route was served by all entries after %s
+streams                  %d sent, %d complete, %d within objectives
+log entries              %d sent, %d answered, at most %d executions of any one
+retries                  %d, each at another entry
 passes with two maps     %d
-`, entryVMs, rankVMs, plainVMs, ms(r.Ready), r.ImbalanceBefore, r.ImbalanceAfter, ms(r.MapFollowed),
-		ms(r.PauseSwitch), ms(r.PauseCalm), ms(pauseAim), ms(r.EntryLeft), ms(r.ConfigApplied),
-		t.Drafts, t.DraftsWhole, t.DraftsInTime, t.Logs, t.LogsAnswered, r.RunsMost, t.Again, r.MapsMixed)
+`, entryCount, rankCount, plainTargetCount, ms(r.ReadyAfter), r.ImbalanceBefore, r.ImbalanceAfter, ms(r.BalancedAfter),
+		ms(r.GapDuringSwitch), ms(r.GapBefore), ms(eventGapObjective), ms(r.EntryRemovedAfter), ms(r.ConfigAppliedAfter),
+		s.Drafts, s.DraftsComplete, s.DraftsInTime, s.Logs, s.LogsAnswered, r.MaxExecutions, s.Retries, r.MixedMapPasses)
 	return err
 }
 
 func ms(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// Errors of the show: promises that were not kept.
+// Errors for violated guarantees.
 var (
-	errMixed   = errors.New("a pass began while ranks used different maps")
-	errTwice   = errors.New("a log entry ran more than once")
-	errBroken  = errors.New("a stream never came whole")
-	errNothing = errors.New("nothing was sent")
+	errMixedMaps          = errors.New("a pass ran while ranks used different maps")
+	errDuplicateExecution = errors.New("a log entry ran more than once")
+	errIncompleteStream   = errors.New("a stream stayed incomplete after all attempts")
+	errNothingSent        = errors.New("callers sent no streams or no log entries")
 )
 
-func (r *Report) verdict() error {
+// checkGuarantees returns the error of the first violated guarantee.
+func (r *Report) checkGuarantees() error {
 	switch {
-	case r.MapsMixed > 0:
-		return errMixed
-	case r.RunsMost > 1:
-		return errTwice
-	case r.Tally.DraftsWhole < r.Tally.Drafts:
-		return errBroken
-	case r.Tally.Drafts == 0 || r.Tally.Logs == 0:
-		return errNothing
+	case r.MixedMapPasses > 0:
+		return errMixedMaps
+	case r.MaxExecutions > 1:
+		return errDuplicateExecution
+	case r.Stats.DraftsComplete < r.Stats.Drafts:
+		return errIncompleteStream
+	case r.Stats.Drafts == 0 || r.Stats.Logs == 0:
+		return errNothingSent
 	}
 	return nil
 }
--- a/demo/hosted/show_test.go
+++ b/demo/hosted/show_test.go
@@ -12,9 +12,8 @@
 	"github.com/heatherrail/heatherrail/demo/hosted"
 )
 
-// Callers send streams and log entries while demand moves, an entry crashes and a
-// configuration adds a route. Each stream comes whole, no log entry runs twice, and no pass
-// uses two maps.
+// Guards against incomplete streams, log entries that run twice and passes that use two maps
+// while demand shifts, an entry crashes and a configuration adds a route.
 func TestTheWholeSystemInOneProcess(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
--- a/demo/ranks.go
+++ b/demo/ranks.go
@@ -9,8 +9,8 @@
 	"github.com/heatherrail/heatherrail/config"
 )
 
-// QuickPlans makes the owners of all groups weigh moves every second, so that a
-// demonstration sees one.
+// QuickPlans sets the planning interval of all groups to one second, so that a short
+// demonstration includes a map switch.
 func QuickPlans(c *config.Config) {
 	for i := range c.Groups {
 		c.Groups[i].PlanEvery = time.Second
@@ -18,14 +18,13 @@
 }
 
 const (
-	popularEvery = 8    // in the demonstration, one expert in so many is popular
-	popularLoad  = 40.0 // tokens of a step
-	usualLoad    = 4.0
+	popularInterval      = 8    // one expert in this many is popular
+	popularTokensPerStep = 40.0 // tokens per step of a popular expert
+	baseTokensPerStep    = 4.0
 )
 
-// showSwitch makes a few experts of one group popular, sends drafts, and waits
-// until the group has moved experts while it works. Groups that plan more seldom
-// are left alone.
+// showSwitch shows a map switch of the first group that plans at least once a second. It does
+// nothing if all groups plan less often, since a switch would take too long.
 func showSwitch(ctx context.Context, p *printer, base string, f *Fleet) error {
 	for i := range f.Config.Groups {
 		g := &f.Config.Groups[i]
@@ -36,19 +35,21 @@
 	return nil
 }
 
+// showSwitch makes some experts of the group popular and sends drafts until the group has
+// switched to another map. It fails if a draft fails or a step used two maps.
 func (f *Fleet) showSwitch(ctx context.Context, p *printer, base string, g *config.Group) error {
 	group := f.LockSteps[g.Name]
 	loads := make([]float64, g.Layers*g.Experts)
 	for i := range loads {
-		loads[i] = usualLoad
-		if i%popularEvery == 0 {
-			loads[i] = popularLoad
+		loads[i] = baseTokensPerStep
+		if i%popularInterval == 0 {
+			loads[i] = popularTokensPerStep
 		}
 	}
-	first, from, idle := group.Map(), group.Steps(), group.Idle()
+	oldMap, stepsBefore, idleBefore := group.Map(), group.Steps(), group.Idle()
 	group.SetLoads(loads)
 	drafts := 0
-	for group.Map() == first {
+	for group.Map() == oldMap {
 		resp, err := post(ctx, base+"/v1/chat/completions", draftBody, nil)
 		if err != nil {
 			return fmt.Errorf("draft during a map switch: %w", err)
@@ -63,7 +64,7 @@
 	if err := group.Mixed(); err != nil {
 		return err
 	}
-	p.line("expert map: group %s went from map %016x to %016x while %d drafts ran: %d steps, %d of them stalled",
-		g.Name, uint64(first), uint64(group.Map()), drafts, group.Steps()-from, group.Idle()-idle)
+	p.printf("expert map: group %s went from map %016x to %016x while %d drafts ran: %d steps, %d of them stalled",
+		g.Name, uint64(oldMap), uint64(group.Map()), drafts, group.Steps()-stepsBefore, group.Idle()-idleBefore)
 	return nil
 }
--- a/demo/ranks_test.go
+++ b/demo/ranks_test.go
@@ -45,8 +45,8 @@
 skew-weight = 100
 `
 
-// rankFleet starts three entries before one group whose first expert of each
-// layer is far too popular.
+// rankFleet starts a fleet with three entries and one group in which the first expert of
+// each layer gets most of the load.
 func rankFleet(t *testing.T) (*demo.Fleet, *fake.LockStep) {
 	t.Helper()
 	g := NewWithT(t)
@@ -63,64 +63,63 @@
 	return f, group
 }
 
-func goesOn(g *WithT, group *fake.LockStep) {
-	from := group.Steps()
-	g.Eventually(group.Steps, "30s").Should(BeNumerically(">", from+50))
+// expectSteps waits until the group has run 50 more steps.
+func expectSteps(g *WithT, group *fake.LockStep) {
+	before := group.Steps()
+	g.Eventually(group.Steps, "30s").Should(BeNumerically(">", before+50))
 }
 
-// The group changes its map while it runs; no step mixes two.
-// The loads are uneven, the owner plans, all ranks load the weights and switch at
-// one step. Then popularity moves on, and so does the map.
-func TestGroupSwitchesWhileItRuns(t *testing.T) {
+// Guards against a step that runs with two maps. Loads are uneven, so the group switches its
+// map while it runs; then another expert becomes popular and it switches again.
+func TestGroupSwitchesMapsWhileRunningWithoutMixingThem(t *testing.T) {
 	g := NewWithT(t)
 	_, group := rankFleet(t)
-	first := group.Map()
-	g.Eventually(group.Map, "30s").ShouldNot(Equal(first))
+	initial := group.Map()
+	g.Eventually(group.Map, "30s").ShouldNot(Equal(initial))
 	second := group.Map()
 	group.SetPopular(5)
 	g.Eventually(group.Map, "30s").ShouldNot(Equal(second))
-	goesOn(g, group)
+	expectSteps(g, group)
 	g.Expect(group.Mixed()).To(Succeed())
 	t.Logf("%d steps, %d idle", group.Steps(), group.Idle())
 }
 
-// allMaps is what operators see of the group at all entries.
+// allMaps returns the map status that operators see, of all entries together.
 func allMaps(f *demo.Fleet) string {
 	var b strings.Builder
 	for _, e := range f.Entries {
-		_ = expert.WriteMapStatus(&b, e.MapLogs()) // a Builder takes everything
+		_ = expert.WriteMapStatus(&b, e.MapLogs()) // a Builder returns no errors
 	}
 	return b.String()
 }
 
-// A rank's engine dies and comes back without map and step; the group waits for it
-// and goes on by itself. It must not go on with the map that it finds, since the
-// others may have switched.
-func TestRestartedRankJoinsAgain(t *testing.T) {
+// A rank's engine restarts without its map and step. Guards against the group not continuing,
+// and against the rank running with its initial map after the others have switched.
+func TestRestartedRankRejoinsWithTheCurrentMap(t *testing.T) {
 	g := NewWithT(t)
 	f, group := rankFleet(t)
-	first := group.Map()
-	g.Eventually(group.Map, "30s").ShouldNot(Equal(first))
+	initial := group.Map()
+	g.Eventually(group.Map, "30s").ShouldNot(Equal(initial))
 	g.Eventually(func() string { return allMaps(f) }, "30s").Should(ContainSubstring(expert.OutcomeSwitched))
 	f.Targets["oven-2"].Kill()
 	g.Expect(f.Targets["oven-2"].Restart()).To(Succeed())
-	goesOn(g, group)
+	expectSteps(g, group)
 	g.Expect(group.Mixed()).To(Succeed())
 }
 
-// An agent dies with its memory of ballots, its VM is replaced, and the entries
-// that could own the group die one after the other; the last one carries on.
-func TestGroupOutlivesAgentsAndOwners(t *testing.T) {
+// An agent restarts on a new VM without its record of ballots, and two of the three entries
+// that can own the group stop one after the other. The remaining entry must run the group.
+func TestGroupContinuesAfterLosingAnAgentAndTwoOwners(t *testing.T) {
 	g := NewWithT(t)
 	f, group := rankFleet(t)
-	first := group.Map()
-	g.Eventually(group.Map, "30s").ShouldNot(Equal(first))
+	initial := group.Map()
+	g.Eventually(group.Map, "30s").ShouldNot(Equal(initial))
 	g.Expect(f.RestartAgent("oven-3")).To(Succeed())
 	f.Entries[0].Close()
-	goesOn(g, group)
+	expectSteps(g, group)
 	f.Entries[1].Close()
 	f.Targets["oven-1"].Kill()
 	g.Expect(f.Targets["oven-1"].Restart()).To(Succeed())
-	goesOn(g, group)
+	expectSteps(g, group)
 	g.Expect(group.Mixed()).To(Succeed())
 }
--- a/demo/standins.go
+++ b/demo/standins.go
@@ -14,8 +14,8 @@
 	"github.com/heatherrail/heatherrail/internal/fake"
 )
 
-// Standins take the place of the platform and of all targets that a
-// configuration declares, each behind a loopback port of its own.
+// Standins replace the platform and all targets that a configuration declares. Each listens
+// on a loopback port of its own.
 type Standins struct {
 	Config  *config.Config
 	Log     *fake.Log
@@ -27,26 +27,26 @@
 	Control *fake.Control
 
 	Platform    string // address of the log service and the VM list
-	ControlAddr string
+	ControlAddr string // address that injects faults
 
-	groups []*fake.RankGroup
-	// LockSteps are the rank groups, by name.
+	singleEngines []*fake.RankGroup // engines outside any group, a group of one each
+	// LockSteps holds the rank groups by name.
 	LockSteps map[string]*fake.LockStep
 	servers   []*fake.Server
 }
 
 const (
-	maxRunning      = 64
-	weightStoreRate = 1 << 30 // bytes a second
+	engineSlots               = 64
+	weightStoreBytesPerSecond = 1 << 30 // 1 GiB/s
 )
 
-// StartStandins brings the stand-ins up; steps of the engines take stepTime.
+// StartStandins starts the stand-ins. stepTime is the duration of an engine step.
 func StartStandins(cfg *config.Config, stepTime time.Duration) (*Standins, error) {
 	s := &Standins{
 		Config:  cfg,
 		Log:     fake.NewLog(),
 		VMs:     fake.NewVMList(0),
-		Weights: fake.NewWeightStore(weightStoreRate),
+		Weights: fake.NewWeightStore(weightStoreBytesPerSecond),
 		Engines: make(map[string]*fake.Engine),
 		Plains:  make(map[string]*fake.Plain),
 		Targets: make(map[string]*fake.TargetServer),
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	s.startGroups(stepTime)
+	s.startRankGroups(stepTime)
 	s.Control.AddLog(s.Log)
 	s.Control.AddVMs(s.VMs)
 	s.Control.AddGroups(s.LockSteps)
@@ -94,7 +94,8 @@
 	return srv, nil
 }
 
-// Kind returns the kind of the fleet that a target belongs to.
+// Kind returns the kind of the fleet that a target belongs to, or "" if the configuration has
+// no such fleet.
 func (s *Standins) Kind(t config.Target) string {
 	for _, fleet := range s.Config.Fleets {
 		if fleet.Name == t.Fleet {
@@ -106,7 +107,7 @@
 
 func (s *Standins) startTarget(t config.Target) (err error) {
 	if s.Kind(t) == "engine" {
-		e := fake.NewEngine(t.Name, s.model(t.Fleet), maxRunning)
+		e := fake.NewEngine(t.Name, s.modelOfFleet(t.Fleet), engineSlots)
 		s.Engines[t.Name] = e
 		s.Targets[t.Name], err = fake.ServeTarget(t.Name, e)
 	} else {
@@ -120,7 +121,8 @@
 	return err
 }
 
-func (s *Standins) model(fleet string) string {
+// modelOfFleet returns the model of the first service that uses the fleet.
+func (s *Standins) modelOfFleet(fleet string) string {
 	for _, svc := range s.Config.Services {
 		if svc.Fleet == fleet {
 			return svc.Model
@@ -129,9 +131,8 @@
 	return ""
 }
 
-// startGroups runs the engines of each rank group in lock-step, and engines
-// without a group alone.
-func (s *Standins) startGroups(stepTime time.Duration) {
+// startRankGroups starts the lock-step of each rank group, and each remaining engine alone.
+func (s *Standins) startRankGroups(stepTime time.Duration) {
 	grouped := make(map[string]bool)
 	for _, g := range s.Config.Groups {
 		var ranks []*fake.Engine
@@ -144,12 +145,12 @@
 	}
 	for name, e := range s.Engines {
 		if !grouped[name] {
-			s.groups = append(s.groups, fake.NewRankGroup(stepTime, e))
+			s.singleEngines = append(s.singleEngines, fake.NewRankGroup(stepTime, e))
 		}
 	}
 }
 
-// Apply puts the configuration on the log as the first version.
+// Apply appends the configuration to the log as the first version.
 func (s *Standins) Apply() error {
 	raw, err := config.NewChange(ulid.Make().String(), 0, s.Config)
 	if err != nil {
@@ -161,12 +162,12 @@
 	return nil
 }
 
-// errNoTarget is answered for targets that the configuration does not declare.
-var errNoTarget = errors.New("no such target")
+// errUnknownTarget is returned for targets that the configuration does not declare.
+var errUnknownTarget = errors.New("no such target")
 
 // Close stops all stand-ins.
 func (s *Standins) Close() {
-	for _, g := range s.groups {
+	for _, g := range s.singleEngines {
 		g.Close()
 	}
 	for _, g := range s.LockSteps {
--- a/scenarios/world_test.go
+++ b/scenarios/world_test.go
@@ -188,7 +188,7 @@
 		name, w.anyDataCentre(), w.platformSettings())
 }
 
-func (w *world) agentSettings(name string, t demo.TargetRow) string {
+func (w *world) agentSettings(name string, t demo.TargetDescription) string {
 	return fmt.Sprintf("[agent]\ntarget = %s\ndata-centre = %s\nlisten = 127.0.0.1:0\nbackend = %s\nkind = %s\nshutdown-deadline = 20s\n%s",
 		name, t.DataCentre, t.Address, t.Kind, w.platformSettings())
 }
