--- a/bench/compare.go
+++ b/bench/compare.go
@@ -8,12 +8,12 @@
 	"text/tabwriter"
 )
 
-// Set is the reports of several benches and runs, as bench all writes it.
+// Set holds the reports of several benchmarks and runs, as "bench all" writes them.
 type Set struct {
 	Reports []*Report `json:"reports"`
 }
 
-// Write writes the set in a format.
+// Write writes the set to w: as JSON if format is FormatJSON, otherwise as a text summary.
 func (s *Set) Write(w io.Writer, format string) error {
 	if format == FormatJSON {
 		return writeJSON(w, s)
@@ -21,7 +21,7 @@
 	return s.summary().Write(w, FormatText)
 }
 
-// summary compares a set with nothing.
+// summary returns the medians and spreads of the set, with an empty set on the other side.
 func (s *Set) summary() *Comparison { return Compare(new(Set), s) }
 
 func writeJSON(w io.Writer, v any) error {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Spread is one figure over several runs.
+// Spread is the median and range of one figure over several runs.
 type Spread struct {
 	Runs   int     `json:"runs"`
 	Median float64 `json:"median"`
@@ -41,30 +41,31 @@
 	High   float64 `json:"high"`
 }
 
-// Compared is one figure of two sets.
-type Compared struct {
+// ComparedFigure is one figure in two sets.
+type ComparedFigure struct {
 	Bench string `json:"bench"`
 	Case  string `json:"case"`
 	Name  string `json:"name"`
 	Unit  string `json:"unit"`
 	Old   Spread `json:"old"`
 	New   Spread `json:"new"`
-	// Apart is true if the two spreads do not overlap: less is no evidence of a
-	// change.
-	Apart bool `json:"apart"`
+	// Disjoint is true if the two ranges do not overlap. Overlapping ranges are no
+	// evidence of a change.
+	Disjoint bool `json:"apart"`
 }
 
-// Comparison is two sets side by side.
+// Comparison holds the figures of two sets side by side.
 type Comparison struct {
-	Rows []Compared `json:"rows"`
+	Rows []ComparedFigure `json:"rows"`
 }
 
-type rowKey struct{ bench, kase, name string }
+type rowKey struct{ bench, caseName, name string }
 
-// Compare puts two sets side by side, in the order in which rows first appear.
+// Compare returns the figures of two sets side by side, in the order of their first
+// appearance.
 func Compare(older, newer *Set) *Comparison {
-	var c Comparison
-	at := make(map[rowKey]int)
+	var comparison Comparison
+	rowIndex := make(map[rowKey]int)
 	values := make(map[rowKey]*[2][]float64)
 	for i, set := range []*Set{older, newer} {
 		for _, r := range set.Reports {
@@ -72,19 +73,19 @@
 				k := rowKey{r.Bench, row.Case, row.Name}
 				if values[k] == nil {
 					values[k] = new([2][]float64)
-					at[k] = len(c.Rows)
-					c.Rows = append(c.Rows, Compared{Bench: r.Bench, Case: row.Case, Name: row.Name, Unit: row.Unit})
+					rowIndex[k] = len(comparison.Rows)
+					comparison.Rows = append(comparison.Rows, ComparedFigure{Bench: r.Bench, Case: row.Case, Name: row.Name, Unit: row.Unit})
 				}
 				values[k][i] = append(values[k][i], row.Value)
 			}
 		}
 	}
 	for k, v := range values {
-		row := &c.Rows[at[k]]
+		row := &comparison.Rows[rowIndex[k]]
 		row.Old, row.New = spread(v[0]), spread(v[1])
-		row.Apart = row.Old.Runs > 0 && row.New.Runs > 0 && (row.Old.High < row.New.Low || row.New.High < row.Old.Low)
+		row.Disjoint = row.Old.Runs > 0 && row.New.Runs > 0 && (row.Old.High < row.New.Low || row.New.High < row.Old.Low)
 	}
-	return &c
+	return &comparison
 }
 
 func spread(values []float64) Spread {
@@ -92,15 +93,15 @@
 		return Spread{}
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	mid := len(sorted) / 2
-	median := sorted[mid]
+	middle := len(sorted) / 2
+	median := sorted[middle]
 	if len(sorted)%2 == 0 {
-		median = (sorted[mid-1] + sorted[mid]) / 2
+		median = (sorted[middle-1] + sorted[middle]) / 2
 	}
 	return Spread{Runs: len(sorted), Median: median, Low: sorted[0], High: sorted[len(sorted)-1]}
 }
 
-// Write writes the comparison in a format.
+// Write writes the comparison to w: as JSON if format is FormatJSON, otherwise as a table.
 func (c *Comparison) Write(w io.Writer, format string) error {
 	if format == FormatJSON {
 		return writeJSON(w, c)
@@ -108,7 +109,7 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, r := range c.Rows {
 		mark := ""
-		if r.Apart {
+		if r.Disjoint {
 			mark = "apart"
 		}
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Bench, r.Case, r.Name, r.Old, r.New, r.Unit, mark)
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// String returns the median and, in brackets, the spread.
+// String returns the median followed by the range in brackets, or "-" without runs.
 func (s Spread) String() string {
 	if s.Runs == 0 {
 		return "-"
--- a/bench/compare_test.go
+++ b/bench/compare_test.go
@@ -19,16 +19,16 @@
 	return s
 }
 
-func TestCompare(t *testing.T) {
+func TestCompareMarksOnlyDisjointSpreads(t *testing.T) {
 	cases := []struct {
 		name       string
 		older, new *bench.Set
 		want       string
 		apart      bool
 	}{
-		{"overlapping spreads are no change", set(1, 5, 3), set(4, 6), "3 [1, 5]", false},
-		{"spreads apart", set(1, 2), set(3), "1.5 [1, 2]", true},
-		{"only in one", set(), set(3), "-", false},
+		{"overlapping ranges are no change", set(1, 5, 3), set(4, 6), "3 [1, 5]", false},
+		{"disjoint ranges are a change", set(1, 2), set(3), "1.5 [1, 2]", true},
+		{"a figure of one set only is no change", set(), set(3), "-", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			c := bench.Compare(tc.older, tc.new)
 			g.Expect(c.Rows).To(HaveLen(1))
 			g.Expect(c.Rows[0].Old.String()).To(Equal(tc.want))
-			g.Expect(c.Rows[0].Apart).To(Equal(tc.apart))
+			g.Expect(c.Rows[0].Disjoint).To(Equal(tc.apart))
 			var out strings.Builder
 			g.Expect(c.Write(&out, bench.FormatText)).To(Succeed())
 			g.Expect(out.String()).To(ContainSubstring("relay"))
--- a/bench/expert.go
+++ b/bench/expert.go
@@ -11,33 +11,33 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// expertPeriod is how often loads are reported and plans are made, in seconds.
-const expertPeriod = 60.0
+// expertPeriodSeconds is the interval between load reports, and between plans.
+const expertPeriodSeconds = 60.0
 
-// ExpertShapes are the sizes that the bench measures.
+// ExpertShapes are the group sizes that the expert benchmark measures.
 var ExpertShapes = []expert.Shape{
 	{Ranks: 8, Layers: 48, Experts: 32, SlotsOfRank: 5},
 	{Ranks: 16, Layers: 48, Experts: 64, SlotsOfRank: 5},
 	{Ranks: 64, Layers: 48, Experts: 128, SlotsOfRank: 3},
 }
 
-// contestant decides on a map each period.
-type contestant struct {
-	name     string
-	weights  expert.CostWeights
-	kind     string
-	trend    float64
-	planner  expert.Planner
-	estimate expert.LoadEstimator
-	speeds   expert.SpeedEstimator
+// policyRun is the state and the results of one planning policy over a trace.
+type policyRun struct {
+	name          string
+	weights       expert.CostWeights
+	kind          string
+	trend         float64
+	planner       expert.Planner
+	loadEstimate  expert.LoadEstimator
+	speedEstimate expert.SpeedEstimator
 
-	live  *expert.Map
-	next  *expert.Map // loading; live from the next period on
-	skews []float64
-	bytes float64
-	plans int
-	times []time.Duration
-	buf   []float64
+	current     *expert.Map
+	next        *expert.Map // being loaded; becomes current in the next period
+	skewSamples []float64
+	movedBytes  float64
+	planCount   int
+	planTimes   []time.Duration
+	forecast    []float64
 }
 
 const (
@@ -45,30 +45,34 @@
 	kindRecompute = "recompute"
 	kindPlan      = "plan"
 
-	estimateHalfLife = 60.0
-	gainLife         = 1800.0
+	loadHalfLifeSeconds = 60.0
+	gainLifeSeconds     = 1800.0
 
-	// A decision that took long is timed again: on a busy machine the longest times
-	// are those of waiting for a core.
-	retimeAbove = 12 * time.Millisecond
-	retimes     = 3
-	storeRate   = 2e9
+	// Plans that took longer than remeasureThreshold are computed again, since on a busy
+	// machine the longest times include waiting for a core.
+	remeasureThreshold  = 12 * time.Millisecond
+	maxRemeasurements   = 3
+	storeBytesPerSecond = 2e9
 )
 
-// Policies of the two kinds of operator.
+// Cost weights of the two kinds of operator: SkewPolicy favours low skew, CostPolicy few
+// bytes moved.
 var (
 	SkewPolicy = expert.CostWeights{Skew: 3, Move: 1}
 	CostPolicy = expert.CostWeights{Skew: 0.6, Move: 1}
 )
 
-// curvePrices are the prices of a gigabyte along the curve of skew against bytes.
-var curvePrices = []float64{0.03, 0.1, 1, 4, 10, 30}
+// curveMovePrices are the weights of moved bytes (CostWeights.Move) along the curve of skew
+// against bytes.
+var curveMovePrices = []float64{0.03, 0.1, 1, 4, 10, 30}
 
-// curveShape is the size that the curve is drawn for.
+// curveShape is the group size of the curve.
 var curveShape = ExpertShapes[1]
 
-func expertContestants(curve bool) []*contestant {
-	list := []*contestant{
+// newPolicyRuns returns the policies under test. With curve, it adds those that are only
+// drawn on the curve.
+func newPolicyRuns(curve bool) []*policyRun {
+	list := []*policyRun{
 		{name: "none", kind: kindNone},
 		{name: "recompute", kind: kindRecompute},
 		{name: "plan skew", kind: kindPlan, weights: SkewPolicy},
@@ -77,89 +81,95 @@
 	if !curve {
 		return list
 	}
-	list = append(list, &contestant{name: "plan skew, trend", kind: kindPlan, weights: SkewPolicy, trend: 0.5})
-	for _, price := range curvePrices {
+	list = append(list, &policyRun{name: "plan skew, trend", kind: kindPlan, weights: SkewPolicy, trend: 0.5})
+	for _, price := range curveMovePrices {
 		name := fmt.Sprintf("plan at %g", price)
-		list = append(list, &contestant{name: name, kind: kindPlan, weights: expert.CostWeights{Skew: 1, Move: price}})
+		list = append(list, &policyRun{name: name, kind: kindPlan, weights: expert.CostWeights{Skew: 1, Move: price}})
 	}
 	return list
 }
 
-// Expert measures the planner against its baselines over a generated half day. It
-// also returns the curve of skew against bytes as SVG.
+// Expert measures the expert planner against its baselines over a generated trace of half a
+// day. It returns the report, and the curve of skew against bytes moved as SVG.
 func Expert(seed uint64) (r *Report, curve string) {
 	r = NewReport("expert", seed)
 	for _, s := range ExpertShapes {
-		list := expertContestants(s == curveShape)
-		bound := runExpert(s, seed, list)
-		points := reportExpert(r, s, list, bound)
+		list := newPolicyRuns(s == curveShape)
+		bounds := runExpertTrace(s, seed, list)
+		points := addExpertRows(r, s, list, bounds)
 		if s == curveShape {
-			curve = plotCurve(fmt.Sprintf("%d ranks, %d experts, %d layers: what a byte buys", s.Ranks, s.Experts, s.Layers), points)
+			curve = plotCurve(fmt.Sprintf("%d ranks, %d experts, %d layers: skew against bytes moved", s.Ranks, s.Experts, s.Layers), points)
 		}
 	}
 	return r, curve
 }
 
-func runExpert(s expert.Shape, seed uint64, list []*contestant) (bound []float64) {
-	trace := NewExpertTrace(s, expertPeriod, seed)
-	loads := trace.Next(nil)
-	first := expert.Recompute(s, loads, trace.Speeds())
+// runExpertTrace runs all policies over a trace. It returns the lower bound of the skew in
+// each period.
+func runExpertTrace(s expert.Shape, seed uint64, list []*policyRun) (bounds []float64) {
+	trace := NewExpertTrace(s, expertPeriodSeconds, seed)
+	loads := trace.NextLoads(nil)
+	initial := expert.Recompute(s, loads, trace.Speeds())
 	for _, c := range list {
-		c.live = first
-		c.estimate.HalfLifeSeconds = estimateHalfLife
-		c.estimate.TrendShare = c.trend
+		c.current = initial
+		c.loadEstimate.HalfLifeSeconds = loadHalfLifeSeconds
+		c.loadEstimate.TrendShare = c.trend
 	}
-	for p := range trace.Periods - 1 {
+	for period := range trace.Periods - 1 {
 		speeds := trace.Speeds()
-		bound = append(bound, expert.PredictStepTimes(first, loads, speeds).SkewLowerBound())
-		lost := trace.Lost()
+		bounds = append(bounds, expert.PredictStepTimes(initial, loads, speeds).SkewLowerBound())
+		lost := trace.IsReportLost()
 		for _, c := range list {
-			c.period(float64(p)*expertPeriod, trace, loads, lost)
+			c.runPeriod(float64(period)*expertPeriodSeconds, trace, loads, lost)
 		}
-		loads = trace.Next(loads)
+		loads = trace.NextLoads(loads)
 	}
-	return bound
+	return bounds
 }
 
-func (c *contestant) period(now float64, trace *ExpertTrace, loads []float64, lost bool) {
+// runPeriod records the skew of the current map and plans the next one. lost means that the
+// load reports of the period do not arrive, so that no plan is made.
+func (c *policyRun) runPeriod(now float64, trace *ExpertTrace, loads []float64, lost bool) {
 	speeds := trace.Speeds()
 	if c.next != nil {
-		c.live, c.next = c.next, nil
+		c.current, c.next = c.next, nil
 	}
-	c.skews = append(c.skews, expert.PredictStepTimes(c.live, loads, speeds).Skew())
+	c.skewSamples = append(c.skewSamples, expert.PredictStepTimes(c.current, loads, speeds).Skew())
 	if c.kind == kindNone || lost {
 		return
 	}
-	c.learn(now, trace.Report(c.live, loads), loads, speeds)
-	begin := time.Now()
-	c.next = c.decide(now)
-	took := time.Since(begin)
-	for range retimes {
-		if took < retimeAbove {
+	c.observe(now, trace.ReportedLoads(c.current, loads), loads, speeds)
+	start := time.Now()
+	c.next = c.nextMap(now)
+	elapsed := time.Since(start)
+	for range maxRemeasurements {
+		if elapsed < remeasureThreshold {
 			break
 		}
-		begin = time.Now()
-		c.decide(now) // the same input: the same work, without this time's preemption
-		took = min(took, time.Since(begin))
+		start = time.Now()
+		c.nextMap(now) // repeats the plan with the same input, to get a time without preemption
+		elapsed = min(elapsed, time.Since(start))
 	}
-	c.times = append(c.times, took)
+	c.planTimes = append(c.planTimes, elapsed)
 	if c.next != nil {
-		c.plans++
-		c.bytes += float64(c.live.Moves(c.next)) * expertMegabytes * 1e6
+		c.planCount++
+		c.movedBytes += float64(c.current.Moves(c.next)) * expertMegabytes * 1e6
 	}
 }
 
-// learn takes the loads, and each rank's time before the barrier.
-func (c *contestant) learn(now float64, report, loads, speeds []float64) {
-	c.estimate.Observe(now, report)
-	tokens := rankTokens(c.live, loads)
+// observe records the reported loads, and each rank's tokens and seconds before the barrier.
+func (c *policyRun) observe(now float64, report, loads, speeds []float64) {
+	c.loadEstimate.Observe(now, report)
+	tokens := rankTokens(c.current, loads)
 	seconds := make([]float64, len(tokens))
 	for r := range tokens {
 		seconds[r] = tokens[r] / speeds[r]
 	}
-	c.speeds.Observe(tokens, seconds)
+	c.speedEstimate.Observe(tokens, seconds)
 }
 
+// rankTokens returns the tokens that each rank computes in a step under a map. The load of an
+// expert is split evenly over its copies.
 func rankTokens(m *expert.Map, loads []float64) []float64 {
 	s := m.Shape
 	tokens := make([]float64, s.Ranks)
@@ -178,18 +188,19 @@
 	return tokens
 }
 
-func (c *contestant) decide(now float64) *expert.Map {
-	c.buf = c.estimate.Forecast(now+expertPeriod, c.buf[:0])
+// nextMap returns the map that the policy chooses for the next period; nil if planning fails.
+func (c *policyRun) nextMap(now float64) *expert.Map {
+	c.forecast = c.loadEstimate.Forecast(now+expertPeriodSeconds, c.forecast[:0])
 	if c.kind == kindRecompute {
-		return expert.Recompute(c.live.Shape, c.buf, c.speeds.RankSpeeds())
+		return expert.Recompute(c.current.Shape, c.forecast, c.speedEstimate.RankSpeeds())
 	}
 	plan, err := c.planner.Plan(&expert.PlanInput{
-		Map:                 c.live,
-		Loads:               c.buf,
-		RankSpeeds:          c.speeds.RankSpeeds(),
+		Map:                 c.current,
+		Loads:               c.forecast,
+		RankSpeeds:          c.speedEstimate.RankSpeeds(),
 		ExpertBytes:         expertMegabytes * 1e6,
-		StoreBytesPerSecond: storeRate,
-		GainLifeSeconds:     gainLife,
+		StoreBytesPerSecond: storeBytesPerSecond,
+		GainLifeSeconds:     gainLifeSeconds,
 		CostWeights:         c.weights,
 	})
 	if err != nil {
@@ -198,40 +209,42 @@
 	return plan.Map
 }
 
-func reportExpert(r *Report, s expert.Shape, list []*contestant, bound []float64) (points []point) {
+// addExpertRows adds the figures of all policies for one group size, and returns the points
+// of the curve.
+func addExpertRows(r *Report, s expert.Shape, list []*policyRun, bounds []float64) (points []point) {
 	size := fmt.Sprintf("%dx%d", s.Ranks, s.Experts)
-	r.Add(size+" bound", "skew_mean", "ratio", mean(bound))
-	all := 0.0
+	r.Add(size+" bound", "skew_mean", "ratio", mean(bounds))
+	recomputeBytes := 0.0
 	for _, c := range list {
 		if c.kind == kindRecompute {
-			all = c.bytes
+			recomputeBytes = c.movedBytes
 		}
 	}
 	for _, c := range list {
 		name := size + " " + c.name
 		if c.trend == 0 {
-			points = append(points, point{name: c.name, share: c.bytes / all, skew: mean(c.skews) / mean(bound)})
+			points = append(points, point{name: c.name, share: c.movedBytes / recomputeBytes, skew: mean(c.skewSamples) / mean(bounds)})
 		}
-		r.Add(name, "skew_mean", "ratio", mean(c.skews))
-		r.Add(name, "skew_p99", "ratio", percentile(c.skews, 0.99))
-		r.Add(name, "skew_over_bound", "ratio", mean(c.skews)/mean(bound))
-		r.Add(name, "moved", "GB", c.bytes/1e9)
-		r.Add(name, "moved_share", "of recompute", c.bytes/all)
-		r.Add(name, "plans", "count", float64(c.plans))
-		if len(c.times) > 0 {
-			slices.Sort(c.times)
-			r.Add(name, "plan_time_median", "ms", ms(c.times[len(c.times)/2]))
-			r.Add(name, "plan_time_p99", "ms", ms(c.times[len(c.times)*99/100]))
+		r.Add(name, "skew_mean", "ratio", mean(c.skewSamples))
+		r.Add(name, "skew_p99", "ratio", percentile(c.skewSamples, 0.99))
+		r.Add(name, "skew_over_bound", "ratio", mean(c.skewSamples)/mean(bounds))
+		r.Add(name, "moved", "GB", c.movedBytes/1e9)
+		r.Add(name, "moved_share", "of recompute", c.movedBytes/recomputeBytes)
+		r.Add(name, "plans", "count", float64(c.planCount))
+		if len(c.planTimes) > 0 {
+			slices.Sort(c.planTimes)
+			r.Add(name, "plan_time_median", "ms", ms(c.planTimes[len(c.planTimes)/2]))
+			r.Add(name, "plan_time_p99", "ms", ms(c.planTimes[len(c.planTimes)*99/100]))
 		}
 	}
-	r.Add(size, "planner_memory", "KB", plannerMemory(s))
-	r.Add(size, "loads_of_rank", "bytes", float64(reportBytes(s)))
-	r.Add(size, "loads_of_group", "bytes/s at 30 s", float64(reportBytes(s)*s.Ranks)/30)
+	r.Add(size, "planner_memory", "KB", plannerMemoryKB(s))
+	r.Add(size, "loads_of_rank", "bytes", float64(loadReportBytes(s)))
+	r.Add(size, "loads_of_group", "bytes/s at 30 s", float64(loadReportBytes(s)*s.Ranks)/30)
 	return points
 }
 
-// reportBytes returns the size of one rank's answer on loads, as it is sent.
-func reportBytes(s expert.Shape) int {
+// loadReportBytes returns the encoded size of one rank's load report, at the largest values.
+func loadReportBytes(s expert.Shape) int {
 	reply := wire.RankReply{
 		Incarnation: math.MaxUint64, Start: math.MaxUint32, Entered: true, Next: math.MaxUint32, Map: math.MaxUint64,
 		Loaded: []uint64{math.MaxUint64, math.MaxUint64},
@@ -239,7 +252,7 @@
 	}
 	raw, err := reply.MarshalMsg(nil)
 	if err != nil {
-		return 0 // plain structs always encode
+		return 0 // encoding a plain struct cannot fail
 	}
 	return len(raw)
 }
@@ -260,16 +273,17 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// plannerMemory returns what one owner keeps for a group: planner, map and loads.
-func plannerMemory(s expert.Shape) float64 {
+// plannerMemoryKB returns the heap that the owner of a group needs for it: planner, map and
+// loads.
+func plannerMemoryKB(s expert.Shape) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	trace := NewExpertTrace(s, expertPeriod, 1)
-	loads := trace.Next(nil)
-	c := &contestant{kind: kindPlan, weights: SkewPolicy, live: expert.InitialMap(s)}
-	c.estimate.HalfLifeSeconds = estimateHalfLife
-	c.period(0, trace, loads, false)
+	trace := NewExpertTrace(s, expertPeriodSeconds, 1)
+	loads := trace.NextLoads(nil)
+	c := &policyRun{kind: kindPlan, weights: SkewPolicy, current: expert.InitialMap(s)}
+	c.loadEstimate.HalfLifeSeconds = loadHalfLifeSeconds
+	c.runPeriod(0, trace, loads, false)
 	trace = nil
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/bench/expertplot.go
+++ b/bench/expertplot.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// point is one contestant on the curve of skew against bytes.
+// point is one policy on the curve of skew against bytes.
 type point struct {
 	name  string
-	share float64 // of the bytes that recomputing moves
-	skew  float64 // over the bound
+	share float64 // bytes moved, relative to those of a full recompute
+	skew  float64 // mean skew, relative to the lower bound
 }
 
-// Size and margins of the plot, in pixels.
+// Size and margins of the plot in pixels, and the range of its logarithmic x axis.
 const (
-	plotWidth   = 640
-	plotHeight  = 400
-	plotMargin  = 60
-	leastShare  = 1e-4
-	plotDecades = 4
+	plotWidth     = 640
+	plotHeight    = 400
+	plotMargin    = 60
+	minMovedShare = 1e-4
+	plotDecades   = 4
 )
 
-// plotCurve draws skew over the bound against the bytes moved as SVG.
+// plotCurve draws the skew, relative to its lower bound, against the bytes moved as SVG.
 func plotCurve(title string, points []point) string {
 	top := 1.0
 	for _, p := range points {
@@ -30,7 +30,7 @@
 	}
 	top = math.Ceil(top*20) / 20
 	x := func(share float64) float64 {
-		d := math.Log10(max(share, leastShare)/leastShare) / plotDecades
+		d := math.Log10(max(share, minMovedShare)/minMovedShare) / plotDecades
 		return plotMargin + d*(plotWidth-2*plotMargin)
 	}
 	y := func(skew float64) float64 {
@@ -40,7 +40,7 @@
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n", plotWidth, plotHeight)
 	fmt.Fprintf(&b, `<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="24" font-size="14">%s</text>`+"\n", plotMargin, title)
 	for d := range plotDecades + 1 {
-		share := leastShare * math.Pow10(d)
+		share := minMovedShare * math.Pow10(d)
 		fmt.Fprintf(&b, `<path d="M%.1f %d V%d" stroke="#ddd"/><text x="%.1f" y="%d" text-anchor="middle">%g %%</text>`+"\n",
 			x(share), plotMargin, plotHeight-plotMargin, x(share), plotHeight-plotMargin+18, share*100)
 	}
@@ -49,13 +49,13 @@
 			plotMargin, y(s), plotWidth-plotMargin, plotMargin-6, y(s)+4, s)
 	}
 	for i, p := range points {
-		// Neighbours on the curve lie close: every other label goes below its point.
-		below := -6.0
+		// Adjacent points lie close together, so every other label is drawn below its point.
+		labelOffset := -6.0
 		if i%2 == 1 {
-			below = 16
+			labelOffset = 16
 		}
 		fmt.Fprintf(&b, `<circle cx="%.1f" cy="%.1f" r="4" fill="#1f5fa8"/><text x="%.1f" y="%.1f" text-anchor="middle">%s</text>`+"\n",
-			x(p.share), y(p.skew), x(p.share), y(p.skew)+below, p.name)
+			x(p.share), y(p.skew), x(p.share), y(p.skew)+labelOffset, p.name)
 	}
 	fmt.Fprintf(&b, `<text x="%d" y="%d" text-anchor="middle">bytes moved, share of a full recompute</text>`+"\n", plotWidth/2, plotHeight-16)
 	fmt.Fprintf(&b, `<text x="14" y="%d" text-anchor="middle" transform="rotate(-90 14 %d)">mean skew over the lower bound</text></svg>`+"\n", plotHeight/2, plotHeight/2)
--- a/bench/figures.go
+++ b/bench/figures.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Quantile returns the value below which a part of the values lies; 0 without any. It
-// sorts them.
+// Quantile returns the q-quantile of v (0 <= q <= 1), or 0 if v is empty. It sorts v.
 func Quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -15,5 +14,5 @@
 	return v[int(q*float64(len(v)-1))]
 }
 
-// Millis returns a time in milliseconds.
+// Millis returns a duration in milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/bench/group/clock.go
+++ b/bench/group/clock.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// clock runs what is due in the order of virtual time.
+// clock runs timers in the order of virtual time.
 type clock struct {
-	now   time.Time
-	queue dueQueue
-	n     int
+	now          time.Time
+	queue        timerQueue
+	lastSequence int
 }
 
-type due struct {
-	at  time.Time
-	n   int // order among those of one instant
-	run func()
+// timer is a function to run at an instant.
+type timer struct {
+	at       time.Time
+	sequence int // order among timers of the same instant
+	run      func()
 }
 
-type dueQueue []due
+type timerQueue []timer
 
 // Len implements heap.Interface.
-func (q dueQueue) Len() int { return len(q) }
+func (q timerQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q dueQueue) Less(i, j int) bool {
+func (q timerQueue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].n < q[j].n
+		return q[i].sequence < q[j].sequence
 	}
 	return q[i].at.Before(q[j].at)
 }
 
 // Swap implements heap.Interface.
-func (q dueQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *dueQueue) Push(x any) { *q = append(*q, x.(due)) }
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
 // Pop implements heap.Interface.
-func (q *dueQueue) Pop() any {
+func (q *timerQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// after runs f once some time has passed.
+// after runs f when d has passed.
 func (c *clock) after(d time.Duration, f func()) {
-	c.n++
-	heap.Push(&c.queue, due{at: c.now.Add(d), n: c.n, run: f})
+	c.lastSequence++
+	heap.Push(&c.queue, timer{at: c.now.Add(d), sequence: c.lastSequence, run: f})
 }
 
-// runUntil runs all that is due before an instant.
+// runUntil runs all timers due before end, and advances the clock to end.
 func (c *clock) runUntil(end time.Time) {
 	for len(c.queue) > 0 && c.queue[0].at.Before(end) {
-		next := heap.Pop(&c.queue).(due)
+		next := heap.Pop(&c.queue).(timer)
 		c.now = next.at
 		next.run()
 	}
--- a/bench/group/engine.go
+++ b/bench/group/engine.go
@@ -1,7 +1,6 @@
-// Package group emulates a group of model engines whose ranks run each pass
-// together, in virtual time, and plays loads against it with the placing of the
-// gateway and with simpler ones. Costs follow the engines' published model; how
-// demand moves and how soon maps follow is given by a pattern.
+// Package group simulates a group of lock-step model engines in virtual time. It compares the
+// placement of the gateway with simpler policies under several load patterns. Costs follow the
+// engines' published model; a pattern defines how demand shifts and when expert maps follow.
 package group
 
 import (
@@ -13,32 +12,31 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Shape is the size of a group and what its callers want.
+// Shape is the size and cost model of a group, and the objectives and timeout of its callers.
 type Shape struct {
-	Name     string
-	Ranks    int
-	Entries  int // that send to it
-	Model    serving.EngineModel
-	Chunk    int // prompt tokens that a rank reads in one step
-	GapAim   time.Duration
-	Aim      time.Duration // for the first event
-	Patience time.Duration // callers leave without a first event
+	Name              string
+	Ranks             int
+	Entries           int // number of entries that send to the group
+	Model             serving.EngineModel
+	PrefillChunk      int // prompt tokens that a rank processes in one step
+	EventGapObjective time.Duration
+	LatencyObjective  time.Duration // limit for the first event
+	FirstEventTimeout time.Duration // callers disconnect if they get no first event in this time
 }
 
-// Shapes are the groups of the users' deployments of today, by their published
-// figures.
+// Shapes are the groups of the users' current deployments, by their published figures.
 var Shapes = []Shape{
 	{
-		Name: "12 ranks", Ranks: 12, Entries: 8, Chunk: 512,
-		GapAim: 120 * time.Millisecond, Aim: 500 * time.Millisecond, Patience: 2 * time.Second,
+		Name: "12 ranks", Ranks: 12, Entries: 8, PrefillChunk: 512,
+		EventGapObjective: 120 * time.Millisecond, LatencyObjective: 500 * time.Millisecond, FirstEventTimeout: 2 * time.Second,
 		Model: serving.EngineModel{
 			Slots: 12, StepsPerPass: 4, BaseStepTime: 4550 * time.Microsecond, StepTimePerStream: 905 * time.Microsecond,
 			PrefillRate: 61400, LayerSets: 4, Experts: 72, ExpertShare: 0.85, MeanPromptTokens: 800, MeanOutputTokens: 97,
 		},
 	},
 	{
-		Name: "63 ranks", Ranks: 63, Entries: 46, Chunk: 512,
-		GapAim: 150 * time.Millisecond, Aim: 500 * time.Millisecond, Patience: 2 * time.Second,
+		Name: "63 ranks", Ranks: 63, Entries: 46, PrefillChunk: 512,
+		EventGapObjective: 150 * time.Millisecond, LatencyObjective: 500 * time.Millisecond, FirstEventTimeout: 2 * time.Second,
 		Model: serving.EngineModel{
 			Slots: 10, StepsPerPass: 5, BaseStepTime: 4550 * time.Microsecond, StepTimePerStream: 1090 * time.Microsecond,
 			PrefillRate: 61400, LayerSets: 8, Experts: 252, ExpertShare: 0.85, MeanPromptTokens: 800, MeanOutputTokens: 95,
@@ -46,165 +44,168 @@
 	},
 }
 
-// job is one caller's stream.
+// job is one stream that a caller requests.
 type job struct {
-	arrived time.Time
-	read    float64 // prompt tokens that are still to be read
-	prompt  float64
-	write   float64 // tokens that are still to be written
-	first   time.Time
-	last    time.Time // latest event
-	gap     time.Duration
-	ended   time.Time
-	outcome outcome
-	rank    int
-	request placing.Request
-	left    func() // the caller has gone, or the stream has ended
+	arrived     time.Time
+	prefillLeft float64 // prompt tokens still to be processed
+	prompt      float64
+	decodeLeft  float64 // tokens still to be generated
+	firstEvent  time.Time
+	lastEvent   time.Time // latest event
+	maxGap      time.Duration
+	ended       time.Time
+	outcome     outcome
+	rank        int
+	request     placing.Request
+	onEnd       func() // called when the caller has disconnected or the stream has ended
 }
 
-// engine is one rank.
-type engine struct {
+// rank is the engine of one rank with its streams.
+type rank struct {
 	waiting []*job
 	running []*job
 }
 
-// engines are the group.
-type engines struct {
-	clock   *clock
-	shape   *Shape
-	pattern *Pattern
-	ranks   []engine
-	begun   time.Time
-	passing bool
-	passes  int
-	passed  time.Duration
+// rankGroup is a group of ranks that run each pass together.
+type rankGroup struct {
+	clock     *clock
+	shape     *Shape
+	pattern   *Pattern
+	ranks     []rank
+	startedAt time.Time
+	isRunning bool
+	passCount int
+	passTime  time.Duration
 }
 
-// add sends a stream to a rank.
-func (g *engines) add(rank int, j *job) {
+// enqueue adds a stream to a rank, and starts a pass if the group is idle.
+func (g *rankGroup) enqueue(rank int, j *job) {
 	j.rank = rank
 	g.ranks[rank].waiting = append(g.ranks[rank].waiting, j)
-	if !g.passing {
-		g.pass()
+	if !g.isRunning {
+		g.runPass()
 	}
 }
 
-// pass runs one pass of all ranks, and the next one after it.
-func (g *engines) pass() {
+// runPass runs one pass of all ranks and schedules the next one. The group becomes idle when
+// no rank has a running stream.
+func (g *rankGroup) runPass() {
 	m := &g.shape.Model
-	now := g.clock.now.Sub(g.begun)
-	imbalance, copying := g.pattern.imbalance(now)
-	var total, own float64 // milliseconds of work for tokens; of the slowest rank's own part
-	busy := false
-	reads := make([]map[*job]float64, len(g.ranks))
+	now := g.clock.now.Sub(g.startedAt)
+	imbalance, copying := g.pattern.imbalanceAt(now)
+	var totalWork, maxOwnPart float64 // total token work of all ranks, and the longest non-expert part of a rank, in ms
+	hasWork := false
+	prefilled := make([]map[*job]float64, len(g.ranks))
 	for r := range g.ranks {
 		e := &g.ranks[r]
-		e.admit(m.Slots)
-		busy = busy || len(e.running) > 0
-		work, read := e.work(g.shape)
-		reads[r] = read
-		total += work
-		pace := g.pattern.pace(r, now)
-		fixed := float64(m.StepsPerPass) * bench.Millis(m.BaseStepTime)
-		own = max(own, pace*(fixed+(1-m.ExpertShare)*work))
+		e.startWaiting(m.Slots)
+		hasWork = hasWork || len(e.running) > 0
+		work, rankPrefilled := e.passWork(g.shape)
+		prefilled[r] = rankPrefilled
+		totalWork += work
+		slowdown := g.pattern.slowdownAt(r, now)
+		baseTime := float64(m.StepsPerPass) * bench.Millis(m.BaseStepTime)
+		maxOwnPart = max(maxOwnPart, slowdown*(baseTime+(1-m.ExpertShare)*work))
 	}
-	g.passing = busy
-	if !busy {
+	g.isRunning = hasWork
+	if !hasWork {
 		return
 	}
-	ms := own + m.ExpertShare*total/float64(len(g.ranks))*imbalance
+	ms := maxOwnPart + m.ExpertShare*totalWork/float64(len(g.ranks))*imbalance
 	if copying {
-		ms *= copySlows
+		ms *= copySlowdown
 	}
-	took := time.Duration(ms * float64(time.Millisecond))
-	g.passes++
-	g.passed += took
-	g.clock.after(took, func() {
+	passTime := time.Duration(ms * float64(time.Millisecond))
+	g.passCount++
+	g.passTime += passTime
+	g.clock.after(passTime, func() {
 		for r := range g.ranks {
-			g.ranks[r].advance(g.clock.now, reads[r], float64(m.StepsPerPass))
+			g.ranks[r].finishPass(g.clock.now, prefilled[r], float64(m.StepsPerPass))
 		}
-		g.pass()
+		g.runPass()
 	})
 }
 
-// copySlows: passes take 15 in 100 longer while experts are copied. Source: the
-// platform's statement.
-const copySlows = 1.15
+// copySlowdown is the factor by which passes take longer while experts are copied. Source:
+// the statement of the platform.
+const copySlowdown = 1.15
 
-// admit lets waiting streams run as far as there are places.
-func (e *engine) admit(slots int) {
+// startWaiting starts waiting streams, in order, while slots are free.
+func (e *rank) startWaiting(slots int) {
 	for len(e.waiting) > 0 && len(e.running) < slots {
 		e.running = append(e.running, e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
 }
 
-// work returns the milliseconds that a rank's tokens take in one pass, and the
-// prompt tokens that are read in it.
-func (e *engine) work(s *Shape) (ms float64, read map[*job]float64) {
-	budget := float64(s.Chunk * s.Model.StepsPerPass)
-	read = make(map[*job]float64)
-	writers := 0
+// passWork returns the milliseconds that the tokens of a rank take in one pass, and the prompt
+// tokens of each stream that the pass processes.
+func (e *rank) passWork(s *Shape) (ms float64, prefilled map[*job]float64) {
+	budget := float64(s.PrefillChunk * s.Model.StepsPerPass)
+	prefilled = make(map[*job]float64)
+	decoding := 0
 	for _, j := range e.running {
-		if j.read <= 0 {
-			writers++
+		if j.prefillLeft <= 0 {
+			decoding++
 			continue
 		}
-		n := min(j.read, budget)
+		n := min(j.prefillLeft, budget)
 		budget -= n
-		read[j] = n
+		prefilled[j] = n
 		ms += n / s.Model.PrefillRate * 1000
 	}
-	ms += float64(s.Model.StepsPerPass) * bench.Millis(s.Model.StepTimePerStream) * float64(writers)
-	return ms, read
+	ms += float64(s.Model.StepsPerPass) * bench.Millis(s.Model.StepTimePerStream) * float64(decoding)
+	return ms, prefilled
 }
 
-// advance ends a pass of one rank: prompts are read, writers have an event.
-func (e *engine) advance(now time.Time, read map[*job]float64, stride float64) {
-	var still []*job
+// finishPass applies a completed pass to one rank: prefill advances, and each decoding stream
+// has an event.
+func (e *rank) finishPass(now time.Time, prefilled map[*job]float64, stepsPerPass float64) {
+	var remaining []*job
 	for _, j := range e.running {
-		if j.outcome != open {
-			continue // its caller has left
+		if j.outcome != pending {
+			continue // its caller has disconnected
 		}
-		if n, reads := read[j]; reads || j.read > 0 {
-			j.read -= n
-			still = append(still, j)
+		if n, inPrefill := prefilled[j]; inPrefill || j.prefillLeft > 0 {
+			j.prefillLeft -= n
+			remaining = append(remaining, j)
 			continue
 		}
-		j.event(now)
-		if j.write -= stride; j.write > 0 {
-			still = append(still, j)
+		j.recordEvent(now)
+		if j.decodeLeft -= stepsPerPass; j.decodeLeft > 0 {
+			remaining = append(remaining, j)
 			continue
 		}
-		j.outcome, j.ended = whole, now
-		j.left()
+		j.outcome, j.ended = complete, now
+		j.onEnd()
 	}
-	e.running = still
+	e.running = remaining
 }
 
-func (j *job) event(now time.Time) {
-	if j.first.IsZero() {
-		j.first = now
+// recordEvent records the time of an event and the gap since the previous one.
+func (j *job) recordEvent(now time.Time) {
+	if j.firstEvent.IsZero() {
+		j.firstEvent = now
 	} else {
-		j.gap = max(j.gap, now.Sub(j.last))
+		j.maxGap = max(j.maxGap, now.Sub(j.lastEvent))
 	}
-	j.last = now
+	j.lastEvent = now
 }
 
-// drop takes a stream out whose caller has left.
-func (e *engine) drop(j *job) {
-	for i, o := range e.waiting {
-		if o == j {
+// removeWaiting removes a stream whose caller has disconnected from the waiting streams.
+func (e *rank) removeWaiting(j *job) {
+	for i, waiting := range e.waiting {
+		if waiting == j {
 			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-// sizes draws the tokens of a stream: prompts and answers spread as the users'
-// requests do, with a long tail.
-func (s *Shape) sizes(rng *rand.Rand) (prompt, answer float64) {
-	prompt = min(s.Model.MeanPromptTokens*(0.3+0.7*rng.ExpFloat64()), 3.2*s.Model.MeanPromptTokens)
-	answer = min(s.Model.MeanOutputTokens*(0.3+0.7*rng.ExpFloat64()), 2.5*s.Model.MeanOutputTokens)
-	return prompt, max(answer, 1)
+// drawSizes draws the prompt and output tokens of a stream, distributed with a long tail like
+// the users' requests.
+func (s *Shape) drawSizes(rng *rand.Rand) (promptTokens, outputTokens float64) {
+	promptTokens = min(s.Model.MeanPromptTokens*(0.3+0.7*rng.ExpFloat64()), 3.2*s.Model.MeanPromptTokens)
+	outputTokens = min(s.Model.MeanOutputTokens*(0.3+0.7*rng.ExpFloat64()), 2.5*s.Model.MeanOutputTokens)
+	return promptTokens, max(outputTokens, 1)
 }
--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -10,141 +10,147 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Policy is a way to place requests.
+// Policy is a placement policy.
 type Policy string
 
-// Policies. All but PolicyOracle know of other entries' requests only what was
-// reported last.
+// Placement policies. All except PolicyOracle know the requests of other entries only from the
+// latest load report.
 const (
-	PolicyRandom Policy = "random"
-	PolicyLeast  Policy = "least outstanding" // no limit and no waiting
-	PolicyOurs   Policy = "heatherrail"
-	PolicyOracle Policy = "oracle" // heatherrail as one entry that knows all loads as they are
+	PolicyRandom      Policy = "random"
+	PolicyLeast       Policy = "least outstanding" // without limit and queue
+	PolicyHeatherrail Policy = "heatherrail"
+	PolicyOracle      Policy = "oracle" // heatherrail as a single entry with the current load of each rank
 )
 
-// Policies that are compared.
-var Policies = []Policy{PolicyRandom, PolicyLeast, PolicyOurs, PolicyOracle}
+// Policies are the policies that are compared.
+var Policies = []Policy{PolicyRandom, PolicyLeast, PolicyHeatherrail, PolicyOracle}
 
-// Times of what entries do.
+// Intervals and shares used by entries.
 const (
-	reportEvery = 100 * time.Millisecond // the leader's rounds
-	pollEvery   = 184 * time.Millisecond // entries' questions, with 46 of them
-	// firstEventShare of a caller's patience is kept for the engine's work.
+	reportInterval = 100 * time.Millisecond // between load reports of the leader
+	pollInterval   = 184 * time.Millisecond // between load queries of an entry, as with 46 entries
+	// firstEventShare is the share of the first-event timeout that is reserved for the
+	// engine; the rest is the maximum time in the queue.
 	firstEventShare = 0.25
 )
 
-// entry sends requests.
+// entry places requests on the ranks of the group.
 type entry struct {
-	w       *world
-	book    *placing.Tracker
-	gate    placing.AdmissionQueue
-	waiting []waiting           // in the order of arrival
-	told    placing.QueueCounts // at the latest question
+	sim            *simulation
+	tracker        *placing.Tracker
+	queue          placing.AdmissionQueue
+	queued         []queuedJob         // in order of arrival
+	reportedCounts placing.QueueCounts // sent with the latest load query
 }
 
-// waiting is a request at the gate.
-type waiting struct {
-	at  *placing.Waiter
-	job *job
+// queuedJob is a request in the admission queue.
+type queuedJob struct {
+	waiter *placing.Waiter
+	job    *job
 }
 
-func newEntry(w *world, n int) *entry {
-	return &entry{w: w, book: placing.NewTracker(fmt.Sprint(n), fmt.Sprint(n%3), rand.New(rand.NewPCG(w.seed, uint64(n))))}
+func newEntry(sim *simulation, n int) *entry {
+	return &entry{sim: sim, tracker: placing.NewTracker(fmt.Sprint(n), fmt.Sprint(n%3), rand.New(rand.NewPCG(sim.seed, uint64(n))))}
 }
 
-func (e *entry) lane() placing.TargetPool {
-	return placing.TargetPool{Service: &e.w.service, EventGapObjective: e.w.shape.GapAim, Targets: e.w.targets, Entries: len(e.w.entries)}
+// targetPool returns the pool of all targets of the group.
+func (e *entry) targetPool() placing.TargetPool {
+	return placing.TargetPool{Service: &e.sim.service, EventGapObjective: e.sim.shape.EventGapObjective, Targets: e.sim.targets, Entries: len(e.sim.entries)}
 }
 
-// take places a request, or lets it wait.
-func (e *entry) take(j *job) {
-	now := e.w.clock.now
-	size := placing.Size{PromptTokens: j.prompt, OutputTokens: j.write}
-	switch e.w.policy {
+// place dispatches a request at once, or adds it to the admission queue if the policy uses
+// one.
+func (e *entry) place(j *job) {
+	now := e.sim.clock.now
+	size := placing.Size{PromptTokens: j.prompt, OutputTokens: j.decodeLeft}
+	switch e.sim.policy {
 	case PolicyRandom:
-		e.send(e.w.targets[e.w.rng.IntN(len(e.w.targets))], j, size, true)
+		e.dispatch(e.sim.targets[e.sim.rng.IntN(len(e.sim.targets))], j, size, true)
 		return
 	case PolicyLeast:
-		e.send(e.book.Place(e.w.targets, func(*serving.Target) bool { return false }, now), j, size, true)
+		e.dispatch(e.tracker.Place(e.sim.targets, func(*serving.Target) bool { return false }, now), j, size, true)
 		return
 	}
 	r := &j.request
 	*r = placing.Request{
 		Arrived:          now,
-		LatencyObjective: e.w.shape.Aim,
-		MaxWait:          time.Duration(float64(e.w.shape.Patience) * (1 - firstEventShare)),
+		LatencyObjective: e.sim.shape.LatencyObjective,
+		MaxWait:          time.Duration(float64(e.sim.shape.FirstEventTimeout) * (1 - firstEventShare)),
 		Size:             size,
 	}
-	waiter, _, ok := e.gate.Enqueue(r, now)
+	waiter, _, ok := e.queue.Enqueue(r, now)
 	if !ok {
-		j.end(refused, now)
+		j.finish(rejected, now)
 		return
 	}
-	e.waiting = append(e.waiting, waiting{at: waiter, job: j})
-	e.w.clock.after(r.MaxWait, func() {
-		if e.gate.Remove(waiter) {
-			e.waiting = slices.DeleteFunc(e.waiting, func(o waiting) bool { return o.job == j })
-			j.end(refusedLate, e.w.clock.now)
+	e.queued = append(e.queued, queuedJob{waiter: waiter, job: j})
+	e.sim.clock.after(r.MaxWait, func() {
+		if e.queue.Remove(waiter) {
+			e.queued = slices.DeleteFunc(e.queued, func(o queuedJob) bool { return o.job == j })
+			j.finish(rejectedAfterWait, e.sim.clock.now)
 		}
 	})
-	e.letGo()
+	e.admitWaiting()
 }
 
-// gated tells whether requests wait at the gate.
-func (e *entry) gated() bool { return e.w.policy == PolicyOurs || e.w.policy == PolicyOracle }
+// usesQueue reports whether the policy has an admission queue.
+func (e *entry) usesQueue() bool {
+	return e.sim.policy == PolicyHeatherrail || e.sim.policy == PolicyOracle
+}
 
-// letGo sends what the gate lets go.
-func (e *entry) letGo() {
-	if e.w.pattern.Outage.has(e.w.clock.now.Sub(e.w.engines.begun)) {
+// admitWaiting dispatches the requests that the admission queue admits now.
+func (e *entry) admitWaiting() {
+	if e.sim.pattern.Outage.contains(e.sim.clock.now.Sub(e.sim.group.startedAt)) {
 		return
 	}
-	placing.Admit(&e.gate, e.book, e.lane(), e.w.clock.now)
-	var still []waiting
+	placing.Admit(&e.queue, e.tracker, e.targetPool(), e.sim.clock.now)
+	var remaining []queuedJob
 	var targets []*serving.Target
 	var jobs []*job
-	for _, o := range e.waiting {
+	for _, q := range e.queued {
 		select {
-		case t := <-o.at.Granted():
-			targets, jobs = append(targets, t), append(jobs, o.job)
+		case t := <-q.waiter.Granted():
+			targets, jobs = append(targets, t), append(jobs, q.job)
 		default:
-			still = append(still, o)
+			remaining = append(remaining, q)
 		}
 	}
-	e.waiting = still
+	e.queued = remaining
 	for i, j := range jobs {
-		e.send(targets[i], j, placing.Size{PromptTokens: j.prompt}, false)
+		e.dispatch(targets[i], j, placing.Size{PromptTokens: j.prompt}, false)
 	}
 }
 
-// send sends a request to a target.
-func (e *entry) send(t *serving.Target, j *job, size placing.Size, begin bool) {
-	if begin {
-		e.book.StartAttempt(t, size)
+// dispatch sends a request to a target. startAttempt is true if the tracker has not yet counted
+// the attempt, as without the admission queue.
+func (e *entry) dispatch(t *serving.Target, j *job, size placing.Size, startAttempt bool) {
+	if startAttempt {
+		e.tracker.StartAttempt(t, size)
 	}
-	account := e.book.TargetState(t)
-	over := false
-	j.left = func() {
-		if over {
+	state := e.tracker.TargetState(t)
+	ended := false
+	j.onEnd = func() {
+		if ended {
 			return
 		}
-		over = true
-		e.book.RecordResponseStart(account, size)
-		e.book.EndAttempt(account, &j.request, e.w.clock.now)
-		if e.gated() {
-			e.letGo()
+		ended = true
+		e.tracker.RecordResponseStart(state, size)
+		e.tracker.EndAttempt(state, &j.request, e.sim.clock.now)
+		if e.usesQueue() {
+			e.admitWaiting()
 		}
 	}
-	e.w.engines.add(e.w.rankOf[t.ID], j)
+	e.sim.group.enqueue(e.sim.rankOf[t.ID], j)
 }
 
-// poll takes the latest report.
-func (e *entry) poll() {
-	e.told = e.gate.QueueCounts(e.w.clock.now)
-	if e.w.reported.state.ReportedAt.IsZero() {
+// applyReport sends the queue counts and applies the latest load report to the tracker.
+func (e *entry) applyReport() {
+	e.reportedCounts = e.queue.QueueCounts(e.sim.clock.now)
+	if e.sim.lastReport.state.ReportedAt.IsZero() {
 		return
 	}
-	e.book.ApplyLoadReport(e.w.service.Name, e.w.targets, e.w.reported.loads, e.w.reported.state)
-	if e.gated() {
-		e.letGo()
+	e.tracker.ApplyLoadReport(e.sim.service.Name, e.sim.targets, e.sim.lastReport.loads, e.sim.lastReport.state)
+	if e.usesQueue() {
+		e.admitWaiting()
 	}
 }
--- a/bench/group/figures.go
+++ b/bench/group/figures.go
@@ -4,67 +4,70 @@
 	"github.com/heatherrail/heatherrail/bench"
 )
 
-// Figures are the shares of requests by what became of them, and times.
+// Figures holds the shares of requests by outcome, and times.
 type Figures struct {
-	Requests    int
-	InAim       float64 // whole, first event and pauses within their aims
-	Late        float64 // whole, but late
-	Refused     float64 // at once
-	RefusedLate float64 // after a wait
-	Left        float64
-	First50     float64 // ms until the first event
-	First95     float64
-	PassMS      float64 // mean time of a pass
+	Requests          int
+	MetObjectives     float64 // complete, first event and event gaps within their objectives
+	Late              float64 // complete, but an objective was missed
+	Rejected          float64 // rejected without waiting
+	RejectedAfterWait float64 // rejected after waiting in the queue
+	Abandoned         float64
+	FirstEventP50     float64 // ms from arrival to the first event
+	FirstEventP95     float64
+	PassMS            float64 // mean time of a pass
 }
 
-// Worth is what the answers are worth to callers, of what all in aim would be.
-func (f *Figures) Worth() float64 { return f.InAim + lateWorth*f.Late }
+// Worth returns the value of the answers to callers, relative to that of all requests within
+// their objectives.
+func (f *Figures) Worth() float64 { return f.MetObjectives + lateWorth*f.Late }
 
-// lateWorth is what a late stream is worth. Source: the users' sheet.
+// lateWorth is the value of a complete stream that missed an objective, relative to one within
+// them. Source: the users' requirements sheet.
 const lateWorth = 0.49
 
-func (w *world) figures() Figures {
-	f := Figures{Requests: len(w.jobs), PassMS: bench.Millis(w.engines.passed) / float64(max(w.engines.passes, 1))}
-	each := 1 / float64(max(len(w.jobs), 1))
-	var first []float64
-	for _, j := range w.jobs {
-		if !j.first.IsZero() {
-			first = append(first, bench.Millis(j.first.Sub(j.arrived)))
+func (sim *simulation) figures() Figures {
+	f := Figures{Requests: len(sim.jobs), PassMS: bench.Millis(sim.group.passTime) / float64(max(sim.group.passCount, 1))}
+	share := 1 / float64(max(len(sim.jobs), 1))
+	var firstEvents []float64
+	for _, j := range sim.jobs {
+		if !j.firstEvent.IsZero() {
+			firstEvents = append(firstEvents, bench.Millis(j.firstEvent.Sub(j.arrived)))
 		}
 		switch {
-		case j.outcome == whole && j.inAim(w.shape):
-			f.InAim += each
-		case j.outcome == whole:
-			f.Late += each
-		case j.outcome == refused:
-			f.Refused += each
-		case j.outcome == refusedLate:
-			f.RefusedLate += each
+		case j.outcome == complete && j.metObjectives(sim.shape):
+			f.MetObjectives += share
+		case j.outcome == complete:
+			f.Late += share
+		case j.outcome == rejected:
+			f.Rejected += share
+		case j.outcome == rejectedAfterWait:
+			f.RejectedAfterWait += share
 		default:
-			f.Left += each
+			f.Abandoned += share
 		}
 	}
-	f.First50, f.First95 = bench.Quantile(first, 0.5), bench.Quantile(first, 0.95)
+	f.FirstEventP50, f.FirstEventP95 = bench.Quantile(firstEvents, 0.5), bench.Quantile(firstEvents, 0.95)
 	return f
 }
 
-func (j *job) inAim(s *Shape) bool {
-	return j.first.Sub(j.arrived) <= s.Aim && j.gap <= s.GapAim
+// metObjectives reports whether the first event and all event gaps were within the objectives.
+func (j *job) metObjectives(s *Shape) bool {
+	return j.firstEvent.Sub(j.arrived) <= s.LatencyObjective && j.maxGap <= s.EventGapObjective
 }
 
-// mean returns the mean figures of several plays.
+// mean returns the mean figures of several simulations.
 func mean(all []Figures) Figures {
 	var m Figures
 	n := float64(len(all))
 	for _, f := range all {
 		m.Requests += f.Requests
-		m.InAim += f.InAim / n
+		m.MetObjectives += f.MetObjectives / n
 		m.Late += f.Late / n
-		m.Refused += f.Refused / n
-		m.RefusedLate += f.RefusedLate / n
-		m.Left += f.Left / n
-		m.First50 += f.First50 / n
-		m.First95 += f.First95 / n
+		m.Rejected += f.Rejected / n
+		m.RejectedAfterWait += f.RejectedAfterWait / n
+		m.Abandoned += f.Abandoned / n
+		m.FirstEventP50 += f.FirstEventP50 / n
+		m.FirstEventP95 += f.FirstEventP95 / n
 		m.PassMS += f.PassMS / n
 	}
 	m.Requests /= len(all)
--- a/bench/group/pattern.go
+++ b/bench/group/pattern.go
@@ -2,95 +2,97 @@
 
 import "time"
 
-// Pattern is what happens to a group while a load is played.
+// Pattern defines the load on a group and the faults during a simulation.
 type Pattern struct {
-	Name  string
-	Load  float64       // of what the group bears when calm and full
-	Every time.Duration // demand moves; 0: never
-	Maps  []MapStep     // after each move
-	Burst float64       // load in one second of four, in times of Load; 0: none
-	// Frozen is the time in which nothing is reported and no map follows.
+	Name          string
+	Load          float64       // relative to the capacity of the group with a balanced map
+	ShiftInterval time.Duration // between demand shifts; 0: none
+	MapSteps      []MapStep     // imbalance after each shift
+	BurstFactor   float64       // factor on Load in one second of every four; 0: none
+	// Frozen is the span in which the leader sends no load reports and no new map.
 	Frozen Span
-	// Outage is the time in which the group runs nothing, and requests wait for it.
+	// Outage is the span in which entries dispatch nothing to the group, and requests wait.
 	Outage Span
-	// Slow is the time in which rank 5 takes SlowPace times as long.
+	// Slow is the span in which the rank slowRankIndex is slower by the factor Slowdown.
 	Slow     Span
-	SlowPace float64
+	Slowdown float64
 }
 
-// MapStep is the imbalance until some time after a move.
+// MapStep is the imbalance until a given time after a demand shift.
 type MapStep struct {
-	Until     time.Duration
-	Imbalance float64
-	Copying   bool
+	Until     time.Duration // since the shift
+	Imbalance float64       // time of the most loaded rank, relative to even loads
+	Copying   bool          // experts are copied meanwhile, which slows passes
 }
 
-// Span is a part of the time that is played.
+// Span is a part of the simulated time, including From and excluding To.
 type Span struct{ From, To time.Duration }
 
-func (s Span) has(t time.Duration) bool { return t >= s.From && t < s.To }
+func (s Span) contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// calm is the imbalance of a map that fits.
-const calm = 1.15
+// balancedImbalance is the imbalance of a map that suits the current demand.
+const balancedImbalance = 1.15
 
-// Steps of the maps after a move: of today, and of the slower way before, when the
-// leader read counts of a quarter of the ranks and sent each map to all by itself.
-// Both are read off the leader's log on a deployment of 63 ranks.
+// Map steps after a demand shift: with the current leader, and with an earlier one that read
+// the counts of a quarter of the ranks only and sent each map to all ranks itself. Source: the
+// log of the leader on a deployment of 63 ranks.
 var (
-	quickMaps = []MapStep{{150 * time.Millisecond, 2.8, false}, {290 * time.Millisecond, 2.8, true}, {400 * time.Millisecond, 1.5, false}, {540 * time.Millisecond, 1.5, true}}
-	slowMaps  = []MapStep{{250 * time.Millisecond, 2.8, false}, {550 * time.Millisecond, 2.8, true}, {750 * time.Millisecond, 1.6, false}, {1070 * time.Millisecond, 1.6, true}}
+	fastMapSteps = []MapStep{{150 * time.Millisecond, 2.8, false}, {290 * time.Millisecond, 2.8, true}, {400 * time.Millisecond, 1.5, false}, {540 * time.Millisecond, 1.5, true}}
+	slowMapSteps = []MapStep{{250 * time.Millisecond, 2.8, false}, {550 * time.Millisecond, 2.8, true}, {750 * time.Millisecond, 1.6, false}, {1070 * time.Millisecond, 1.6, true}}
 )
 
-// Patterns are the loads that are played.
+// Patterns are the load patterns that are compared.
 var Patterns = []Pattern{
 	{Name: "calm", Load: 0.75},
-	{Name: "demand moves", Load: 0.75, Every: 2330 * time.Millisecond, Maps: quickMaps},
-	{Name: "demand moves, slow maps", Load: 0.75, Every: 2330 * time.Millisecond, Maps: slowMaps},
-	{Name: "full", Load: 0.9, Every: 2330 * time.Millisecond, Maps: quickMaps},
-	{Name: "twice too much", Load: 1.7, Every: 2330 * time.Millisecond, Maps: quickMaps},
-	{Name: "bursts", Load: 0.6, Burst: 1.7, Every: 2330 * time.Millisecond, Maps: quickMaps},
-	{Name: "frozen leader", Load: 0.75, Every: 2330 * time.Millisecond, Maps: quickMaps, Frozen: Span{8 * time.Second, 12 * time.Second}},
-	{Name: "after an outage", Load: 0.75, Every: 2330 * time.Millisecond, Maps: quickMaps, Outage: Span{8 * time.Second, 10 * time.Second}},
-	{Name: "slow rank", Load: 0.75, Every: 2330 * time.Millisecond, Maps: quickMaps, Slow: Span{8 * time.Second, 16 * time.Second}, SlowPace: 12},
+	{Name: "demand moves", Load: 0.75, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps},
+	{Name: "demand moves, slow maps", Load: 0.75, ShiftInterval: 2330 * time.Millisecond, MapSteps: slowMapSteps},
+	{Name: "full", Load: 0.9, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps},
+	{Name: "twice too much", Load: 1.7, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps},
+	{Name: "bursts", Load: 0.6, BurstFactor: 1.7, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps},
+	{Name: "frozen leader", Load: 0.75, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps, Frozen: Span{8 * time.Second, 12 * time.Second}},
+	{Name: "after an outage", Load: 0.75, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps, Outage: Span{8 * time.Second, 10 * time.Second}},
+	{Name: "slow rank", Load: 0.75, ShiftInterval: 2330 * time.Millisecond, MapSteps: fastMapSteps, Slow: Span{8 * time.Second, 16 * time.Second}, Slowdown: 12},
 }
 
-// imbalance returns how many times as long as even loads the ranks take at a time.
-func (p *Pattern) imbalance(t time.Duration) (times float64, copying bool) {
-	if p.Every == 0 {
-		return calm, false
+// imbalanceAt returns the imbalance at time t, and whether experts are being copied.
+func (p *Pattern) imbalanceAt(t time.Duration) (factor float64, copying bool) {
+	if p.ShiftInterval == 0 {
+		return balancedImbalance, false
 	}
-	if p.Frozen.has(t) {
-		return p.Maps[0].Imbalance, false
+	if p.Frozen.contains(t) {
+		return p.MapSteps[0].Imbalance, false
 	}
-	since := t % p.Every
-	for _, s := range p.Maps {
-		if since < s.Until {
-			return s.Imbalance, s.Copying
+	sinceShift := t % p.ShiftInterval
+	for _, step := range p.MapSteps {
+		if sinceShift < step.Until {
+			return step.Imbalance, step.Copying
 		}
 	}
-	return calm, false
+	return balancedImbalance, false
 }
 
-func (p *Pattern) worst() float64 {
-	if p.Every == 0 {
-		return calm
+// peakImbalance returns the highest imbalance of the pattern.
+func (p *Pattern) peakImbalance() float64 {
+	if p.ShiftInterval == 0 {
+		return balancedImbalance
 	}
-	return p.Maps[0].Imbalance
+	return p.MapSteps[0].Imbalance
 }
 
-const slowRank = 5
+const slowRankIndex = 5
 
-func (p *Pattern) pace(rank int, t time.Duration) float64 {
-	if rank == slowRank && p.Slow.has(t) {
-		return p.SlowPace
+// slowdownAt returns the factor by which a rank is slower than normal at time t.
+func (p *Pattern) slowdownAt(rank int, t time.Duration) float64 {
+	if rank == slowRankIndex && p.Slow.contains(t) {
+		return p.Slowdown
 	}
 	return 1
 }
 
-// load returns the load at a time.
-func (p *Pattern) load(t time.Duration) float64 {
-	if p.Burst > 0 && t%(4*time.Second) < time.Second {
-		return p.Load * p.Burst
+// loadAt returns the load at time t, relative to the capacity of the group.
+func (p *Pattern) loadAt(t time.Duration) float64 {
+	if p.BurstFactor > 0 && t%(4*time.Second) < time.Second {
+		return p.Load * p.BurstFactor
 	}
 	return p.Load
 }
--- a/bench/group/world.go
+++ b/bench/group/world.go
@@ -10,26 +10,26 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// outcome is what a caller got.
+// outcome is the result of a request at its caller.
 type outcome uint8
 
 const (
-	open        outcome = iota
-	whole               // its whole answer
-	refused             // a refusal at once
-	refusedLate         // a refusal after a wait
-	left                // nothing: it left
+	pending           outcome = iota
+	complete                  // the whole answer
+	rejected                  // rejected on arrival
+	rejectedAfterWait         // rejected after waiting in the queue
+	abandoned                 // the caller disconnected without an event
 )
 
-// end ends a request that did not get its answer.
-func (j *job) end(o outcome, now time.Time) {
-	if j.outcome == open {
+// finish records the outcome of a request that has none yet.
+func (j *job) finish(o outcome, now time.Time) {
+	if j.outcome == pending {
 		j.outcome, j.ended = o, now
 	}
 }
 
-// world is one play of a load.
-type world struct {
+// simulation is one run of a pattern with a policy.
+type simulation struct {
 	clock   clock
 	rng     *rand.Rand
 	seed    uint64
@@ -39,124 +39,129 @@
 	service serving.Service
 	targets []*serving.Target
 	rankOf  map[string]int
-	engines *engines
+	group   *rankGroup
 	entries []*entry
 	jobs    []*job
 
-	reported report
+	lastReport loadReport
 }
 
-// report is what the group's leader told last.
-type report struct {
+// loadReport is the latest load report of the group's leader.
+type loadReport struct {
 	loads map[string]placing.RankLoad
 	state placing.GroupState
 }
 
 const (
-	playTime = 20 * time.Second
-	endTime  = playTime + 4*time.Second
+	arrivalTime   = 20 * time.Second            // requests arrive in this time
+	simulatedTime = arrivalTime + 4*time.Second // lets the last requests end
 )
 
-// play plays a load and returns what became of it.
-func play(shape *Shape, pattern *Pattern, policy Policy, seed uint64) Figures {
-	w := newWorld(shape, pattern, policy, seed)
-	w.clock.after(0, w.report)
-	for _, e := range w.entries {
-		w.clock.after(time.Duration(w.rng.Int64N(int64(pollEvery))), func() { w.polls(e) })
+// simulate runs a pattern with a policy and returns its figures.
+func simulate(shape *Shape, pattern *Pattern, policy Policy, seed uint64) Figures {
+	sim := newSimulation(shape, pattern, policy, seed)
+	sim.clock.after(0, sim.reportLoads)
+	for _, e := range sim.entries {
+		sim.clock.after(time.Duration(sim.rng.Int64N(int64(pollInterval))), func() { sim.schedulePolls(e) })
 	}
-	w.clock.after(0, w.arrive)
-	w.clock.runUntil(w.engines.begun.Add(endTime))
-	return w.figures()
+	sim.clock.after(0, sim.arrive)
+	sim.clock.runUntil(sim.group.startedAt.Add(simulatedTime))
+	return sim.figures()
 }
 
-func newWorld(shape *Shape, pattern *Pattern, policy Policy, seed uint64) *world {
-	w := &world{
+func newSimulation(shape *Shape, pattern *Pattern, policy Policy, seed uint64) *simulation {
+	sim := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 11)), seed: seed, shape: shape, pattern: pattern, policy: policy,
 		service: serving.Service{Name: "s", Engine: &shape.Model},
 		rankOf:  make(map[string]int),
 	}
-	w.clock.now = time.Unix(0, 0)
-	w.engines = &engines{clock: &w.clock, shape: shape, pattern: pattern, ranks: make([]engine, shape.Ranks), begun: w.clock.now}
+	sim.clock.now = time.Unix(0, 0)
+	sim.group = &rankGroup{clock: &sim.clock, shape: shape, pattern: pattern, ranks: make([]rank, shape.Ranks), startedAt: sim.clock.now}
 	for r := range shape.Ranks {
 		t := &serving.Target{ID: fmt.Sprint(r), Address: fmt.Sprint(r), Service: "s", DataCentre: fmt.Sprint(r % 3)}
-		w.targets = append(w.targets, t)
-		w.rankOf[t.ID] = r
+		sim.targets = append(sim.targets, t)
+		sim.rankOf[t.ID] = r
 	}
 	entries := shape.Entries
 	if policy == PolicyOracle {
 		entries = 1
 	}
 	for n := range entries {
-		w.entries = append(w.entries, newEntry(w, n))
+		sim.entries = append(sim.entries, newEntry(sim, n))
 	}
-	return w
+	return sim
 }
 
-// capacity returns the streams a second of a calm group with all places taken.
+// capacity returns the streams per second of a group with a balanced map and all slots in
+// use.
 func (s *Shape) capacity() float64 {
 	m := &s.Model
-	each := bench.Millis(m.StepTimePerStream) * float64(m.Slots) * ((1 - m.ExpertShare) + m.ExpertShare*calm)
-	pass := float64(m.StepsPerPass) * (bench.Millis(m.BaseStepTime) + each)
-	passes := m.MeanOutputTokens/float64(m.StepsPerPass) + 1 // and one to read the prompt
-	reading := m.MeanPromptTokens / m.PrefillRate * 1000 * float64(m.Slots)
-	return float64(s.Ranks*m.Slots) / (passes*pass + reading) * 1000
+	streamTime := bench.Millis(m.StepTimePerStream) * float64(m.Slots) * ((1 - m.ExpertShare) + m.ExpertShare*balancedImbalance)
+	passMS := float64(m.StepsPerPass) * (bench.Millis(m.BaseStepTime) + streamTime)
+	passes := m.MeanOutputTokens/float64(m.StepsPerPass) + 1 // and one pass for the prompt
+	prefillMS := m.MeanPromptTokens / m.PrefillRate * 1000 * float64(m.Slots)
+	return float64(s.Ranks*m.Slots) / (passes*passMS + prefillMS) * 1000
 }
 
-// arrive brings a request, and the next one after a random time.
-func (w *world) arrive() {
-	t := w.clock.now.Sub(w.engines.begun)
-	if t >= playTime {
+// arrive creates a request and schedules the next one after an exponentially distributed
+// time.
+func (sim *simulation) arrive() {
+	sinceStart := sim.clock.now.Sub(sim.group.startedAt)
+	if sinceStart >= arrivalTime {
 		return
 	}
-	prompt, answer := w.shape.sizes(w.rng)
-	j := &job{arrived: w.clock.now, prompt: prompt, read: prompt, write: answer, left: func() {}}
-	w.jobs = append(w.jobs, j)
-	w.clock.after(w.shape.Patience, func() { w.leave(j) })
-	w.entries[w.rng.IntN(len(w.entries))].take(j)
-	rate := w.pattern.load(t) * w.shape.capacity()
-	w.clock.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), w.arrive)
+	promptTokens, outputTokens := sim.shape.drawSizes(sim.rng)
+	j := &job{arrived: sim.clock.now, prompt: promptTokens, prefillLeft: promptTokens, decodeLeft: outputTokens, onEnd: func() {}}
+	sim.jobs = append(sim.jobs, j)
+	sim.clock.after(sim.shape.FirstEventTimeout, func() { sim.abandonIfLate(j) })
+	sim.entries[sim.rng.IntN(len(sim.entries))].place(j)
+	rate := sim.pattern.loadAt(sinceStart) * sim.shape.capacity()
+	sim.clock.after(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
 }
 
-// leave lets a caller go that has had no event.
-func (w *world) leave(j *job) {
-	if j.outcome != open || !j.first.IsZero() {
+// abandonIfLate ends a request whose caller has had no event by the first-event timeout.
+func (sim *simulation) abandonIfLate(j *job) {
+	if j.outcome != pending || !j.firstEvent.IsZero() {
 		return
 	}
-	j.end(left, w.clock.now)
-	w.engines.ranks[j.rank].drop(j)
-	j.left()
+	j.finish(abandoned, sim.clock.now)
+	sim.group.ranks[j.rank].removeWaiting(j)
+	j.onEnd()
 }
 
-// report is the leader's look at the ranks.
-func (w *world) report() {
-	now := w.clock.now
-	t := now.Sub(w.engines.begun)
-	w.clock.after(reportEvery, w.report)
-	if w.pattern.Frozen.has(t) {
+// reportLoads is the periodic load report of the leader. It sends nothing while the leader is
+// frozen.
+func (sim *simulation) reportLoads() {
+	now := sim.clock.now
+	t := now.Sub(sim.group.startedAt)
+	sim.clock.after(reportInterval, sim.reportLoads)
+	if sim.pattern.Frozen.contains(t) {
 		return
 	}
-	loads := make(map[string]placing.RankLoad, len(w.targets))
-	for r, target := range w.targets {
-		e := &w.engines.ranks[r]
-		loads[target.Address] = placing.RankLoad{Running: len(e.running), Waiting: len(e.waiting), Slowdown: w.pattern.pace(r, t)}
+	loads := make(map[string]placing.RankLoad, len(sim.targets))
+	for r, target := range sim.targets {
+		e := &sim.group.ranks[r]
+		loads[target.Address] = placing.RankLoad{Running: len(e.running), Waiting: len(e.waiting), Slowdown: sim.pattern.slowdownAt(r, t)}
 	}
-	imbalance, _ := w.pattern.imbalance(t)
-	w.reported = report{loads: loads, state: placing.NewGroupState(loads, imbalance, w.pattern.worst(), w.wanting(), now)}
-	if w.policy == PolicyOracle {
-		w.entries[0].poll()
+	imbalance, _ := sim.pattern.imbalanceAt(t)
+	sim.lastReport = loadReport{loads: loads, state: placing.NewGroupState(loads, imbalance, sim.pattern.peakImbalance(), sim.queuedRequests(), now)}
+	if sim.policy == PolicyOracle {
+		sim.entries[0].applyReport()
 	}
 }
 
-// wanting returns how many requests the entries said that wait, when they asked last.
-func (w *world) wanting() (n placing.QueueCounts) {
-	for _, e := range w.entries {
-		n.InTime += e.told.InTime
-		n.Late += e.told.Late
+// queuedRequests returns the number of waiting requests that the entries sent with their latest
+// load queries.
+func (sim *simulation) queuedRequests() (n placing.QueueCounts) {
+	for _, e := range sim.entries {
+		n.InTime += e.reportedCounts.InTime
+		n.Late += e.reportedCounts.Late
 	}
 	return n
 }
 
-func (w *world) polls(e *entry) {
-	e.poll()
-	w.clock.after(pollEvery, func() { w.polls(e) })
+// schedulePolls applies the latest report at an entry, and again every pollInterval.
+func (sim *simulation) schedulePolls(e *entry) {
+	e.applyReport()
+	sim.clock.after(pollInterval, func() { sim.schedulePolls(e) })
 }
--- a/bench/report.go
+++ b/bench/report.go
@@ -1,5 +1,5 @@
-// Package bench holds the measurements that heatherrail makes of itself. Each
-// bench compares things within one run and reports rows of named figures.
+// Package bench contains the benchmarks of heatherrail. Each benchmark compares its subjects
+// within one run and reports rows of named figures.
 package bench
 
 import (
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 )
 
-// Report is what one bench found.
+// Report holds the results of one benchmark run.
 type Report struct {
 	Bench   string  `json:"bench"`
 	Seed    uint64  `json:"seed"`
@@ -18,7 +18,7 @@
 	Rows    []Row   `json:"rows"`
 }
 
-// Machine says where a report was made.
+// Machine describes the machine that a report was made on.
 type Machine struct {
 	OS    string `json:"os"`
 	Arch  string `json:"arch"`
@@ -26,8 +26,8 @@
 	Go    string `json:"go"`
 }
 
-// Row is one figure. Case tells rows of the same name apart, for example the
-// count of streams or the policy.
+// Row is one figure. Case distinguishes rows of the same name, for example by the number of
+// streams or the policy.
 type Row struct {
 	Case  string  `json:"case"`
 	Name  string  `json:"name"`
@@ -35,7 +35,7 @@
 	Value float64 `json:"value"`
 }
 
-// NewReport returns an empty report of this machine.
+// NewReport returns an empty report for the current machine.
 func NewReport(name string, seed uint64) *Report {
 	return &Report{
 		Bench: name,
@@ -60,7 +60,7 @@
 	FormatJSON = "json"
 )
 
-// Write writes the report in a format.
+// Write writes the report to w: as JSON if format is FormatJSON, otherwise as a table.
 func (r *Report) Write(w io.Writer, format string) error {
 	if format == FormatJSON {
 		enc := json.NewEncoder(w)
