--- a/bench/place/engine.go
+++ b/bench/place/engine.go
@@ -1,7 +1,6 @@
-// Package place measures placement, limits and fairness: the real decision
-// functions of package route around a small fake of engines' queues in virtual
-// time. Everything random comes from a seed, and the policies that are compared
-// see the same requests.
+// Package place measures placement, limits and fairness. It runs the real decision functions
+// of package route with simulated engines in virtual time. All randomness comes from a seed,
+// and the compared policies get the same requests.
 package place
 
 import (
@@ -11,148 +10,154 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// The fake engine batches continuously: each step generates one token for every
-// request whose prompt is computed, and computes up to stepPrefill prompt tokens.
+// The simulated engine uses continuous batching: each step generates one token for every
+// request whose prefill is complete, and computes up to prefillTokensPerStep prompt tokens.
 const (
-	engineSlots = 32
-	stepPrefill = 512
-	stepBase    = 4 * time.Millisecond
-	stepDecode  = 50 * time.Microsecond // for each request that generates
-	stepPrompt  = 20 * time.Microsecond // for each prompt token
-	blockTokens = route.BlockTokens
-	cacheBlocks = 1500 // prompt blocks that the engine can keep
+	engineSlots            = 32
+	prefillTokensPerStep   = 512
+	baseStepTime           = 4 * time.Millisecond
+	stepTimePerDecode      = 50 * time.Microsecond // per decoding request
+	stepTimePerPromptToken = 20 * time.Microsecond // per prompt token
+	blockTokens            = route.BlockTokens
+	cacheBlocks            = 1500 // capacity of the prefix cache in blocks
 )
 
-// sequence is one request inside an engine.
+// sequence is a request that waits or runs at an engine.
 type sequence struct {
 	req         *request
 	job         *route.Job
 	prefillLeft int
-	outLeft     int
+	decodeLeft  int
 }
 
+// engine is one simulated engine with the admission queue of its agent.
 type engine struct {
-	w       *world
-	index   int
-	dc      int
-	speed   float64 // 1: normal
-	gate    *route.AdmissionQueue
-	active  []*sequence
-	waiting map[*route.Job]*sequence
-	stepped bool // a step is under way
-	cache   map[uint64]*list.Element
-	lru     *list.List
-	events  []cacheEvent // since the last ones were sent
+	sim        *simulation
+	index      int
+	dataCentre int
+	speed      float64 // relative; 1: normal
+	queue      *route.AdmissionQueue
+	running    []*sequence
+	waiting    map[*route.Job]*sequence
+	isStepping bool // a step is running
+	cache      map[uint64]*list.Element
+	lru        *list.List
+	events     []cacheEvent // not yet sent to the entries
 }
 
+// cacheEvent reports a block that was added to or removed from the prefix cache.
 type cacheEvent struct {
 	block uint64
 	added bool
 }
 
-func newEngine(w *world, index int) *engine {
+func newEngine(sim *simulation, index int) *engine {
 	return &engine{
-		w:       w,
-		index:   index,
-		dc:      index % w.dcs,
-		speed:   1,
-		gate:    route.NewAdmissionQueue(engineSlots, w.opts.queue),
-		waiting: make(map[*route.Job]*sequence),
-		cache:   make(map[uint64]*list.Element),
-		lru:     list.New(),
+		sim:        sim,
+		index:      index,
+		dataCentre: index % sim.dataCentres,
+		speed:      1,
+		queue:      route.NewAdmissionQueue(engineSlots, sim.opts.queueLimit),
+		waiting:    make(map[*route.Job]*sequence),
+		cache:      make(map[uint64]*list.Element),
+		lru:        list.New(),
 	}
 }
 
-// offer is what an agent does with a request that arrives.
-func (e *engine) offer(r *request, cached float64, o route.AdmissionBounds) (route.Admission, time.Duration) {
-	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.prompt)-cached), Decode: e.w.expectedDecode()}}
+// admit offers a request that has arrived at the agent to the admission queue. If it is not
+// admitted, the duration is the wait that the queue expected.
+func (e *engine) admit(r *request, cached float64, bounds route.AdmissionBounds) (route.Admission, time.Duration) {
+	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.promptTokens)-cached), Decode: e.sim.expectedDecode()}}
 	j.Team, j.Weight, j.Priority = r.team, r.weight, r.priority
-	j.Peer = e.w.entries[r.entry].name
-	if e.w.policy.fifo {
+	j.Peer = e.sim.entries[r.entry].name
+	if e.sim.policy.fifo {
 		j.Team, j.Weight, j.Priority = "all", 1, 0
 	}
-	verdict, wait := e.gate.Offer(e.w.now, j, o)
-	if verdict != route.Admitted {
-		return verdict, wait
+	admission, wait := e.queue.Offer(e.sim.now, j, bounds)
+	if admission != route.Admitted {
+		return admission, wait
 	}
-	e.waiting[j] = &sequence{req: r, job: j, prefillLeft: r.prompt, outLeft: r.output}
-	e.pull()
-	return verdict, wait
+	e.waiting[j] = &sequence{req: r, job: j, prefillLeft: r.promptTokens, decodeLeft: r.outputTokens}
+	e.startWaiting()
+	return admission, wait
 }
 
-// pull starts waiting requests while slots are free.
-func (e *engine) pull() {
-	for j := e.gate.Next(e.w.now); j != nil; j = e.gate.Next(e.w.now) {
+// startWaiting starts waiting requests while slots are free.
+func (e *engine) startWaiting() {
+	for j := e.queue.Next(e.sim.now); j != nil; j = e.queue.Next(e.sim.now) {
 		s := e.waiting[j]
 		delete(e.waiting, j)
 		if j.Expired {
-			e.w.late(s.req)
+			e.sim.expire(s.req)
 			continue
 		}
-		hit := e.lookup(s.req.blocks) * blockTokens
-		s.prefillLeft = max(1, s.prefillLeft-hit)
-		s.req.hit = min(hit, s.req.prompt)
-		e.active = append(e.active, s)
+		cached := e.cachedBlocks(s.req.blocks) * blockTokens
+		s.prefillLeft = max(1, s.prefillLeft-cached)
+		s.req.cachedTokens = min(cached, s.req.promptTokens)
+		e.running = append(e.running, s)
 	}
-	if !e.stepped && len(e.active) > 0 {
-		e.step()
+	if !e.isStepping && len(e.running) > 0 {
+		e.startStep()
 	}
 }
 
-// step runs one step and plans its end.
-func (e *engine) step() {
-	e.stepped = true
-	budget, decoding, computed := stepPrefill, 0, 0
-	var emits []*sequence
-	for _, s := range e.active {
+// startStep starts one step and schedules its end. Prefill of all running requests shares the
+// token budget of the step.
+func (e *engine) startStep() {
+	e.isStepping = true
+	budget, decoding, computed := prefillTokensPerStep, 0, 0
+	var emitting []*sequence
+	for _, s := range e.running {
 		if s.prefillLeft == 0 {
 			decoding++
-			emits = append(emits, s)
+			emitting = append(emitting, s)
 			continue
 		}
-		n := min(budget, s.prefillLeft)
-		budget -= n
-		computed += n
-		s.prefillLeft -= n
+		tokens := min(budget, s.prefillLeft)
+		budget -= tokens
+		computed += tokens
+		s.prefillLeft -= tokens
 		if s.prefillLeft == 0 {
-			emits = append(emits, s)
+			emitting = append(emitting, s)
 		}
 	}
-	took := stepBase + time.Duration(decoding)*stepDecode + time.Duration(computed)*stepPrompt
-	e.w.after(time.Duration(float64(took)/e.speed), func() { e.endStep(emits) })
+	stepTime := baseStepTime + time.Duration(decoding)*stepTimePerDecode + time.Duration(computed)*stepTimePerPromptToken
+	e.sim.after(time.Duration(float64(stepTime)/e.speed), func() { e.finishStep(emitting) })
 }
 
-func (e *engine) endStep(emits []*sequence) {
-	e.stepped = false
-	for _, s := range emits {
-		if s.req.firstToken == 0 {
-			s.req.firstToken = e.w.now
-			e.w.entries[s.req.entry].firstToken(s.req)
-			e.store(s.req.blocks)
+// finishStep records the tokens of a step and finishes the requests that have all theirs.
+func (e *engine) finishStep(emitting []*sequence) {
+	e.isStepping = false
+	for _, s := range emitting {
+		if s.req.firstTokenAt == 0 {
+			s.req.firstTokenAt = e.sim.now
+			e.sim.entries[s.req.entry].recordFirstToken(s.req)
+			e.cachePrompt(s.req.blocks)
 		}
-		s.outLeft--
-		e.gate.RecordTokens(e.w.now, s.job, 1, true)
-		e.w.entries[s.req.entry].token(s.req)
-		if s.outLeft == 0 {
-			e.finish(s)
+		s.decodeLeft--
+		e.queue.RecordTokens(e.sim.now, s.job, 1, true)
+		e.sim.entries[s.req.entry].recordToken(s.req)
+		if s.decodeLeft == 0 {
+			e.finishRequest(s)
 		}
 	}
-	e.pull()
+	e.startWaiting()
 }
 
-func (e *engine) finish(s *sequence) {
-	for i, a := range e.active {
+func (e *engine) finishRequest(s *sequence) {
+	for i, a := range e.running {
 		if a == s {
-			e.active = append(e.active[:i], e.active[i+1:]...)
+			e.running = append(e.running[:i], e.running[i+1:]...)
 			break
 		}
 	}
-	e.gate.Finish(e.w.now, s.job, true)
-	e.w.finished(s.req)
+	e.queue.Finish(e.sim.now, s.job, true)
+	e.sim.finish(s.req)
 }
 
-// lookup returns how many leading blocks the engine holds.
-func (e *engine) lookup(blocks []uint64) int {
+// cachedBlocks returns how many leading blocks are in the prefix cache, and marks them as
+// recently used.
+func (e *engine) cachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		el, ok := e.cache[b]
 		if !ok {
@@ -163,8 +168,10 @@
 	return len(blocks)
 }
 
-func (e *engine) store(blocks []uint64) {
-	for i := len(blocks) - 1; i >= 0; i-- { // the first block is the last to go
+// cachePrompt adds the blocks of a prompt to the prefix cache and evicts the least recently
+// used blocks.
+func (e *engine) cachePrompt(blocks []uint64) {
+	for i := len(blocks) - 1; i >= 0; i-- { // the first block is evicted last
 		b := blocks[i]
 		if el, ok := e.cache[b]; ok {
 			e.lru.MoveToFront(el)
@@ -180,43 +187,45 @@
 	}
 }
 
-// trueWait returns what the oracle knows: the exact work before a request's
-// first token.
-func (e *engine) trueWait(r *request) float64 {
-	prompt := r.prompt - e.peek(r.blocks)*blockTokens
-	rest := 0
-	for _, s := range e.active {
-		prompt += s.prefillLeft
-		rest += s.outLeft
+// exactWait returns the exact time in seconds until the first token of a request, for the
+// oracle.
+func (e *engine) exactWait(r *request) float64 {
+	promptTokens := r.promptTokens - e.peekCachedBlocks(r.blocks)*blockTokens
+	decodeLeft := 0
+	for _, s := range e.running {
+		promptTokens += s.prefillLeft
+		decodeLeft += s.decodeLeft
 	}
 	for _, s := range e.waiting {
-		prompt += s.prefillLeft
+		promptTokens += s.prefillLeft
 	}
-	decode := stepBase + stepDecode*time.Duration(min(engineSlots, len(e.active)+len(e.waiting)))
-	steps := float64(prompt)/stepPrefill + 1
-	t := steps*decode.Seconds() + float64(prompt)*stepPrompt.Seconds()
-	if over := len(e.active) + len(e.waiting) + 1 - engineSlots; over > 0 {
-		t += e.slotWait(over, decode)
+	decodeStep := baseStepTime + stepTimePerDecode*time.Duration(min(engineSlots, len(e.running)+len(e.waiting)))
+	steps := float64(promptTokens)/prefillTokensPerStep + 1
+	wait := steps*decodeStep.Seconds() + float64(promptTokens)*stepTimePerPromptToken.Seconds()
+	if excess := len(e.running) + len(e.waiting) + 1 - engineSlots; excess > 0 {
+		wait += e.exactSlotWait(excess, decodeStep)
 	}
-	return t / e.speed
+	return wait / e.speed
 }
 
-// slotWait returns the time until over running or waiting requests have ended,
-// from their true lengths.
-func (e *engine) slotWait(over int, decode time.Duration) float64 {
-	rest := 0
-	for _, s := range e.active {
-		rest += s.outLeft
+// exactSlotWait returns the time in seconds until the given number of running or waiting
+// requests has ended, from their true lengths.
+func (e *engine) exactSlotWait(excess int, decode time.Duration) float64 {
+	decodeLeft := 0
+	for _, s := range e.running {
+		decodeLeft += s.decodeLeft
 	}
 	for _, s := range e.waiting {
-		rest += s.outLeft
+		decodeLeft += s.decodeLeft
 	}
-	held := len(e.active) + len(e.waiting)
-	perStep := decode.Seconds() + 0.3*stepPrefill*stepPrompt.Seconds()
-	return float64(over) * float64(rest) / float64(held) / engineSlots * perStep
+	total := len(e.running) + len(e.waiting)
+	stepSeconds := decode.Seconds() + 0.3*prefillTokensPerStep*stepTimePerPromptToken.Seconds()
+	return float64(excess) * float64(decodeLeft) / float64(total) / engineSlots * stepSeconds
 }
 
-func (e *engine) peek(blocks []uint64) int {
+// peekCachedBlocks returns how many leading blocks are in the prefix cache, and does not mark
+// them as used.
+func (e *engine) peekCachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache[b]; !ok {
 			return i
--- a/bench/place/entry.go
+++ b/bench/place/entry.go
@@ -8,56 +8,57 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// targetView is what an entry knows of one engine.
+// targetView is the state of one engine as an entry knows it.
 type targetView struct {
-	target route.Target
-	others route.Work
-	made   time.Duration // when the report was made
+	target     route.Target
+	othersWork route.Work
+	reportedAt time.Duration // when the agent made the latest report
 }
 
-// entryState is one entry; it is its own route.TargetPool.
-type entryState struct {
-	w        *world
-	index    int
-	name     string
-	dc       int
-	near     int
-	order    []int // engines, those of the entry's data centre first
-	views    []*targetView
-	cache    *route.CacheIndex
-	rng      *rand.Rand
-	next     int // round robin
-	decision route.Decision
-	means    route.LoadMeans
+// entry is a simulated entry. It implements route.TargetPool over its views of the engines.
+type entry struct {
+	sim        *simulation
+	index      int
+	name       string
+	dataCentre int
+	nearCount  int
+	order      []int // engine indices, those of the data centre of the entry first
+	views      []*targetView
+	cache      *route.CacheIndex
+	rng        *rand.Rand
+	nextEngine int // latest engine of round robin
+	decision   route.Decision
+	means      route.LoadMeans
 }
 
+// indexBlocks is the capacity of the cache index of an entry in blocks.
 const indexBlocks = 1 << 15
 
-func newEntryState(w *world, index int) *entryState {
-	en := &entryState{
-		w:     w,
-		index: index,
-		name:  fmt.Sprintf("entry-%d", index),
-		dc:    index % w.dcs,
-		cache: route.NewCacheIndex(indexBlocks),
-		rng:   rand.New(rand.NewPCG(w.opts.seed, uint64(100+index))),
-		next:  index,
+func newEntry(sim *simulation, index int) *entry {
+	en := &entry{
+		sim:        sim,
+		index:      index,
+		name:       fmt.Sprintf("entry-%d", index),
+		dataCentre: index % sim.dataCentres,
+		cache:      route.NewCacheIndex(indexBlocks),
+		rng:        rand.New(rand.NewPCG(sim.opts.seed, uint64(100+index))),
+		nextEngine: index,
 	}
-	for i, e := range w.engines {
+	for i, e := range sim.engines {
 		en.views = append(en.views, &targetView{target: route.Target{
 			Name:       fmt.Sprintf("engine-%02d", i),
-			DataCentre: fmt.Sprint(e.dc),
+			DataCentre: fmt.Sprint(e.dataCentre),
 			Reachable:  true,
 			EngineUp:   true,
 			Slots:      engineSlots,
 		}})
-		if e.dc == en.dc {
+		if e.dataCentre == en.dataCentre {
 			en.order = append(en.order, i)
 		}
 	}
-	en.near = len(en.order)
-	for i, e := range w.engines {
-		if e.dc != en.dc {
+	en.nearCount = len(en.order)
+	for i, e := range sim.engines {
+		if e.dataCentre != en.dataCentre {
 			en.order = append(en.order, i)
 		}
 	}
@@ -65,141 +66,151 @@
 }
 
 // Len implements route.TargetPool.
-func (en *entryState) Len() int { return len(en.order) }
+func (en *entry) Len() int { return len(en.order) }
 
 // NearCount implements route.TargetPool.
-func (en *entryState) NearCount() int { return en.near }
+func (en *entry) NearCount() int { return en.nearCount }
 
 // Read implements route.TargetPool.
-func (en *entryState) Read(i int, r *route.Request, t *route.Target) {
+func (en *entry) Read(i int, r *route.Request, t *route.Target) {
 	v := en.views[en.order[i]]
 	*t = v.target
-	t.Others = en.means.DiscountStale(v.others, (en.w.now - v.made).Seconds())
+	t.Others = en.means.DiscountStale(v.othersWork, (en.sim.now - v.reportedAt).Seconds())
 	en.means.FillSpeeds(t)
 	t.CachedTokens = en.cache.CachedTokens(i, r.Blocks)
 }
 
 // LongestCached implements route.TargetPool.
-func (en *entryState) LongestCached(r *route.Request, into []int) int {
+func (en *entry) LongestCached(r *route.Request, into []int) int {
 	return en.cache.LongestMatch(r.Blocks, r.Seed, into)
 }
 
-func (en *entryState) position(engine int) int {
-	for i, at := range en.order {
-		if at == engine {
+// orderIndex returns the position of an engine in en.order, or -1.
+func (en *entry) orderIndex(engine int) int {
+	for i, candidate := range en.order {
+		if candidate == engine {
 			return i
 		}
 	}
 	return -1
 }
 
-// report takes an account that left the agent a while ago.
-func (en *entryState) report(engine int, a route.LoadReport, made time.Duration) {
+// applyReport applies a load report that the agent made at the given time. Superseded reports
+// are ignored.
+func (en *entry) applyReport(engine int, report route.LoadReport, reportedAt time.Duration) {
 	v := en.views[engine]
-	if made < v.made {
+	if reportedAt < v.reportedAt {
 		return
 	}
-	v.made = made
+	v.reportedAt = reportedAt
 	t := &v.target
-	v.others, t.Slots = a.Others(), a.Slots
+	v.othersWork, t.Slots = report.Others(), report.Slots
 	en.means.RecordSpeeds(t, len(en.views))
-	en.means.RecordLoad(t.Own, v.others, len(en.views))
-	t.FirstTokenBaseSec = a.FirstTokenBaseSec
-	t.PrefillPerSec, t.TokensPerSec = a.PrefillPerSec, a.TokensPerSec
+	en.means.RecordLoad(t.Own, v.othersWork, len(en.views))
+	t.FirstTokenBaseSec = report.FirstTokenBaseSec
+	t.PrefillPerSec, t.TokensPerSec = report.PrefillPerSec, report.TokensPerSec
 }
 
-func (en *entryState) cacheEvents(engine int, seq uint64, events []cacheEvent) {
-	at := en.position(engine)
-	if !en.cache.AcceptBatch(at, seq) {
+// applyCacheEvents applies a batch of cache events of an engine to the cache index.
+func (en *entry) applyCacheEvents(engine int, seq uint64, events []cacheEvent) {
+	index := en.orderIndex(engine)
+	if !en.cache.AcceptBatch(index, seq) {
 		return
 	}
 	for _, ev := range events {
 		if ev.added {
-			en.cache.Add(at, ev.block)
+			en.cache.Add(index, ev.block)
 		} else {
-			en.cache.Remove(at, ev.block)
+			en.cache.Remove(index, ev.block)
 		}
 	}
 }
 
-// arrive places a request.
-func (en *entryState) arrive(r *request) {
-	r.tries++
-	choice := en.w.policy.choose(en, r)
+// place chooses an engine for a request and sends the request to it. The request is rejected
+// if the policy finds no engine.
+func (en *entry) place(r *request) {
+	r.attempts++
+	choice := en.sim.policy.choose(en, r)
 	if choice.engine < 0 {
-		en.w.refuse(r)
+		en.sim.reject(r)
 		return
 	}
 	v := en.views[choice.engine]
 	r.target = choice.engine
-	r.cost = route.Cost{Prompt: max(0, float64(r.prompt)-choice.cached), Decode: en.w.expectedDecode()}
-	own := &v.target.Own
-	own.Requests++
-	own.Prompt += r.cost.Prompt
-	own.Decode += r.cost.Decode
-	if en.w.policy.learnsCache {
-		at := en.position(choice.engine)
+	r.cost = route.Cost{Prompt: max(0, float64(r.promptTokens)-choice.cached), Decode: en.sim.expectedDecode()}
+	ownWork := &v.target.Own
+	ownWork.Requests++
+	ownWork.Prompt += r.cost.Prompt
+	ownWork.Decode += r.cost.Decode
+	if en.sim.policy.learnsCache {
+		index := en.orderIndex(choice.engine)
 		for _, b := range r.blocks {
-			en.cache.Add(at, b)
+			en.cache.Add(index, b)
 		}
 	}
-	en.w.after(hop, func() { en.deliver(v, r, choice) })
+	en.sim.after(oneWayDelay, func() { en.arriveAtAgent(v, r, choice) })
 }
 
-// deliver is the request's arrival at the agent.
-func (en *entryState) deliver(v *targetView, r *request, c choice) {
-	e := en.w.engines[c.engine]
-	offer := route.AdmissionBounds{MaxWait: c.maxWait}
-	if !en.w.policy.fifo {
-		offer.TimeLeft = r.deadline - (en.w.now - r.at)
+// arriveAtAgent offers a request to the agent of the chosen engine. A rejection goes back to
+// the entry with a load report.
+func (en *entry) arriveAtAgent(v *targetView, r *request, c choice) {
+	e := en.sim.engines[c.engine]
+	bounds := route.AdmissionBounds{MaxWait: c.maxWait}
+	if !en.sim.policy.fifo {
+		bounds.TimeLeft = r.deadline - (en.sim.now - r.arrivedAt)
 	}
-	verdict, wait := e.offer(r, c.cached, offer)
-	if verdict == route.Admitted {
+	admission, wait := e.admit(r, c.cached, bounds)
+	if admission == route.Admitted {
 		return
 	}
-	if verdict == route.RejectedWait {
-		r.trail.Add(v.target.Name, wait)
+	if admission == route.RejectedWait {
+		r.rejections.Add(v.target.Name, wait)
 	}
-	account, made := e.gate.LoadReport(en.name), en.w.now
-	en.w.after(hop, func() { en.bounced(v, r, c, account, made) })
+	report, reportedAt := e.queue.LoadReport(en.name), en.sim.now
+	en.sim.after(oneWayDelay, func() { en.handleRejection(v, r, c, report, reportedAt) })
 }
 
-const maxTries = 4
+// maxAttempts limits the attempts at a request.
+const maxAttempts = 4
 
-// bounced is the agent's refusal back at the entry: the request did not run.
-func (en *entryState) bounced(v *targetView, r *request, c choice, a route.LoadReport, made time.Duration) {
-	en.finished(r)
-	en.report(c.engine, a, made)
-	if r.tries >= maxTries {
-		en.w.refuse(r)
+// handleRejection handles a rejection by the agent, where the request did not run. The entry
+// places the request again, up to maxAttempts.
+func (en *entry) handleRejection(v *targetView, r *request, c choice, report route.LoadReport, reportedAt time.Duration) {
+	en.releaseRequest(r)
+	en.applyReport(c.engine, report, reportedAt)
+	if r.attempts >= maxAttempts {
+		en.sim.reject(r)
 		return
 	}
 	if r.avoid == nil {
 		r.avoid = make(map[string]bool)
 	}
 	r.avoid[v.target.Name] = true
-	en.arrive(r)
+	en.place(r)
 }
 
-func (en *entryState) firstToken(r *request) {
+// recordFirstToken removes the prompt of a request from the work at its engine.
+func (en *entry) recordFirstToken(r *request) {
 	en.views[r.target].target.Own.Prompt -= r.cost.Prompt
 	r.cost.Prompt = 0
 }
 
-func (en *entryState) token(r *request) {
+// recordToken removes one output token of a request from the work at its engine.
+func (en *entry) recordToken(r *request) {
 	n := min(1, r.cost.Decode)
 	en.views[r.target].target.Own.Decode -= n
 	r.cost.Decode -= n
 }
 
-func (en *entryState) finished(r *request) {
-	own := &en.views[r.target].target.Own
-	own.Requests--
-	own.Prompt -= r.cost.Prompt
-	own.Decode -= r.cost.Decode
+// releaseRequest removes a request and its remaining cost from the work at its engine.
+func (en *entry) releaseRequest(r *request) {
+	ownWork := &en.views[r.target].target.Own
+	ownWork.Requests--
+	ownWork.Prompt -= r.cost.Prompt
+	ownWork.Decode -= r.cost.Decode
 }
 
-// choice is where a policy sends a request.
+// choice is the engine that a policy chooses for a request; engine is -1 if there is none.
 type choice struct {
 	engine  int
 	cached  float64
--- a/bench/place/figures.go
+++ b/bench/place/figures.go
@@ -4,52 +4,53 @@
 	"github.com/heatherrail/heatherrail/bench"
 )
 
-// figures sum up the requests of one run that arrived after the warm-up. Times
-// are milliseconds.
+// figures summarises the requests of one run that arrived after the warm-up. Times are in
+// milliseconds.
 type figures struct {
-	p50, p95, p99      float64 // first token
-	between, between95 float64
-	hits               float64
-	tries              float64
-	refused            float64
-	refusal99          float64 // from arrival to refusal
-	goodput            float64 // tokens a second of answers whole before their deadline
+	p50, p95, p99            float64 // from arrival to the first token
+	meanTokenGap, tokenGap95 float64
+	cacheHitShare            float64
+	attempts                 float64
+	rejectedShare            float64
+	rejection99              float64 // from arrival to rejection
+	goodput                  float64 // tokens/s of answers that were complete before their deadline
 }
 
+// figuresOf returns the figures of the requests that have ended.
 func figuresOf(ended []*request) figures {
-	var first, between, refusals []float64
-	n, tries, hit, prompt, good := 0.0, 0.0, 0.0, 0.0, 0.0
+	var firstTokens, tokenGaps, rejections []float64
+	count, attempts, cachedTokens, promptTokens, goodTokens := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, r := range ended {
-		if r.at < warmUp {
+		if r.arrivedAt < warmUpTime {
 			continue
 		}
-		n++
-		tries += float64(r.tries)
-		if r.refused {
-			refusals = append(refusals, bench.Millis(r.done-r.at))
+		count++
+		attempts += float64(r.attempts)
+		if r.rejected {
+			rejections = append(rejections, bench.Millis(r.endedAt-r.arrivedAt))
 			continue
 		}
-		hit += float64(r.hit)
-		prompt += float64(r.prompt)
-		first = append(first, bench.Millis(r.firstToken-r.at))
-		if r.output > 1 {
-			between = append(between, bench.Millis(r.done-r.firstToken)/float64(r.output-1))
+		cachedTokens += float64(r.cachedTokens)
+		promptTokens += float64(r.promptTokens)
+		firstTokens = append(firstTokens, bench.Millis(r.firstTokenAt-r.arrivedAt))
+		if r.outputTokens > 1 {
+			tokenGaps = append(tokenGaps, bench.Millis(r.endedAt-r.firstTokenAt)/float64(r.outputTokens-1))
 		}
-		if r.done-r.at <= r.deadline {
-			good += float64(r.output)
+		if r.endedAt-r.arrivedAt <= r.deadline {
+			goodTokens += float64(r.outputTokens)
 		}
 	}
 	f := figures{
-		p50: bench.Quantile(first, 0.5), p95: bench.Quantile(first, 0.95), p99: bench.Quantile(first, 0.99),
-		between: mean(between), between95: bench.Quantile(between, 0.95),
-		refusal99: bench.Quantile(refusals, 0.99),
-		goodput:   good / (benchTime - warmUp).Seconds(),
+		p50: bench.Quantile(firstTokens, 0.5), p95: bench.Quantile(firstTokens, 0.95), p99: bench.Quantile(firstTokens, 0.99),
+		meanTokenGap: mean(tokenGaps), tokenGap95: bench.Quantile(tokenGaps, 0.95),
+		rejection99: bench.Quantile(rejections, 0.99),
+		goodput:     goodTokens / (benchDuration - warmUpTime).Seconds(),
 	}
-	if n > 0 {
-		f.tries, f.refused = tries/n, float64(len(refusals))/n
+	if count > 0 {
+		f.attempts, f.rejectedShare = attempts/count, float64(len(rejections))/count
 	}
-	if prompt > 0 {
-		f.hits = hit / prompt
+	if promptTokens > 0 {
+		f.cacheHitShare = cachedTokens / promptTokens
 	}
 	return f
 }
@@ -62,6 +63,7 @@
 	return sum / max(1, float64(len(v)))
 }
 
+// ofTeams returns the requests of the teams for which keep returns true.
 func ofTeams(ended []*request, keep func(team string) bool) []*request {
 	var kept []*request
 	for _, r := range ended {
@@ -72,27 +74,27 @@
 	return kept
 }
 
-// jain returns Jain's index over the teams' satisfaction: tokens served in time
-// over the smaller of demand and share, at most 1.
-func jain(ended []*request, share float64) float64 {
-	served, asked := make(map[string]float64), make(map[string]float64)
+// jainIndex returns Jain's fairness index over the satisfaction of the teams. Satisfaction is
+// the tokens served in time, relative to the smaller of demand and share, at most 1.
+func jainIndex(ended []*request, share float64) float64 {
+	served, demand := make(map[string]float64), make(map[string]float64)
 	for _, r := range ended {
-		if r.at < warmUp {
+		if r.arrivedAt < warmUpTime {
 			continue
 		}
-		asked[r.team] += float64(r.output)
-		if !r.refused && r.done-r.at <= r.deadline {
-			served[r.team] += float64(r.output)
+		demand[r.team] += float64(r.outputTokens)
+		if !r.rejected && r.endedAt-r.arrivedAt <= r.deadline {
+			served[r.team] += float64(r.outputTokens)
 		}
 	}
 	sum, squares := 0.0, 0.0
-	for team, n := range asked {
-		x := min(1, served[team]/min(n, share*(benchTime-warmUp).Seconds()))
-		sum += x
-		squares += x * x
+	for team, n := range demand {
+		satisfaction := min(1, served[team]/min(n, share*(benchDuration-warmUpTime).Seconds()))
+		sum += satisfaction
+		squares += satisfaction * satisfaction
 	}
 	if squares == 0 {
 		return 0
 	}
-	return sum * sum / (float64(len(asked)) * squares)
+	return sum * sum / (float64(len(demand)) * squares)
 }
--- a/bench/place/policy.go
+++ b/bench/place/policy.go
@@ -2,17 +2,18 @@
 
 import "github.com/heatherrail/heatherrail/route"
 
-// policy is one way to place requests.
+// policy is a placement policy.
 type policy struct {
 	name        string
-	fifo        bool // engines serve in the order of arrival, as without a gate
-	learnsCache bool
-	choose      func(en *entryState, r *request) choice
+	fifo        bool // engines serve in order of arrival, without fair queueing and deadlines
+	learnsCache bool // entries assume that an engine caches the prompts that they send to it
+	choose      func(en *entry, r *request) choice
 }
 
+// baselines returns the policies that heatherrail is compared with.
 func baselines() []policy {
 	return []policy{
-		{name: "random", fifo: true, choose: randomly},
+		{name: "random", fifo: true, choose: random},
 		{name: "round-robin", fifo: true, choose: roundRobin},
 		{name: "least-outstanding", fifo: true, choose: leastOutstanding},
 		{name: "power-of-two", fifo: true, choose: powerOfTwo},
@@ -20,29 +21,31 @@
 	}
 }
 
-func randomly(en *entryState, _ *request) choice {
+func random(en *entry, _ *request) choice {
 	return choice{engine: en.rng.IntN(len(en.views))}
 }
 
-func roundRobin(en *entryState, _ *request) choice {
-	en.next = (en.next + 1) % len(en.views)
-	return choice{engine: en.next}
+func roundRobin(en *entry, _ *request) choice {
+	en.nextEngine = (en.nextEngine + 1) % len(en.views)
+	return choice{engine: en.nextEngine}
 }
 
-// leastOutstanding counts the entry's own requests; ties go round.
-func leastOutstanding(en *entryState, _ *request) choice {
-	en.next = (en.next + 1) % len(en.views)
-	best := en.next
+// leastOutstanding chooses the engine with the fewest requests of the same entry. Ties are
+// broken in round-robin order.
+func leastOutstanding(en *entry, _ *request) choice {
+	en.nextEngine = (en.nextEngine + 1) % len(en.views)
+	best := en.nextEngine
 	for i := range en.views {
-		at := (en.next + i) % len(en.views)
-		if en.views[at].target.Own.Requests < en.views[best].target.Own.Requests {
-			best = at
+		engine := (en.nextEngine + i) % len(en.views)
+		if en.views[engine].target.Own.Requests < en.views[best].target.Own.Requests {
+			best = engine
 		}
 	}
 	return choice{engine: best}
 }
 
-func powerOfTwo(en *entryState, _ *request) choice {
+// powerOfTwo draws two engines and chooses the one with fewer requests of the same entry.
+func powerOfTwo(en *entry, _ *request) choice {
 	a, b := en.rng.IntN(len(en.views)), en.rng.IntN(len(en.views))
 	if en.views[b].target.Own.Requests < en.views[a].target.Own.Requests {
 		a = b
@@ -50,29 +53,30 @@
 	return choice{engine: a}
 }
 
-// oracle knows every engine's exact state, at no delay.
-func oracle(en *entryState, r *request) choice {
+// oracle chooses the engine with the shortest wait, from the current state of all engines.
+func oracle(en *entry, r *request) choice {
 	best, bestWait := -1, 0.0
-	for i, e := range en.w.engines {
-		if wait := e.trueWait(r); best < 0 || wait < bestWait {
+	for i, e := range en.sim.engines {
+		if wait := e.exactWait(r); best < 0 || wait < bestWait {
 			best, bestWait = i, wait
 		}
 	}
 	return choice{engine: best}
 }
 
-// heatherrail is the product's policy.
+// heatherrail returns the policy of the product, with its default settings.
 func heatherrail() policy { return withPlacer("heatherrail", route.DefaultPlacer()) }
 
+// withPlacer returns a policy that uses a placer of package route.
 func withPlacer(name string, p *route.Placer) policy {
-	choose := func(en *entryState, r *request) choice {
-		if name, ok := r.trail.FinalTarget(); ok {
-			return en.settled(name, r)
+	choose := func(en *entry, r *request) choice {
+		if name, ok := r.rejections.FinalTarget(); ok {
+			return en.chooseByName(name, r)
 		}
 		req := route.Request{
 			DataCentre: en.views[en.order[0]].target.DataCentre,
 			Avoid:      r.avoid,
-			Cost:       route.Cost{Prompt: float64(r.prompt), Decode: en.w.expectedDecode()},
+			Cost:       route.Cost{Prompt: float64(r.promptTokens), Decode: en.sim.expectedDecode()},
 			Blocks:     r.blocks,
 			Seed:       en.rng.Uint64(),
 		}
@@ -83,17 +87,17 @@
 			return choice{engine: -1}
 		}
 		c := choice{engine: en.order[best.Index], cached: best.Target.CachedTokens}
-		c.maxWait = r.trail.MaxWait(p.MaxWait(&req, best))
+		c.maxWait = r.rejections.MaxWait(p.MaxWait(&req, best))
 		return c
 	}
 	return policy{name: name, learnsCache: true, choose: choose}
 }
 
-// settled sends a request to a target that it has been to.
-func (en *entryState) settled(name string, r *request) choice {
+// chooseByName chooses the engine of a named target, to which the request has been sent before.
+func (en *entry) chooseByName(name string, r *request) choice {
 	for i, v := range en.views {
 		if v.target.Name == name {
-			return choice{engine: i, cached: en.cache.CachedTokens(en.position(i), r.blocks)}
+			return choice{engine: i, cached: en.cache.CachedTokens(en.orderIndex(i), r.blocks)}
 		}
 	}
 	return choice{engine: -1}
--- a/bench/place/reports.go
+++ b/bench/place/reports.go
@@ -19,17 +19,17 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Load reports are measured on a real agent with real connections: what it sends
-// to each entry, frame headers included, TCP's left out.
+// Load reports are measured on a real agent with real connections. Their size includes the
+// frame headers of the wire protocol but not those of TCP.
 const (
-	reportTime  = 6 * time.Second
-	activeEvery = 400 * time.Millisecond // between the requests of an entry
-	frameHeader = 13
+	reportDuration   = 6 * time.Second
+	activeInterval   = 400 * time.Millisecond // between requests of an entry
+	frameHeaderBytes = 13
 )
 
-var reportPeers = []int{8, 16, 32, 64}
+var reportPeerCounts = []int{8, 16, 32, 64}
 
-// reportCase is one count of entries, all idle or all at work.
+// reportCase is one number of entries, all idle or all sending requests.
 type reportCase struct {
 	peers          int
 	active         bool
@@ -37,11 +37,11 @@
 	err            error
 }
 
-// reports adds the bytes a second that one target costs an entry, and that all
-// its entries cost it. The cases run side by side; they wait most of the time.
-func (b *suite) reports() error {
+// benchReports adds the reports and bytes per second that an agent sends to each entry, and the
+// bytes per second to all of them. The cases run concurrently, since they mostly wait.
+func (b *suite) benchReports() error {
 	var cases []*reportCase
-	for _, peers := range reportPeers {
+	for _, peers := range reportPeerCounts {
 		cases = append(cases, &reportCase{peers: peers}, &reportCase{peers: peers, active: true})
 	}
 	var group conc.WaitGroup
@@ -58,7 +58,7 @@
 			state = "working"
 		}
 		name := fmt.Sprintf("reports entries=%d %s", c.peers, state)
-		perSecond := 1 / reportTime.Seconds()
+		perSecond := 1 / reportDuration.Seconds()
 		b.report.Add(name, "reports a second and link", "1/s", float64(c.reports)*perSecond/float64(c.peers))
 		b.report.Add(name, "bytes a second and link", "B/s", float64(c.bytes)*perSecond/float64(c.peers))
 		b.report.Add(name, "bytes a second of the agent", "B/s", float64(c.bytes)*perSecond)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// reportCounter is an entry that counts what it is told.
+// reportCounter counts the load reports that an entry receives, and their bytes.
 type reportCounter struct {
 	reports, bytes *atomic.Int64
 }
@@ -78,58 +78,61 @@
 func (c reportCounter) ServeNote(_ *wire.Conn, n wire.Note, payload []byte) {
 	if n == wire.NoteLoad {
 		c.reports.Add(1)
-		c.bytes.Add(int64(len(payload)) + frameHeader + 1)
+		c.bytes.Add(int64(len(payload)) + frameHeaderBytes + 1)
 	}
 }
 
-// answering is a backend that answers at once.
-type answering struct{}
+// immediateBackend is a backend that answers without delay.
+type immediateBackend struct{}
 
 // Run implements outside.Backend.
-func (answering) Run(context.Context, *outside.Call) (*outside.Reply, error) {
+func (immediateBackend) Run(context.Context, *outside.Call) (*outside.Reply, error) {
 	return &outside.Reply{Status: 200, Body: io.NopCloser(strings.NewReader("data: x\n\n"))}, nil
 }
 
+// countReports connects a number of entries to an agent and counts the load reports that they
+// receive in reportDuration.
 func countReports(peers int, active bool) (reports, bytes int64, err error) {
 	const incarnation = 1
 	a, err := agent.Start(agent.Options{
 		Settings:    settings.Agent{Target: "target", Listen: "127.0.0.1:0", Queue: 1024, Slots: engineSlots},
-		Backend:     answering{},
+		Backend:     immediateBackend{},
 		Logger:      logr.Discard(),
 		Metrics:     metrics.New(),
 		Incarnation: incarnation,
 	})
 	if err != nil {
-		return 0, 0, fmt.Errorf("agent: %w", err)
+		return 0, 0, fmt.Errorf("start agent: %w", err)
 	}
 	defer a.Close()
-	var n, size atomic.Int64
+	var reportCount, byteCount atomic.Int64
 	var group conc.WaitGroup
-	until := time.Now().Add(reportTime)
+	end := time.Now().Add(reportDuration)
 	for i := range peers {
-		nc, err := net.Dial("tcp", a.Addr())
+		tcpConn, err := net.Dial("tcp", a.Addr())
 		if err != nil {
-			return 0, 0, fmt.Errorf("dial: %w", err)
+			return 0, 0, fmt.Errorf("dial agent: %w", err)
 		}
 		hello := wire.Hello{Name: fmt.Sprintf("entry-%d", i), Role: wire.RoleEntry, Incarnation: 1}
-		conn, err := wire.Client(nc, hello, reportCounter{&n, &size}, wire.Options{})
+		conn, err := wire.Client(tcpConn, hello, reportCounter{&reportCount, &byteCount}, wire.Options{})
 		if err != nil {
-			return 0, 0, fmt.Errorf("link: %w", err)
+			return 0, 0, fmt.Errorf("wire handshake with agent: %w", err)
 		}
 		defer conn.Close()
 		if active {
-			group.Go(func() { ask(conn, incarnation, until) })
+			group.Go(func() { sendRequests(conn, incarnation, end) })
 		}
 	}
-	time.Sleep(time.Until(until))
+	time.Sleep(time.Until(end))
 	group.Wait()
-	return n.Load(), size.Load(), nil
+	return reportCount.Load(), byteCount.Load(), nil
 }
 
-// ask sends a request now and then.
-func ask(conn *wire.Conn, incarnation uint64, until time.Time) {
-	for time.Now().Before(until) {
-		s, err := conn.Open(wire.MethodRequest, &wire.Request{
+// sendRequests sends requests one after the other, with a pause of activeInterval, until the
+// given time.
+func sendRequests(conn *wire.Conn, incarnation uint64, end time.Time) {
+	for time.Now().Before(end) {
+		stream, err := conn.Open(wire.MethodRequest, &wire.Request{
 			Repeatable: true, DeadlineMs: 1000, AgentInc: incarnation,
 			Sched: wire.Sched{Weight: 100, Prompt: 600, Decode: 100},
 		})
@@ -138,10 +141,10 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		for err == nil {
-			_, err = s.Recv(ctx)
+			_, err = stream.Recv(ctx)
 		}
 		cancel()
-		s.Close()
-		time.Sleep(activeEvery)
+		stream.Close()
+		time.Sleep(activeInterval)
 	}
 }
--- a/bench/place/workload.go
+++ b/bench/place/workload.go
@@ -13,99 +13,101 @@
 
 // workload describes the requests of one run.
 type workload struct {
-	rate     float64 // requests a second on average
-	duration time.Duration
-	burst    bool // starts low, then fivefold within a minute
-	tail     bool // long-tailed prompts and outputs
-	families int  // prompts that begin alike; 0: all differ
-	teams    []teamLoad
-	deadline time.Duration
+	rate           float64 // mean requests/s
+	duration       time.Duration
+	ramp           bool // the rate rises from a fifth to the full rate, see rateAt
+	longTailed     bool // prompt and output lengths have a long tail
+	prefixFamilies int  // number of groups of prompts with a common prefix; 0: no common prefixes
+	teams          []teamLoad
+	deadline       time.Duration
 }
 
-// teamLoad is one team's part; each has a random stream of its own, so that a
-// team's requests are the same whatever the others send.
+// teamLoad is the load of one team. Each team has its own random source, so that its requests
+// do not depend on the other teams.
 type teamLoad struct {
 	name   string
-	rate   float64 // requests a second
+	rate   float64 // mean requests/s
 	weight float64
 }
 
-// Means of the workloads, tokens.
+// Sizes in tokens.
 const (
-	meanPrompt   = 600
-	meanOutput   = 100
-	familyPrompt = 1024 // the part that a family's prompts share
-	familyOwn    = 128
+	meanPrompt         = 600
+	meanOutput         = 100
+	sharedPrefixTokens = 1024 // common prefix of the prompts of a family
+	ownSuffixTokens    = 128
 )
 
-// requests returns the requests in the order of their arrival.
+// requests generates the requests in order of arrival.
 func (l workload) requests(seed uint64, entries int) []*request {
 	teams := l.teams
 	if len(teams) == 0 {
 		teams = []teamLoad{{name: "team-0", rate: l.rate, weight: 1}}
 	}
 	var all []*request
-	for i, t := range teams {
+	for i, team := range teams {
 		rng := rand.New(rand.NewPCG(seed, uint64(2+i)))
 		at := time.Duration(0)
 		for {
-			at += time.Duration(rng.ExpFloat64() / l.rateAt(at, t.rate) * float64(time.Second))
+			at += time.Duration(rng.ExpFloat64() / l.rateAt(at, team.rate) * float64(time.Second))
 			if at >= l.duration {
 				break
 			}
-			all = append(all, l.request(rng, at, entries, t))
+			all = append(all, l.request(rng, at, entries, team))
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *request) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(all, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
 	return all
 }
 
-// rateAt: a shift that opens rises to its fivefold within the first half minute
-// and stays there.
+// rateAt returns the rate of a team at a time. With ramp, as at the opening of a shift, a fifth
+// of the rate arrives for 10 s; the rate then rises linearly for 30 s and stays at its full
+// value.
 func (l workload) rateAt(at time.Duration, rate float64) float64 {
-	if !l.burst {
+	if !l.ramp {
 		return rate
 	}
-	const quiet, rise = 10 * time.Second, 30 * time.Second
-	part := min(1, max(0, float64(at-quiet)/float64(rise)))
-	return rate * (0.2 + 0.8*part)
+	const quietTime, riseTime = 10 * time.Second, 30 * time.Second
+	progress := min(1, max(0, float64(at-quietTime)/float64(riseTime)))
+	return rate * (0.2 + 0.8*progress)
 }
 
+// request generates one request of a team.
 func (l workload) request(rng *rand.Rand, at time.Duration, entries int, t teamLoad) *request {
 	r := &request{
-		at:       at,
-		entry:    rng.IntN(entries),
-		prompt:   size(rng, meanPrompt, l.tail),
-		output:   size(rng, meanOutput, l.tail),
-		deadline: l.deadline,
-		team:     t.name,
-		weight:   t.weight,
+		arrivedAt:    at,
+		entry:        rng.IntN(entries),
+		promptTokens: drawTokens(rng, meanPrompt, l.longTailed),
+		outputTokens: drawTokens(rng, meanOutput, l.longTailed),
+		deadline:     l.deadline,
+		team:         t.name,
+		weight:       t.weight,
 	}
-	if l.families > 0 {
+	if l.prefixFamilies > 0 {
 		l.prefix(rng, r)
 	}
 	return r
 }
 
-// drift is how long the popularity of families takes to move on by one place.
-const drift = 500 * time.Millisecond
+// familyDriftInterval is the time in which the popularity ranking moves by one family.
+const familyDriftInterval = 500 * time.Millisecond
 
-// prefix gives the request a prompt of one of the families; which ones are
-// popular drifts.
+// prefix gives the request a prompt of one of the prefix families. The popular families change
+// over time.
 func (l workload) prefix(rng *rand.Rand, r *request) {
-	rank := int(math.Pow(float64(l.families), rng.Float64())) - 1 // few are asked for often
-	family := rank + int(r.at/drift)
-	r.prompt = familyPrompt + familyOwn
-	text := make([]byte, 0, familyPrompt*4)
+	rank := int(math.Pow(float64(l.prefixFamilies), rng.Float64())) - 1 // low ranks are more likely
+	family := rank + int(r.arrivedAt/familyDriftInterval)
+	r.promptTokens = sharedPrefixTokens + ownSuffixTokens
+	text := make([]byte, 0, sharedPrefixTokens*4)
 	line := fmt.Sprintf("family %08d; ", family)
-	for len(text) < familyPrompt*4 {
+	for len(text) < sharedPrefixTokens*4 {
 		text = append(text, line...)
 	}
-	r.blocks = route.BlockHashes(r.team, text[:familyPrompt*4], nil)
+	r.blocks = route.BlockHashes(r.team, text[:sharedPrefixTokens*4], nil)
 }
 
-// size draws a count of tokens around a mean.
-func size(rng *rand.Rand, mean float64, tail bool) int {
+// drawTokens draws a log-normally distributed number of tokens, between 8 and 20 times the mean.
+func drawTokens(rng *rand.Rand, mean float64, tail bool) int {
 	sigma := 0.4
 	if tail {
 		sigma = 1.0
--- a/bench/place/world.go
+++ b/bench/place/world.go
@@ -8,148 +8,159 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// options of one run.
+// options of one simulation.
 type options struct {
-	seed    uint64
-	engines int
-	entries int
-	dcs     int
-	queue   int           // places in a gate's queue
-	lag     time.Duration // of reports and cache events
-	lost    float64       // share of reports that are lost
-	slow    bool          // engine 0 runs at half speed
-	policy  policy
-	load    workload
+	seed            uint64
+	engines         int
+	entries         int
+	dataCentres     int
+	queueLimit      int           // waiting requests that an engine's admission queue holds
+	reportDelay     time.Duration // delay of load reports and cache events
+	reportLossShare float64       // share of load reports that are lost
+	slowEngine      bool          // engine 0 runs at half speed
+	policy          policy
+	load            workload
 }
 
 const (
-	hop         = time.Millisecond // one way between entry and agent
-	reportEvery = 100 * time.Millisecond
-	cacheEvery  = 200 * time.Millisecond
+	oneWayDelay        = time.Millisecond // network delay between entry and agent
+	reportInterval     = 100 * time.Millisecond
+	cacheEventInterval = 200 * time.Millisecond
 )
 
-// request is one caller's request and what became of it.
+// request is a request of a caller, with its state and outcome.
 type request struct {
-	at       time.Duration
-	entry    int
-	team     string
-	weight   float64
-	priority int8
-	prompt   int
-	output   int
-	blocks   []uint64
-	deadline time.Duration // for the whole answer, from at
-
-	cost       route.Cost // left, by the entry's books
-	trail      route.RejectionHistory
-	tries      int
-	avoid      map[string]bool
-	target     int
-	hit        int
-	firstToken time.Duration
-	done       time.Duration
-	refused    bool
+	arrivedAt    time.Duration
+	entry        int
+	team         string
+	weight       float64
+	priority     int8
+	promptTokens int
+	outputTokens int
+	blocks       []uint64
+	deadline     time.Duration // for the whole answer, from arrivedAt
+
+	cost         route.Cost // remaining cost, as the entry estimates it
+	rejections   route.RejectionHistory
+	attempts     int
+	avoid        map[string]bool
+	target       int
+	cachedTokens int
+	firstTokenAt time.Duration
+	endedAt      time.Duration
+	rejected     bool
 }
 
-// world is one run in virtual time.
-type world struct {
-	opts    options
-	policy  policy
-	dcs     int
-	now     time.Duration
-	queue   eventQueue
-	order   uint64
-	rng     *rand.Rand
-	engines []*engine
-	entries []*entryState
-	ended   []*request
-	answers float64 // mean length of answers learnt
+// simulation is one run of a workload in virtual time.
+type simulation struct {
+	opts             options
+	policy           policy
+	dataCentres      int
+	now              time.Duration
+	queue            eventQueue
+	sequence         uint64
+	rng              *rand.Rand
+	engines          []*engine
+	entries          []*entry
+	endedRequests    []*request
+	meanOutputTokens float64 // moving average of output lengths; 0: none yet
 }
 
-func run(o options) *world {
-	w := &world{opts: o, policy: o.policy, dcs: o.dcs, rng: rand.New(rand.NewPCG(o.seed, 1))}
+// run runs a simulation until all requests have ended.
+func run(o options) *simulation {
+	sim := &simulation{opts: o, policy: o.policy, dataCentres: o.dataCentres, rng: rand.New(rand.NewPCG(o.seed, 1))}
 	for i := range o.engines {
-		w.engines = append(w.engines, newEngine(w, i))
+		sim.engines = append(sim.engines, newEngine(sim, i))
 	}
-	if o.slow {
-		w.engines[0].speed = 0.5
+	if o.slowEngine {
+		sim.engines[0].speed = 0.5
 	}
 	for i := range o.entries {
-		w.entries = append(w.entries, newEntryState(w, i))
+		sim.entries = append(sim.entries, newEntry(sim, i))
 	}
 	requests := o.load.requests(o.seed, o.entries)
 	for _, r := range requests {
-		w.after(r.at, func() { w.entries[r.entry].arrive(r) })
+		sim.after(r.arrivedAt, func() { sim.entries[r.entry].place(r) })
 	}
-	for _, e := range w.engines {
-		w.after(reportEvery*time.Duration(e.index+1)/time.Duration(o.engines+1), func() { w.reports(e) })
-		w.after(cacheEvery, func() { w.cacheEvents(e, 1) })
+	for _, e := range sim.engines {
+		sim.after(reportInterval*time.Duration(e.index+1)/time.Duration(o.engines+1), func() { sim.sendReports(e) })
+		sim.after(cacheEventInterval, func() { sim.sendCacheEvents(e, 1) })
 	}
-	for len(w.queue) > 0 && len(w.ended) < len(requests) {
-		ev := heap.Pop(&w.queue).(*event)
-		w.now = ev.at
-		ev.do()
+	for len(sim.queue) > 0 && len(sim.endedRequests) < len(requests) {
+		ev := heap.Pop(&sim.queue).(*event)
+		sim.now = ev.at
+		ev.run()
 	}
-	return w
+	return sim
 }
 
-// reports sends one engine's account to every entry, late, and plans the next.
-func (w *world) reports(e *engine) {
-	for _, en := range w.entries {
-		if w.rng.Float64() < w.opts.lost {
+// sendReports sends the load report of one engine to every entry, with delay and losses, and
+// schedules the next one.
+func (sim *simulation) sendReports(e *engine) {
+	for _, en := range sim.entries {
+		if sim.rng.Float64() < sim.opts.reportLossShare {
 			continue
 		}
-		account, made := e.gate.LoadReport(en.name), w.now
-		w.after(w.opts.lag+hop, func() { en.report(e.index, account, made) })
+		report, reportedAt := e.queue.LoadReport(en.name), sim.now
+		sim.after(sim.opts.reportDelay+oneWayDelay, func() { en.applyReport(e.index, report, reportedAt) })
 	}
-	w.after(reportEvery, func() { w.reports(e) })
+	sim.after(reportInterval, func() { sim.sendReports(e) })
 }
 
-func (w *world) cacheEvents(e *engine, seq uint64) {
+// sendCacheEvents sends the cache events of one engine to every entry with the sequence number
+// seq, and schedules the next batch.
+func (sim *simulation) sendCacheEvents(e *engine, seq uint64) {
 	events := e.events
 	e.events = nil
-	for _, en := range w.entries {
-		w.after(w.opts.lag+hop, func() { en.cacheEvents(e.index, seq, events) })
+	for _, en := range sim.entries {
+		sim.after(sim.opts.reportDelay+oneWayDelay, func() { en.applyCacheEvents(e.index, seq, events) })
 	}
-	w.after(cacheEvery, func() { w.cacheEvents(e, seq+1) })
+	sim.after(cacheEventInterval, func() { sim.sendCacheEvents(e, seq+1) })
 }
 
-func (w *world) expectedDecode() float64 {
-	if w.answers == 0 {
+// expectedDecode returns the output tokens to expect of a request.
+func (sim *simulation) expectedDecode() float64 {
+	if sim.meanOutputTokens == 0 {
 		return route.EstimateCost(0, 0, 0).Decode
 	}
-	return w.answers
+	return sim.meanOutputTokens
 }
 
-const answerStep = 0.01
+// outputAverageWeight is the weight of a new value in the moving average of output lengths.
+const outputAverageWeight = 0.01
 
-func (w *world) finished(r *request) {
-	r.done = w.now
-	w.answers = w.expectedDecode() + answerStep*(float64(r.output)-w.expectedDecode())
-	w.entries[r.entry].finished(r)
-	w.ended = append(w.ended, r)
+// finish ends a request that has its whole answer.
+func (sim *simulation) finish(r *request) {
+	r.endedAt = sim.now
+	sim.meanOutputTokens = sim.expectedDecode() + outputAverageWeight*(float64(r.outputTokens)-sim.expectedDecode())
+	sim.entries[r.entry].releaseRequest(r)
+	sim.endedRequests = append(sim.endedRequests, r)
 }
 
-func (w *world) late(r *request) {
-	w.entries[r.entry].finished(r)
-	w.refuse(r)
+// expire rejects a request whose deadline passed in the queue of an engine.
+func (sim *simulation) expire(r *request) {
+	sim.entries[r.entry].releaseRequest(r)
+	sim.reject(r)
 }
 
-func (w *world) refuse(r *request) {
-	r.refused = true
-	r.done = w.now
-	w.ended = append(w.ended, r)
+// reject ends a request without an answer.
+func (sim *simulation) reject(r *request) {
+	r.rejected = true
+	r.endedAt = sim.now
+	sim.endedRequests = append(sim.endedRequests, r)
 }
 
+// event is a function to run at a time.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, &event{at: w.now + d, order: w.order, do: do})
+// after runs do when d has passed.
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, &event{at: sim.now + d, sequence: sim.sequence, run: do})
 }
 
 type eventQueue []*event
@@ -159,7 +170,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
--- a/bench/relay/client.go
+++ b/bench/relay/client.go
@@ -20,19 +20,18 @@
 	requestPath = "/v1/completions"
 )
 
-// client is one caller with one connection, to the stand-in itself or to the
-// entry: the two differ in the address alone.
+// client is a caller with one connection, either directly to the stand-in or to the entry.
 type client struct {
-	base    time.Time
-	addr    string
-	nc      net.Conn
-	br      *bufio.Reader
-	delays  []time.Duration // of events, from the stand-in to here
-	starts  []time.Duration // from a request to its first event
-	wholes  []time.Duration // from a request to its end
-	events  int
-	bytes   int64
-	scratch []byte
+	base            time.Time
+	addr            string
+	nc              net.Conn
+	br              *bufio.Reader
+	eventDelays     []time.Duration // of events, from the stand-in to the client
+	firstEventTimes []time.Duration // from sending a request to its first event
+	totalTimes      []time.Duration // from sending a request to the end of its answer
+	events          int
+	bytes           int64
+	scratch         []byte
 }
 
 func (c *client) connect(ctx context.Context) error {
@@ -46,81 +45,81 @@
 	return nil
 }
 
-// send writes a request.
-func (c *client) send(o order) error {
-	o.Model, o.Stream = service, true
-	body, err := json.Marshal(o)
+// send writes a request to the connection.
+func (c *client) send(request streamRequest) error {
+	request.Model, request.Stream = serviceName, true
+	body, err := json.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("encode: %w", err)
+		return fmt.Errorf("encode request: %w", err)
 	}
 	text := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		requestPath, benchKey, len(body), body)
 	if _, err := c.nc.Write(text); err != nil {
-		return fmt.Errorf("send: %w", err)
+		return fmt.Errorf("send request: %w", err)
 	}
 	return nil
 }
 
-// run sends one order and reads its whole answer.
-func (c *client) run(o order) error {
-	begun := time.Now()
-	if err := c.send(o); err != nil {
+// run sends a request and reads its whole answer.
+func (c *client) run(request streamRequest) error {
+	start := time.Now()
+	if err := c.send(request); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(resp.Body) // the status alone says enough if it is cut
+		text, _ := io.ReadAll(resp.Body) // if the body is truncated, the status alone is reported
 		return fmt.Errorf("status %d: %s", resp.StatusCode, text)
 	}
-	if err := c.read(resp.Body, o, begun); err != nil {
+	if err := c.readEvents(resp.Body, request, start); err != nil {
 		return err
 	}
-	c.wholes = append(c.wholes, time.Since(begun))
+	c.totalTimes = append(c.totalTimes, time.Since(start))
 	return nil
 }
 
-var errShort = errors.New("the answer ended early")
+var errTruncated = errors.New("answer truncated: no [DONE] event at its end")
 
-// read takes events of a known size apart without allocating.
-func (c *client) read(body io.Reader, o order, begun time.Time) error {
-	if cap(c.scratch) < o.Bytes {
-		c.scratch = make([]byte, o.Bytes)
+// readEvents reads events of a known size without allocating, and records their times.
+func (c *client) readEvents(body io.Reader, request streamRequest, start time.Time) error {
+	if cap(c.scratch) < request.Bytes {
+		c.scratch = make([]byte, request.Bytes)
 	}
-	event := c.scratch[:o.Bytes]
-	for i := range o.Events {
+	event := c.scratch[:request.Bytes]
+	for i := range request.Events {
 		if _, err := io.ReadFull(body, event); err != nil {
 			return fmt.Errorf("event %d: %w", i, err)
 		}
 		if i == 0 {
-			c.starts = append(c.starts, time.Since(begun))
+			c.firstEventTimes = append(c.firstEventTimes, time.Since(start))
 		}
 		c.events++
 		c.bytes += int64(len(event))
-		if o.EveryU > 0 {
-			sent, err := strconv.ParseInt(string(event[len(prefix):len(prefix)+stampWidth]), 10, 64)
+		if request.EventIntervalUS > 0 {
+			sentAt, err := strconv.ParseInt(string(event[len(eventPrefix):len(eventPrefix)+stampWidth]), 10, 64)
 			if err != nil {
 				return fmt.Errorf("event %d: %w", i, err)
 			}
-			c.delays = append(c.delays, time.Since(c.base)-time.Duration(sent))
+			c.eventDelays = append(c.eventDelays, time.Since(c.base)-time.Duration(sentAt))
 		}
 	}
 	tail, err := io.ReadAll(body)
 	if err != nil {
-		return fmt.Errorf("end: %w", err)
+		return fmt.Errorf("read end of answer: %w", err)
 	}
-	if !bytes.Equal(tail, []byte(last)) {
-		return errShort
+	if !bytes.Equal(tail, []byte(doneEvent)) {
+		return errTruncated
 	}
 	return nil
 }
 
-// forget drops what was measured so far.
-func (c *client) forget() {
-	c.delays, c.starts, c.wholes = nil, nil, nil
+// resetMeasurements discards the measurements so far.
+func (c *client) resetMeasurements() {
+	c.eventDelays, c.firstEventTimes, c.totalTimes = nil, nil, nil
 	c.events, c.bytes = 0, 0
 }
 
--- a/bench/relay/relay.go
+++ b/bench/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay measures what entry and agent add to a streamed answer, against
-// calling the same stand-in directly. Everything runs in one process on
-// loopback: the callers and the stand-in share the processors with the system
-// that is measured, so throughput is that of a whole small machine.
+// Package relay measures the overhead of entry and agent on a streamed answer, relative to
+// direct calls to the same stand-in. All run in one process on loopback. Callers and stand-in
+// share the processors with the measured system, so the throughput is that of all of them
+// together.
 package relay
 
 import (
@@ -17,33 +17,33 @@
 	"github.com/heatherrail/heatherrail/bench"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
-	Streams []int         // counts of concurrent streams
-	Rounds  int           // of each pair
-	Time    time.Duration // of one half of a pair
+	Streams []int         // numbers of concurrent streams to measure
+	Rounds  int           // rounds per number of streams
+	Time    time.Duration // duration of a round of each variant
 }
 
-// Sizes of the streams.
+// Sizes of streams, and numbers of runs.
 const (
-	eventBytes  = 160
-	pacedEvery  = 20 * time.Millisecond // between events, as engines send them
-	bulkEvents  = 400
-	shortEvents = 200
-	longEvents  = 20 * shortEvents
-	allocRuns   = 20
-	goneRuns    = 40
+	eventBytes     = 160
+	pacedInterval  = 20 * time.Millisecond // between events, as with real engines
+	bulkEvents     = 400
+	shortEvents    = 200
+	longEvents     = 20 * shortEvents
+	allocRuns      = 20
+	disconnectRuns = 40
 )
 
-// side is one half of a pair.
-type side struct {
+// variant is one of the two compared paths, direct or relayed, with its clients.
+type variant struct {
 	name    string
 	addr    string
 	clients []*client
 }
 
-// Run measures and reports.
+// Run runs all relay benchmarks and reports their figures.
 func Run(ctx context.Context, o Options) (*bench.Report, error) {
 	r := bench.NewReport("relay", o.Seed)
 	s, err := startSystem()
@@ -52,66 +52,67 @@
 	}
 	defer s.close()
 	for _, n := range o.Streams {
-		if err := paced(ctx, r, s, n, o); err != nil {
+		if err := benchPaced(ctx, r, s, n, o); err != nil {
 			return nil, fmt.Errorf("%d paced streams: %w", n, err)
 		}
-		if err := bulk(ctx, r, s, n, o); err != nil {
+		if err := benchBulk(ctx, r, s, n, o); err != nil {
 			return nil, fmt.Errorf("%d bulk streams: %w", n, err)
 		}
 	}
-	if err := allocations(r, s); err != nil {
+	if err := benchAllocations(r, s); err != nil {
 		return nil, err
 	}
-	return r, gone(r, s)
+	return r, benchDisconnect(r, s)
 }
 
-func (s *system) sides(n int) []*side {
-	pair := []*side{{name: "direct", addr: s.server.Addr}, {name: "relayed", addr: s.entry.Addr()}}
-	for _, sd := range pair {
+// newPair returns the direct and the relayed variant, each with n clients.
+func (s *system) newPair(n int) []*variant {
+	pair := []*variant{{name: "direct", addr: s.server.Addr}, {name: "relayed", addr: s.entry.Addr()}}
+	for _, v := range pair {
 		for range n {
-			sd.clients = append(sd.clients, &client{base: s.standin.base, addr: sd.addr})
+			v.clients = append(v.clients, &client{base: s.standin.base, addr: v.addr})
 		}
 	}
 	return pair
 }
 
-// each runs f for all clients of a side at once.
-func (sd *side) each(f func(*client) error) error {
+// each runs f for all clients of a variant concurrently and returns the first error.
+func (v *variant) each(f func(*client) error) error {
 	p := pool.New().WithErrors().WithFirstError()
-	for _, c := range sd.clients {
+	for _, c := range v.clients {
 		p.Go(func() error { return f(c) })
 	}
 	return p.Wait()
 }
 
-func (sd *side) connect(ctx context.Context) error {
-	return sd.each(func(c *client) error { return c.connect(ctx) })
+func (v *variant) connect(ctx context.Context) error {
+	return v.each(func(c *client) error { return c.connect(ctx) })
 }
 
-func (sd *side) close() {
-	for _, c := range sd.clients {
+func (v *variant) close() {
+	for _, c := range v.clients {
 		c.close()
 	}
 }
 
-// paced measures the way of one event while engines send at their usual pace,
-// and the memory of a stream.
-func paced(ctx context.Context, r *bench.Report, s *system, n int, o Options) error {
-	pair := s.sides(n)
-	events := max(1, int(o.Time/pacedEvery))
-	work := order{Events: events, EveryU: int(pacedEvery.Microseconds()), Bytes: eventBytes}
-	memory, err := memoryOf(ctx, pair, work, o)
+// benchPaced measures the delay of events that are sent at the interval of real engines, and
+// the memory per stream.
+func benchPaced(ctx context.Context, r *bench.Report, s *system, n int, o Options) error {
+	pair := s.newPair(n)
+	events := max(1, int(o.Time/pacedInterval))
+	request := streamRequest{Events: events, EventIntervalUS: int(pacedInterval.Microseconds()), Bytes: eventBytes}
+	memory, err := measureMemory(ctx, pair, request, o)
 	if err != nil {
 		return err
 	}
 	for range o.Rounds {
-		for _, sd := range pair {
-			if err := pacedRound(ctx, sd, work); err != nil {
-				return fmt.Errorf("%s: %w", sd.name, err)
+		for _, v := range pair {
+			if err := pacedRound(ctx, v, request); err != nil {
+				return fmt.Errorf("%s: %w", v.name, err)
 			}
 		}
 	}
-	direct, relayed := quantiles(pair[0], delaysOf), quantiles(pair[1], delaysOf)
+	direct, relayed := quantiles(pair[0], eventDelaysOf), quantiles(pair[1], eventDelaysOf)
 	name := strconv.Itoa(n)
 	r.Add(name, "event_direct_median", "us", direct[0])
 	r.Add(name, "event_added_median", "us", relayed[0]-direct[0])
@@ -121,106 +122,112 @@
 	return nil
 }
 
-// memoryOf runs each half once for the memory in use in the midst of it. Looking
-// stops the world, so the delays of these rounds are dropped.
-func memoryOf(ctx context.Context, pair []*side, work order, o Options) (map[string]float64, error) {
+// measureMemory returns the memory in use, by variant, in the middle of one round each. Reading
+// it stops the world, so the delays of these rounds are discarded.
+func measureMemory(ctx context.Context, pair []*variant, request streamRequest, o Options) (map[string]float64, error) {
 	memory := make(map[string]float64)
-	for _, sd := range pair {
-		before := inUse()
+	for _, v := range pair {
+		before := memoryInUse()
 		ended := make(chan error, 1)
-		go func() { ended <- pacedRound(ctx, sd, work) }()
+		go func() { ended <- pacedRound(ctx, v, request) }()
 		time.Sleep(o.Time / 2)
-		memory[sd.name] = inUse() - before
+		memory[v.name] = memoryInUse() - before
 		if err := <-ended; err != nil {
-			return nil, fmt.Errorf("%s: %w", sd.name, err)
+			return nil, fmt.Errorf("%s: %w", v.name, err)
 		}
-		for _, c := range sd.clients {
-			c.forget()
+		for _, c := range v.clients {
+			c.resetMeasurements()
 		}
 	}
 	return memory, nil
 }
 
-func pacedRound(ctx context.Context, sd *side, work order) error {
-	if err := sd.connect(ctx); err != nil {
+// pacedRound runs one request on each client of a variant.
+func pacedRound(ctx context.Context, v *variant, request streamRequest) error {
+	if err := v.connect(ctx); err != nil {
 		return err
 	}
-	defer sd.close()
-	return sd.each(func(c *client) error { return c.run(work) })
+	defer v.close()
+	return v.each(func(c *client) error { return c.run(request) })
 }
 
-func inUse() float64 {
+// memoryInUse returns the bytes of heap and stack after a garbage collection.
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
 }
 
-// bulk measures throughput and whole requests while the stand-in sends as fast
-// as it is read.
-func bulk(ctx context.Context, r *bench.Report, s *system, n int, o Options) error {
-	pair := s.sides(n)
-	work := order{Events: bulkEvents, Bytes: eventBytes}
+// benchBulk measures throughput and the time to the first event while the stand-in sends events
+// as fast as they are read.
+func benchBulk(ctx context.Context, r *bench.Report, s *system, n int, o Options) error {
+	pair := s.newPair(n)
+	request := streamRequest{Events: bulkEvents, Bytes: eventBytes}
 	var spent [2]time.Duration
 	for range o.Rounds {
-		for i, sd := range pair {
-			took, err := bulkRound(ctx, sd, work, o.Time)
+		for i, v := range pair {
+			elapsed, err := bulkRound(ctx, v, request, o.Time)
 			if err != nil {
-				return fmt.Errorf("%s: %w", sd.name, err)
+				return fmt.Errorf("%s: %w", v.name, err)
 			}
-			spent[i] += took
+			spent[i] += elapsed
 		}
 	}
 	name := strconv.Itoa(n)
-	direct, relayed := pair[0].rate(spent[0]), pair[1].rate(spent[1])
+	direct, relayed := pair[0].eventsPerSecond(spent[0]), pair[1].eventsPerSecond(spent[1])
 	r.Add(name, "throughput_direct", "events/s", direct)
 	r.Add(name, "throughput_relayed", "events/s", relayed)
 	r.Add(name, "throughput_ratio", "", relayed/direct)
-	starts := [2][2]float64{quantiles(pair[0], startsOf), quantiles(pair[1], startsOf)}
-	r.Add(name, "start_direct_median", "us", starts[0][0])
-	r.Add(name, "start_added_median", "us", starts[1][0]-starts[0][0])
-	r.Add(name, "start_added_p99", "us", starts[1][1]-starts[0][1])
+	firstEvents := [2][2]float64{quantiles(pair[0], firstEventTimesOf), quantiles(pair[1], firstEventTimesOf)}
+	r.Add(name, "start_direct_median", "us", firstEvents[0][0])
+	r.Add(name, "start_added_median", "us", firstEvents[1][0]-firstEvents[0][0])
+	r.Add(name, "start_added_p99", "us", firstEvents[1][1]-firstEvents[0][1])
 	return nil
 }
 
-func bulkRound(ctx context.Context, sd *side, work order, length time.Duration) (time.Duration, error) {
-	if err := sd.connect(ctx); err != nil {
+// bulkRound sends requests on all clients of a variant for a duration, and returns the time
+// until the last one has ended.
+func bulkRound(ctx context.Context, v *variant, request streamRequest, duration time.Duration) (time.Duration, error) {
+	if err := v.connect(ctx); err != nil {
 		return 0, err
 	}
-	defer sd.close()
-	begun := time.Now()
-	err := sd.each(func(c *client) error {
-		for time.Since(begun) < length {
-			if err := c.run(work); err != nil {
+	defer v.close()
+	start := time.Now()
+	err := v.each(func(c *client) error {
+		for time.Since(start) < duration {
+			if err := c.run(request); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	return time.Since(begun), err
+	return time.Since(start), err
 }
 
-func (sd *side) rate(spent time.Duration) float64 {
+// eventsPerSecond returns the rate of all events of a variant in the given time.
+func (v *variant) eventsPerSecond(spent time.Duration) float64 {
 	events := 0
-	for _, c := range sd.clients {
+	for _, c := range v.clients {
 		events += c.events
 	}
 	return float64(events) / spent.Seconds()
 }
 
-func delaysOf(c *client) []time.Duration { return c.delays }
-func startsOf(c *client) []time.Duration { return c.starts }
+func eventDelaysOf(c *client) []time.Duration     { return c.eventDelays }
+func firstEventTimesOf(c *client) []time.Duration { return c.firstEventTimes }
 
-// quantiles returns median and 99th percentile in microseconds.
-func quantiles(sd *side, of func(*client) []time.Duration) [2]float64 {
+// quantiles returns the median and the 99th percentile of durations of all clients, in
+// microseconds.
+func quantiles(v *variant, durationsOf func(*client) []time.Duration) [2]float64 {
 	var all []time.Duration
-	for _, c := range sd.clients {
-		all = append(all, of(c)...)
+	for _, c := range v.clients {
+		all = append(all, durationsOf(c)...)
 	}
 	if len(all) == 0 {
 		return [2]float64{}
 	}
 	slices.Sort(all)
-	us := func(q int) float64 { return float64(all[len(all)*q/100].Nanoseconds()) / 1e3 }
-	return [2]float64{us(50), us(99)}
+	microseconds := func(percent int) float64 { return float64(all[len(all)*percent/100].Nanoseconds()) / 1e3 }
+	return [2]float64{microseconds(50), microseconds(99)}
 }
--- a/bench/relay/standin.go
+++ b/bench/relay/standin.go
@@ -8,65 +8,66 @@
 	"time"
 )
 
-// order is the body of a request: what the stand-in shall answer.
-type order struct {
-	Model  string `json:"model"`
-	Stream bool   `json:"stream"`
-	Events int    `json:"events"`
-	EveryU int    `json:"every_us"` // microseconds between events; 0: as fast as they are read
-	Bytes  int    `json:"bytes"`    // size of an event
+// streamRequest is the body of a request. It defines the stream that the stand-in answers with.
+type streamRequest struct {
+	Model           string `json:"model"`
+	Stream          bool   `json:"stream"`
+	Events          int    `json:"events"`
+	EventIntervalUS int    `json:"every_us"` // microseconds between events; 0: as fast as the client reads
+	Bytes           int    `json:"bytes"`    // size of an event
 }
 
-// standin is an engine that streams events, each with the time at which it was
-// sent, so that a receiver can tell how long it was under way.
+// standin is an engine that streams events. Each event has the time of sending, from which the
+// receiver computes its delay.
 type standin struct {
-	base   time.Time
-	active atomic.Int64
-	gone   chan time.Duration // when the callers of endless orders were missed
+	base           time.Time
+	activeRequests atomic.Int64
+	disconnects    chan time.Duration // times since base at which disconnects of callers were seen
 }
 
 const (
-	prefix = `data: {"t":"`
-	middle = `","choices":[{"index":0,"text":"`
-	suffix = `"}]}` + "\n\n"
-	last   = "data: [DONE]\n\n"
-	// stampWidth holds nanoseconds in a fixed width.
-	stampWidth = 16
-	smallest   = len(prefix) + stampWidth + len(middle) + len(suffix)
+	eventPrefix = `data: {"t":"`
+	eventMiddle = `","choices":[{"index":0,"text":"`
+	eventSuffix = `"}]}` + "\n\n"
+	doneEvent   = "data: [DONE]\n\n"
+	// stampWidth is the number of digits of the time stamp in nanoseconds.
+	stampWidth    = 16
+	minEventBytes = len(eventPrefix) + stampWidth + len(eventMiddle) + len(eventSuffix)
 )
 
 // ServeHTTP implements http.Handler.
 func (s *standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var o order
+	var o streamRequest
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.active.Add(1)
-	defer s.active.Add(-1)
+	s.activeRequests.Add(1)
+	defer s.activeRequests.Add(-1)
 	w.Header().Set("Content-Type", "text/event-stream")
 	s.stream(w, r, &o)
 }
 
-func (s *standin) stream(w http.ResponseWriter, r *http.Request, o *order) {
+// stream sends the events of a request, and the final event.
+func (s *standin) stream(w http.ResponseWriter, r *http.Request, request *streamRequest) {
 	var ticks <-chan time.Time
-	if o.EveryU > 0 {
-		ticker := time.NewTicker(time.Duration(o.EveryU) * time.Microsecond)
+	if request.EventIntervalUS > 0 {
+		ticker := time.NewTicker(time.Duration(request.EventIntervalUS) * time.Microsecond)
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
 	flusher := http.NewResponseController(w)
-	event := make([]byte, max(o.Bytes, smallest))
-	for range o.Events {
+	event := make([]byte, max(request.Bytes, minEventBytes))
+	for range request.Events {
 		if ticks != nil {
 			select {
 			case <-ticks:
 			case <-r.Context().Done():
-				s.missed()
+				s.reportDisconnect()
 				return
 			}
 		}
-		s.stamp(event)
+		s.writeEvent(event)
 		if _, err := w.Write(event); err != nil {
 			return
 		}
@@ -74,28 +75,29 @@
 			return
 		}
 	}
-	_, _ = w.Write([]byte(last)) // a client that left needs no end
+	_, _ = w.Write([]byte(doneEvent)) // an error means that the client has disconnected
 }
 
-func (s *standin) missed() {
+// reportDisconnect sends the current time to s.disconnects, unless that is full.
+func (s *standin) reportDisconnect() {
 	select {
-	case s.gone <- time.Since(s.base):
+	case s.disconnects <- time.Since(s.base):
 	default:
 	}
 }
 
-// stamp writes an event with the present time and filling.
-func (s *standin) stamp(event []byte) {
-	copy(event, prefix)
+// writeEvent writes an event with the current time stamp and padding into event.
+func (s *standin) writeEvent(event []byte) {
+	copy(event, eventPrefix)
 	digits := strconv.AppendInt(nil, time.Since(s.base).Nanoseconds(), 10)
-	at := event[len(prefix) : len(prefix)+stampWidth]
-	for i := range at {
-		at[i] = '0'
+	stamp := event[len(eventPrefix) : len(eventPrefix)+stampWidth]
+	for i := range stamp {
+		stamp[i] = '0'
 	}
-	copy(at[stampWidth-len(digits):], digits)
-	copy(event[len(prefix)+stampWidth:], middle)
-	for i := len(prefix) + stampWidth + len(middle); i < len(event)-len(suffix); i++ {
+	copy(stamp[stampWidth-len(digits):], digits)
+	copy(event[len(eventPrefix)+stampWidth:], eventMiddle)
+	for i := len(eventPrefix) + stampWidth + len(eventMiddle); i < len(event)-len(eventSuffix); i++ {
 		event[i] = 'x'
 	}
-	copy(event[len(event)-len(suffix):], suffix)
+	copy(event[len(event)-len(eventSuffix):], eventSuffix)
 }
--- a/bench/relay/system.go
+++ b/bench/relay/system.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	service  = "model"
-	target   = "model-01"
-	loopback = "127.0.0.1:0"
-	places   = 16384
-	ready    = 10 * time.Second
+	serviceName  = "model"
+	targetName   = "model-01"
+	loopback     = "127.0.0.1:0"
+	queueLimit   = 16384
+	readyTimeout = 10 * time.Second
 )
 
-// system is a stand-in, an agent before it and an entry before that.
+// system consists of a stand-in, its agent and an entry.
 type system struct {
 	standin *standin
 	server  *fake.Server
@@ -34,7 +34,7 @@
 }
 
 func startSystem() (*system, error) {
-	s := &system{standin: &standin{base: time.Now(), gone: make(chan time.Duration, 1)}}
+	s := &system{standin: &standin{base: time.Now(), disconnects: make(chan time.Duration, 1)}}
 	if err := s.start(); err != nil {
 		s.close()
 		return nil, err
@@ -49,7 +49,7 @@
 	backend := outside.NewHTTPBackend(s.server.Addr)
 	backend.WholeEvents = true
 	s.agent, err = agent.Start(agent.Options{
-		Settings:    settings.Agent{Target: target, Listen: loopback, Backend: s.server.Addr, Kind: settings.KindEngine, Queue: places},
+		Settings:    settings.Agent{Target: targetName, Listen: loopback, Backend: s.server.Addr, Kind: settings.KindEngine, Queue: queueLimit},
 		Backend:     backend,
 		Logger:      logr.Discard(),
 		Metrics:     metrics.New(),
@@ -63,7 +63,7 @@
 		return err
 	}
 	s.entry, err = entry.Start(entry.Options{
-		Settings:    settings.Entry{Name: "entry-1", Callers: loopback, Listen: loopback, MaxBody: 1 << 20, MaxCallers: places, AnswerLife: time.Second},
+		Settings:    settings.Entry{Name: "entry-1", Callers: loopback, Listen: loopback, MaxBody: 1 << 20, MaxCallers: queueLimit, AnswerLife: time.Second},
 		Log:         log,
 		VMs:         vms,
 		Logger:      logr.Discard(),
@@ -80,7 +80,7 @@
 func (s *system) platform() (outside.Log, outside.VMList, error) {
 	cfg, err := config.Load(map[string]string{"bench.ini": fmt.Sprintf(
 		"[fleet model]\nkind = engine\n[target %s]\nfleet = model\ndata-centre = a\n[service %s]\nfleet = model\nmodel = m\n[team bench]\nkey-hash = %s\nservices = %s\n",
-		target, service, config.HashKey(benchKey), service)})
+		targetName, serviceName, config.HashKey(benchKey), serviceName)})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -90,19 +90,20 @@
 	}
 	log, vms := fake.NewLog(), fake.NewVMList(0)
 	if _, err := log.Append(context.Background(), [][]byte{raw}); err != nil {
-		return nil, nil, fmt.Errorf("apply: %w", err)
+		return nil, nil, fmt.Errorf("append configuration: %w", err)
 	}
-	vms.Put(outside.VM{ID: "1", Name: target, Role: outside.RoleTarget, Address: s.agent.Addr(), State: outside.StateLive})
+	vms.Put(outside.VM{ID: "1", Name: targetName, Role: outside.RoleTarget, Address: s.agent.Addr(), State: outside.StateLive})
 	return log, vms, nil
 }
 
+// awaitReady waits until the entry has a configuration and a connection to the agent.
 func (s *system) awaitReady() error {
-	for end := time.Now().Add(ready); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if s.entry.Current() != nil && s.entry.Linked() == 1 {
 			return nil
 		}
 	}
-	return errors.New("the entry does not reach the agent")
+	return errors.New("the entry did not connect to the agent in time")
 }
 
 func (s *system) close() {
