--- a/scenarios/groups_test.go
+++ b/scenarios/groups_test.go
@@ -18,11 +18,12 @@
 	"github.com/heatherrail/heatherrail/internal/fake"
 )
 
-// someSteps is how many steps show that a group runs.
-const someSteps = 50
+// minSteps is the number of further steps after which a group counts as running.
+const minSteps = 50
 
-func (w *world) group(name string) (fake.GroupState, error) {
-	resp, err := http.Get("http://" + w.desc.Standins.Control + "/groups")
+// group returns the state of a group at the stand-ins. It fails if a step ran with two maps.
+func (sc *scenario) group(name string) (fake.GroupState, error) {
+	resp, err := http.Get("http://" + sc.description.Standins.Control + "/groups")
 	if err != nil {
 		return fake.GroupState{}, err
 	}
@@ -33,7 +34,7 @@
 	}
 	state, ok := groups[name]
 	if !ok {
-		return state, fmt.Errorf("there is no group %s", name)
+		return state, fmt.Errorf("unknown group %s", name)
 	}
 	if state.Mixed != "" {
 		return state, errors.New(state.Mixed)
@@ -41,36 +42,41 @@
 	return state, nil
 }
 
-// popular GROUP EXPERT makes an expert popular and remembers the map in use.
-func (w *world) popular(args []string) (string, error) {
+// popular implements the command "popular GROUP EXPERT": it gives an expert most of the load,
+// and records the current map for "switched".
+func (sc *scenario) popular(args []string) (string, error) {
 	if len(args) != 2 {
 		return "", errors.New("want: popular GROUP EXPERT")
 	}
-	state, err := w.group(args[0])
+	state, err := sc.group(args[0])
 	if err != nil {
 		return "", err
 	}
-	w.maps[args[0]] = state.Map
-	return "", w.control(http.MethodPost, "/groups/"+args[0]+"/popular?expert="+args[1], "")
+	sc.mapsBefore[args[0]] = state.Map
+	return "", sc.control(http.MethodPost, "/groups/"+args[0]+"/popular?expert="+args[1], "")
 }
 
-// switched GROUP waits for another map.
-func (w *world) switched(args []string) (string, error) {
-	return w.await(args[0], "kept its map", func(s fake.GroupState) bool { return s.Map != w.maps[args[0]] })
+// switched implements the command "switched GROUP": it waits until the group uses another map
+// than at the latest "popular".
+func (sc *scenario) switched(args []string) (string, error) {
+	return sc.awaitGroup(args[0], "did not switch its map", func(s fake.GroupState) bool { return s.Map != sc.mapsBefore[args[0]] })
 }
 
-// goesOn GROUP waits for steps.
-func (w *world) goesOn(args []string) (string, error) {
-	from, err := w.group(args[0])
+// goesOn implements the command "goes-on GROUP": it waits until the group has run more than
+// minSteps further steps.
+func (sc *scenario) goesOn(args []string) (string, error) {
+	before, err := sc.group(args[0])
 	if err != nil {
 		return "", err
 	}
-	return w.await(args[0], "stands", func(s fake.GroupState) bool { return s.Steps > from.Steps+someSteps })
+	return sc.awaitGroup(args[0], "runs no steps", func(s fake.GroupState) bool { return s.Steps > before.Steps+minSteps })
 }
 
-func (w *world) await(group, fault string, met func(fake.GroupState) bool) (string, error) {
-	for until := time.Now().Add(patience); time.Now().Before(until); {
-		state, err := w.group(group)
+// awaitGroup polls the state of a group until met returns true. After waitTimeout it fails with
+// the fault, the state and the latest log lines about the group.
+func (sc *scenario) awaitGroup(group, fault string, met func(fake.GroupState) bool) (string, error) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
+		state, err := sc.group(group)
 		if err != nil {
 			return "", err
 		}
@@ -79,21 +85,21 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	state, err := w.group(group)
+	state, err := sc.group(group)
 	if err != nil {
 		return "", err
 	}
-	return "", fmt.Errorf("group %s %s, state %+v; latest lines about it:\n%s", group, fault, state, w.linesAbout(group))
+	return "", fmt.Errorf("group %s %s, state %+v; latest lines about it:\n%s", group, fault, state, sc.linesMentioning(group))
 }
 
-// tracedLines is how many lines of each process a failure shows.
-const tracedLines = 20
+// maxLinesPerProcess limits the log lines of each process that a failure shows.
+const maxLinesPerProcess = 20
 
-// linesAbout returns the latest lines of all processes that name a group.
-func (w *world) linesAbout(group string) string {
+// linesMentioning returns the latest log lines that name a group, of all processes.
+func (sc *scenario) linesMentioning(group string) string {
 	var text strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(w.procs)) {
-		log, err := os.ReadFile(filepath.Join(w.dir, name+".log"))
+	for _, name := range slices.Sorted(maps.Keys(sc.procs)) {
+		log, err := os.ReadFile(filepath.Join(sc.dir, name+".log"))
 		if err != nil {
 			fmt.Fprintln(&text, err)
 			continue
@@ -104,58 +110,59 @@
 				lines = append(lines, name+": "+line)
 			}
 		}
-		for _, line := range lines[max(0, len(lines)-tracedLines):] {
+		for _, line := range lines[max(0, len(lines)-maxLinesPerProcess):] {
 			text.WriteString(line)
 		}
 	}
 	return text.String()
 }
 
-// owner pause|resume|lapsed GROUP freezes the holder of a group's lease, lets it go
-// on, or waits until the lease has another holder.
-func (w *world) owner(args []string) (string, error) {
+// owner implements the command "owner pause|resume|lapsed GROUP": it pauses the holder of the
+// lease of a group, resumes it, or waits until the lease has another holder.
+func (sc *scenario) owner(args []string) (string, error) {
 	if len(args) != 2 {
 		return "", errors.New("want: owner pause|resume|lapsed GROUP")
 	}
 	group := args[1]
 	switch args[0] {
 	case "resume":
-		return w.resume([]string{w.owners[group]})
+		return sc.resume([]string{sc.pausedOwners[group]})
 	case "lapsed":
-		return "", w.awaitOtherOwner(group)
+		return "", sc.awaitOtherOwner(group)
 	}
-	holder, err := w.holder(group)
+	holder, err := sc.leaseHolder(group)
 	if err != nil {
 		return "", err
 	}
-	w.owners[group] = holder
-	return w.pause([]string{holder})
+	sc.pausedOwners[group] = holder
+	return sc.pause([]string{holder})
 }
 
-// holder asks for the status, as an operator does.
-func (w *world) holder(group string) (string, error) {
+// leaseHolder returns the holder of the lease of a group, from "heatherrail status".
+func (sc *scenario) leaseHolder(group string) (string, error) {
 	cmd := exec.Command(filepath.Join(binDir, "heatherrail"), "status")
-	cmd.Dir = w.dir
+	cmd.Dir = sc.dir
 	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("status: %w: %s", err, out)
+		return "", fmt.Errorf("heatherrail status: %w: %s", err, out)
 	}
-	row := regexp.MustCompile(regexp.QuoteMeta(control.GroupResource(group)) + ` +(\S+)`).FindSubmatch(out)
-	if row == nil {
-		return "", fmt.Errorf("nobody holds the lease of %s:\n%s", group, out)
+	match := regexp.MustCompile(regexp.QuoteMeta(control.GroupResource(group)) + ` +(\S+)`).FindSubmatch(out)
+	if match == nil {
+		return "", fmt.Errorf("lease of group %s has no holder in the status:\n%s", group, out)
 	}
-	return string(row[1]), nil
+	return string(match[1]), nil
 }
 
-// lapseLimit bounds the wait for a lease to lapse and be claimed again.
-const lapseLimit = 3 * time.Minute
+// leaseLapseTimeout limits the wait until a lease has expired and another process holds it.
+const leaseLapseTimeout = 3 * time.Minute
 
-func (w *world) awaitOtherOwner(group string) error {
-	for until := time.Now().Add(lapseLimit); time.Now().Before(until); time.Sleep(time.Second) {
-		holder, err := w.holder(group)
-		if err == nil && holder != w.owners[group] {
+// awaitOtherOwner waits until a process other than the paused owner holds the lease of a group.
+func (sc *scenario) awaitOtherOwner(group string) error {
+	for deadline := time.Now().Add(leaseLapseTimeout); time.Now().Before(deadline); time.Sleep(time.Second) {
+		holder, err := sc.leaseHolder(group)
+		if err == nil && holder != sc.pausedOwners[group] {
 			return nil
 		}
 	}
-	return fmt.Errorf("the lease of %s has not passed on", group)
+	return fmt.Errorf("lease of group %s has no new holder in time", group)
 }
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -7,37 +7,37 @@
 	"sync"
 )
 
-// load NAME SERVICE CALLERS [TOKENS] lets callers send one request after the
-// other until `end NAME`, each to a live entry.
-func (w *world) load(args []string) (string, error) {
+// load implements the command "load NAME SERVICE CALLERS [TOKENS]": callers send requests one
+// after the other, each to a random live entry, until "end NAME".
+func (sc *scenario) load(args []string) (string, error) {
 	callers, tokens, err := batchArgs(args)
 	if err != nil {
 		return "", err
 	}
 	b := &batch{stop: make(chan struct{})}
-	w.batches[args[0]] = b
-	b.first.Add(callers)
+	sc.batches[args[0]] = b
+	b.started.Add(callers)
 	for i := range callers {
-		l := &loop{world: w, batch: b, name: fmt.Sprintf("%s-%d", args[0], i), service: args[1], tokens: tokens, key: w.anyTeamKey(i)}
-		b.all.Go(l.run)
+		l := &callerLoop{scenario: sc, batch: b, name: fmt.Sprintf("%s-%d", args[0], i), service: args[1], tokens: tokens, key: sc.anyTeamKey(i)}
+		b.callers.Go(l.run)
 	}
-	b.first.Wait()
+	b.started.Wait()
 	return "", nil
 }
 
-// loop is one caller that sends until its batch is stopped.
-type loop struct {
-	world   *world
-	batch   *batch
-	name    string
-	service string
-	key     string
-	tokens  int
+// callerLoop is a caller that sends requests until its batch is stopped.
+type callerLoop struct {
+	scenario *scenario
+	batch    *batch
+	name     string
+	service  string
+	key      string
+	tokens   int
 }
 
-func (l *loop) run() {
-	started := sync.OnceFunc(l.batch.first.Done)
-	defer started()
+func (l *callerLoop) run() {
+	markStarted := sync.OnceFunc(l.batch.started.Done)
+	defer markStarted()
 	rng := rand.New(rand.NewPCG(1, uint64(len(l.name))))
 	for n := 0; ; n++ {
 		select {
@@ -45,58 +45,60 @@
 			return
 		default:
 		}
-		c := caller{
-			entry:   l.world.liveEntry(rng),
-			key:     l.key,
-			service: l.service,
-			mark:    fmt.Sprintf("%s-%d.", l.name, n),
-			tokens:  l.tokens,
-			first:   started,
+		request := caller{
+			entry:       l.scenario.liveEntry(rng),
+			key:         l.key,
+			service:     l.service,
+			marker:      fmt.Sprintf("%s-%d.", l.name, n),
+			tokens:      l.tokens,
+			onFirstByte: markStarted,
 		}
-		s := c.run()
-		l.batch.add(s)
+		result := request.run()
+		l.batch.add(result)
 	}
 }
 
-func (b *batch) add(s sent) {
+// add records a request that has ended.
+func (b *batch) add(s sentRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sent = append(b.sent, s)
+	b.requests = append(b.requests, s)
 }
 
-func (w *world) liveEntry(rng *rand.Rand) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.entries[rng.IntN(len(w.entries))]
+// liveEntry returns the address of a random live entry.
+func (sc *scenario) liveEntry(rng *rand.Rand) string {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.entries[rng.IntN(len(sc.entries))]
 }
 
-// replace NAME… replaces VMs one after the other as an operator does: the new VM
-// is up before callers leave the old entry; an agent's successor takes its target.
-func (w *world) replace(names []string) (string, error) {
+// replace implements the command "replace NAME…": it replaces VMs one after the other. The new
+// VM is ready before callers stop using the old entry, or the old agent is shut down.
+func (sc *scenario) replace(names []string) (string, error) {
 	for _, name := range names {
-		if err := w.replaceOne(name); err != nil {
+		if err := sc.replaceOne(name); err != nil {
 			return "", fmt.Errorf("replace %s: %w", name, err)
 		}
 	}
-	return "", w.awaitReady()
+	return "", sc.awaitReady()
 }
 
-func (w *world) replaceOne(name string) error {
-	old := w.procs[name]
+func (sc *scenario) replaceOne(name string) error {
+	old := sc.procs[name]
 	if old == nil {
-		return errors.New("there is no such process")
+		return errors.New("no such process")
 	}
-	if err := w.startOne(name); err != nil {
+	if err := sc.startOne(name); err != nil {
 		return err
 	}
-	if err := w.awaitReady(); err != nil {
+	if err := sc.awaitReady(); err != nil {
 		return err
 	}
-	w.forgetEntry(old)
-	w.procs["old "+name] = old
-	if _, err := w.shutdown([]string{"old " + name}); err != nil {
+	sc.removeEntry(old)
+	sc.procs["old "+name] = old
+	if _, err := sc.shutdown([]string{"old " + name}); err != nil {
 		return err
 	}
-	delete(w.procs, "old "+name)
-	return w.control("DELETE", "/vms/"+old.vm.ID, "")
+	delete(sc.procs, "old "+name)
+	return sc.control("DELETE", "/vms/"+old.vm.ID, "")
 }
--- a/scenarios/process_test.go
+++ b/scenarios/process_test.go
@@ -16,17 +16,18 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// process is one program under test.
+// process is a running program under test.
 type process struct {
 	cmd     *exec.Cmd
 	vm      outside.VM
-	started chan map[string]string // key=value pairs of its "started" event
-	done    chan struct{}          // closed after its end; err is set then
+	started chan map[string]string // key=value pairs of the log event "started"
+	done    chan struct{}          // closed when the process has ended and err is set
 	err     error
 }
 
-// launch starts a program; its log goes to NAME.log in the scenario's directory.
-func (w *world) launch(name, program string, args ...string) (*process, io.Reader, error) {
+// launch starts a program, and writes its log to NAME.log in the directory of the scenario. It
+// returns the process and its standard output.
+func (sc *scenario) launch(name, program string, args ...string) (*process, io.Reader, error) {
 	p := &process{
 		cmd:     exec.Command(filepath.Join(binDir, program), args...),
 		started: make(chan map[string]string, 1),
@@ -40,7 +41,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	logFile, err := os.Create(filepath.Join(w.dir, name+".log"))
+	logFile, err := os.Create(filepath.Join(sc.dir, name+".log"))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -58,12 +59,14 @@
 		p.err = p.cmd.Wait()
 		close(p.done)
 	}()
-	w.procs[name] = p
+	sc.procs[name] = p
 	return p, stdout, nil
 }
 
-var pair = regexp.MustCompile(`(\S+?)=("[^"]*"|\S+)`)
+// keyValuePattern matches a key=value pair of a log line.
+var keyValuePattern = regexp.MustCompile(`(\S+?)=("[^"]*"|\S+)`)
 
+// readLog reads the log of the process and passes on the values of its "started" event.
 func (p *process) readLog(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
@@ -72,7 +75,7 @@
 			continue
 		}
 		values := make(map[string]string)
-		for _, m := range pair.FindAllStringSubmatch(lines.Text(), -1) {
+		for _, m := range keyValuePattern.FindAllStringSubmatch(lines.Text(), -1) {
 			values[m[1]] = m[2]
 		}
 		select {
@@ -82,20 +85,22 @@
 	}
 }
 
+// awaitStart waits for the "started" event and returns its values.
 func (p *process) awaitStart() (map[string]string, error) {
 	select {
 	case v := <-p.started:
 		return v, nil
 	case <-p.done:
-		return nil, fmt.Errorf("ended at its start: %v", p.err)
-	case <-time.After(patience):
-		return nil, errors.New("did not start")
+		return nil, fmt.Errorf("process ended before its \"started\" event: %v", p.err)
+	case <-time.After(waitTimeout):
+		return nil, errors.New("no \"started\" event in time")
 	}
 }
 
-// shutdown NAME… shuts processes down gracefully and expects exit code 0.
-func (w *world) shutdown(names []string) (string, error) {
-	return "", w.each(names, func(p *process) error {
+// shutdown implements the command "shutdown NAME…": it sends SIGTERM to processes one after the
+// other, and expects exit code 0.
+func (sc *scenario) shutdown(names []string) (string, error) {
+	return "", sc.forEachProcess(names, func(p *process) error {
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
@@ -103,36 +108,39 @@
 	})
 }
 
-// crash NAME… ends processes as a lost VM does.
-func (w *world) crash(names []string) (string, error) {
-	return "", w.each(names, func(p *process) error {
-		w.forgetEntry(p)
+// crash implements the command "crash NAME…": it kills processes without a shutdown, as the
+// loss of a VM does.
+func (sc *scenario) crash(names []string) (string, error) {
+	return "", sc.forEachProcess(names, func(p *process) error {
+		sc.removeEntry(p)
 		_ = p.cmd.Process.Kill()
 		<-p.done
 		return nil
 	})
 }
 
-// pause and resume freeze processes and let them go on.
-func (w *world) pause(names []string) (string, error) {
-	return "", w.each(names, func(p *process) error {
-		w.forgetEntry(p) // new callers would only wait for it
+// pause implements the command "pause NAME…": it stops processes with SIGSTOP.
+func (sc *scenario) pause(names []string) (string, error) {
+	return "", sc.forEachProcess(names, func(p *process) error {
+		sc.removeEntry(p) // new callers would time out at a paused entry
 		return p.cmd.Process.Signal(syscall.SIGSTOP)
 	})
 }
 
-func (w *world) resume(names []string) (string, error) {
-	return "", w.each(names, func(p *process) error {
-		w.addEntry(p)
+// resume implements the command "resume NAME…": it continues paused processes.
+func (sc *scenario) resume(names []string) (string, error) {
+	return "", sc.forEachProcess(names, func(p *process) error {
+		sc.addEntry(p)
 		return p.cmd.Process.Signal(syscall.SIGCONT)
 	})
 }
 
-func (w *world) each(names []string, f func(*process) error) error {
+// forEachProcess calls f for the named processes in order, until the first error.
+func (sc *scenario) forEachProcess(names []string, f func(*process) error) error {
 	for _, name := range names {
-		p := w.procs[name]
+		p := sc.procs[name]
 		if p == nil {
-			return fmt.Errorf("there is no process %s", name)
+			return fmt.Errorf("no process %s", name)
 		}
 		if err := f(p); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -141,11 +149,12 @@
 	return nil
 }
 
+// awaitEnd waits until the process has ended and returns its exit error.
 func (p *process) awaitEnd() error {
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(patience):
-		return errors.New("did not end")
+	case <-time.After(waitTimeout):
+		return errors.New("process did not end in time")
 	}
 }
--- a/scenarios/scenario_test.go
+++ b/scenarios/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenarios holds scripted scenarios over real processes of the three
-// programs. README.md lists the commands of the test language.
+// Package scenarios runs scripted scenarios with real processes of the programs. README.md
+// lists the commands of the scripts.
 package scenarios
 
 import (
@@ -12,11 +12,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// binDir holds the programs under test.
+// binDir is the directory of the programs under test.
 var binDir string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
+// run builds the programs and runs the tests. It returns the exit code.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "heatherrail-scenarios-")
 	if err != nil {
@@ -37,57 +38,59 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			w := &world{dir: env.WorkDir, procs: make(map[string]*process), batches: make(map[string]*batch), maps: make(map[string]string), owners: make(map[string]string)}
-			env.Values[worldKey{}] = w
+			sc := &scenario{dir: env.WorkDir, procs: make(map[string]*process), batches: make(map[string]*batch), mapsBefore: make(map[string]string), pausedOwners: make(map[string]string)}
+			env.Values[scenarioKey{}] = sc
 			env.Setenv("PATH", binDir+string(filepath.ListSeparator)+os.Getenv("PATH"))
 			examples, err := filepath.Abs("../examples")
 			if err != nil {
 				return err
 			}
 			env.Setenv("EXAMPLES", examples)
-			env.Defer(w.close)
+			env.Defer(sc.close)
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"fleet":    command((*world).fleet),
-			"start":    command((*world).start),
-			"shutdown": command((*world).shutdown),
-			"crash":    command((*world).crash),
-			"pause":    command((*world).pause),
-			"resume":   command((*world).resume),
-			"fault":    command((*world).fault),
-			"send":     command((*world).send),
-			"begin":    command((*world).begin),
-			"end":      command((*world).end),
-			"load":     command((*world).load),
-			"popular":  command((*world).popular),
-			"switched": command((*world).switched),
-			"goes-on":  command((*world).goesOn),
-			"owner":    command((*world).owner),
-			"replace":  command((*world).replace),
-			"promises": command((*world).promises),
-			"counter":  command((*world).counter),
-			"ready":    command((*world).ready),
-			"repeat":   command((*world).repeat),
-			"race":     command((*world).race),
+			"fleet":    command((*scenario).fleet),
+			"start":    command((*scenario).start),
+			"shutdown": command((*scenario).shutdown),
+			"crash":    command((*scenario).crash),
+			"pause":    command((*scenario).pause),
+			"resume":   command((*scenario).resume),
+			"fault":    command((*scenario).fault),
+			"send":     command((*scenario).send),
+			"begin":    command((*scenario).begin),
+			"end":      command((*scenario).end),
+			"load":     command((*scenario).load),
+			"popular":  command((*scenario).popular),
+			"switched": command((*scenario).switched),
+			"goes-on":  command((*scenario).goesOn),
+			"owner":    command((*scenario).owner),
+			"replace":  command((*scenario).replace),
+			"promises": command((*scenario).promises),
+			"counter":  command((*scenario).counter),
+			"ready":    command((*scenario).ready),
+			"repeat":   command((*scenario).repeat),
+			"race":     command((*scenario).race),
 		},
 	})
 }
 
-type worldKey struct{}
+// scenarioKey is the key of the *scenario in the values of a script.
+type scenarioKey struct{}
 
-// command adapts a method of world; what it returns is the command's output.
-func command(f func(w *world, args []string) (string, error)) func(*testscript.TestScript, bool, []string) {
+// command adapts a method of scenario to a script command. The command prints the string that
+// the method returns, and fails if the method does.
+func command(f func(sc *scenario, args []string) (string, error)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		w := ts.Value(worldKey{}).(*world)
-		out, err := f(w, args)
+		sc := ts.Value(scenarioKey{}).(*scenario)
+		out, err := f(sc, args)
 		fmt.Fprintln(ts.Stdout(), out)
 		ts.Logf("%s", out)
 		switch {
 		case err != nil && !neg:
 			ts.Fatalf("%v", err)
 		case err == nil && neg:
-			ts.Fatalf("succeeded, but must fail")
+			ts.Fatalf("command succeeded, but must fail")
 		}
 	}
 }
--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -18,51 +18,51 @@
 	"github.com/heatherrail/heatherrail/internal/fake"
 )
 
-// outcome is what a caller can tell of its request.
+// outcome is the result of a request as its caller sees it.
 type outcome string
 
 const (
-	whole      outcome = "whole"        // the whole answer to this very request
-	notRun     outcome = "not-run"      // refused, and said not to have run
-	mayHaveRun outcome = "may-have-run" // doubt: said so, cut off, or no answer at all
-	wrong      outcome = "wrong"        // looks whole and is not
+	complete   outcome = "whole"        // the complete answer to this request
+	notRun     outcome = "not-run"      // rejected, marked as not run
+	mayHaveRun outcome = "may-have-run" // unknown: marked so, truncated, or no response
+	wrong      outcome = "wrong"        // looks complete, but the content is wrong
 )
 
-// sent is one request and what became of it.
-type sent struct {
-	mark    string // found in the body of its run
-	once    bool   // may not be repeated
-	outcome outcome
-	detail  string
+// sentRequest is a request with its outcome.
+type sentRequest struct {
+	marker        string // unique text in the body, by which its executions are found
+	nonRepeatable bool   // must not run twice
+	outcome       outcome
+	detail        string
 }
 
-// batch is requests under way.
+// batch is a set of requests that are sent together.
 type batch struct {
-	first sync.WaitGroup // each has its first bytes, or its outcome
-	all   sync.WaitGroup
-	stop  chan struct{} // ends a load; nil for requests sent once
-	mu    sync.Mutex
-	sent  []sent
+	started  sync.WaitGroup // done when each request has its first byte or its outcome
+	callers  sync.WaitGroup
+	stop     chan struct{} // closed to stop a load; nil for "begin" and "send"
+	mu       sync.Mutex
+	requests []sentRequest
 }
 
-// send SERVICE COUNT [TOKENS] sends requests at once and prints the outcomes.
-// Requests to plain services may not be repeated.
-func (w *world) send(args []string) (string, error) {
-	if _, err := w.begin(append([]string{"send"}, args...)); err != nil {
+// send implements the command "send SERVICE COUNT [TOKENS]": it sends requests concurrently and
+// prints the outcomes. Requests to plain services must not run twice.
+func (sc *scenario) send(args []string) (string, error) {
+	if _, err := sc.begin(append([]string{"send"}, args...)); err != nil {
 		return "", err
 	}
-	return w.end([]string{"send"})
+	return sc.end([]string{"send"})
 }
 
-// usualTokens is the length of answers when a script names none.
-const usualTokens = 16
+// defaultTokens is the number of tokens of an answer if a script gives none.
+const defaultTokens = 16
 
-// batchArgs reads NAME SERVICE COUNT [TOKENS].
+// batchArgs returns COUNT and TOKENS of the arguments NAME SERVICE COUNT [TOKENS].
 func batchArgs(args []string) (count, tokens int, err error) {
 	if len(args) < 3 {
 		return 0, 0, errors.New("want: NAME SERVICE COUNT [TOKENS]")
 	}
-	tokens = usualTokens
+	tokens = defaultTokens
 	if len(args) > 3 {
 		if tokens, err = strconv.Atoi(args[3]); err != nil {
 			return 0, 0, err
@@ -72,126 +72,130 @@
 	return count, tokens, err
 }
 
-// begin NAME SERVICE COUNT [TOKENS] sends requests and returns when each has its
-// first bytes.
-func (w *world) begin(args []string) (string, error) {
+// begin implements the command "begin NAME SERVICE COUNT [TOKENS]": it sends requests
+// concurrently and returns when each has its first byte or its outcome.
+func (sc *scenario) begin(args []string) (string, error) {
 	count, tokens, err := batchArgs(args)
 	if err != nil {
 		return "", err
 	}
-	b := &batch{sent: make([]sent, count)}
-	w.batches[args[0]] = b
-	entries := append([]string(nil), w.entries...)
+	b := &batch{requests: make([]sentRequest, count)}
+	sc.batches[args[0]] = b
+	entries := append([]string(nil), sc.entries...)
 	if len(entries) == 0 {
-		return "", errors.New("there are no entries")
+		return "", errors.New("no live entry")
 	}
-	b.first.Add(count)
+	b.started.Add(count)
 	for i := range count {
-		w.serial++
+		sc.markerCount++
 		c := caller{
-			entry:   entries[i%len(entries)],
-			key:     w.anyTeamKey(i),
-			service: args[1],
-			mark:    fmt.Sprintf("mark-%d.", w.serial),
-			tokens:  tokens,
-			first:   sync.OnceFunc(b.first.Done),
+			entry:       entries[i%len(entries)],
+			key:         sc.anyTeamKey(i),
+			service:     args[1],
+			marker:      fmt.Sprintf("mark-%d.", sc.markerCount),
+			tokens:      tokens,
+			onFirstByte: sync.OnceFunc(b.started.Done),
 		}
-		w.latest = c
-		b.all.Go(func() {
-			b.sent[i] = c.run()
-			c.first()
+		sc.latest = c
+		b.callers.Go(func() {
+			b.requests[i] = c.run()
+			c.onFirstByte()
 		})
 	}
-	b.first.Wait()
+	b.started.Wait()
 	return "", nil
 }
 
-// repeat COUNT sends the latest request again so often, one after another,
-// through the entries in turn.
-func (w *world) repeat(args []string) (string, error) {
+// repeat implements the command "repeat COUNT": it sends the latest request COUNT times again,
+// one after the other, through the entries in turn, and prints the outcomes.
+func (sc *scenario) repeat(args []string) (string, error) {
 	count, err := strconv.Atoi(args[0])
 	if err != nil {
 		return "", err
 	}
 	b := &batch{}
-	w.batches["repeat"] = b
+	sc.batches["repeat"] = b
 	for i := range count {
-		c := w.latest
-		c.entry = w.entries[i%len(w.entries)]
-		b.sent = append(b.sent, c.run())
+		c := sc.latest
+		c.entry = sc.entries[i%len(sc.entries)]
+		b.requests = append(b.requests, c.run())
 	}
-	return w.end([]string{"repeat"})
+	return sc.end([]string{"repeat"})
 }
 
-func (w *world) anyTeamKey(i int) string {
-	teams := slices.Sorted(maps.Keys(w.desc.Teams))
-	return w.desc.Teams[teams[i%len(teams)]]
+// anyTeamKey returns the key of the i-th team, modulo the number of teams.
+func (sc *scenario) anyTeamKey(i int) string {
+	teams := slices.Sorted(maps.Keys(sc.description.Teams))
+	return sc.description.Teams[teams[i%len(teams)]]
 }
 
-// end NAME waits for all answers and prints how many ended in which way.
-func (w *world) end(args []string) (string, error) {
-	b := w.batches[args[0]]
+// end implements the command "end NAME": it stops a load, waits for all answers of the batch and
+// prints the number of requests by outcome.
+func (sc *scenario) end(args []string) (string, error) {
+	b := sc.batches[args[0]]
 	if b == nil {
-		return "", fmt.Errorf("nothing was begun as %s", args[0])
+		return "", fmt.Errorf("no batch %s", args[0])
 	}
 	if b.stop != nil {
 		close(b.stop)
 	}
-	b.all.Wait()
-	w.sent = append(w.sent, b.sent...)
+	b.callers.Wait()
+	sc.requests = append(sc.requests, b.requests...)
 	counts := make(map[outcome]int)
 	var details []string
-	for _, s := range b.sent {
+	for _, s := range b.requests {
 		counts[s.outcome]++
-		if s.outcome != whole {
-			details = append(details, fmt.Sprintf("  %s %s: %s", s.mark, s.outcome, s.detail))
+		if s.outcome != complete {
+			details = append(details, fmt.Sprintf("  %s %s: %s", s.marker, s.outcome, s.detail))
 		}
 	}
-	line := fmt.Sprintf("whole=%d not-run=%d may-have-run=%d wrong=%d", counts[whole], counts[notRun], counts[mayHaveRun], counts[wrong])
+	line := fmt.Sprintf("whole=%d not-run=%d may-have-run=%d wrong=%d", counts[complete], counts[notRun], counts[mayHaveRun], counts[wrong])
 	return line + "\n" + strings.Join(details, "\n"), nil
 }
 
-// caller is one caller with one request.
+// caller sends one request.
 type caller struct {
-	entry, key, service, mark string
-	tokens                    int
-	first                     func()
+	entry, key, service, marker string
+	tokens                      int
+	onFirstByte                 func()
 }
 
-func (c *caller) run() sent {
-	s := sent{mark: c.mark}
-	url, body := "/v1/completions", fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":%q}`, c.service, c.tokens, c.mark)
+// run sends the request and returns it with its outcome.
+func (c *caller) run() sentRequest {
+	result := sentRequest{marker: c.marker}
+	url, body := "/v1/completions", fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":%q}`, c.service, c.tokens, c.marker)
 	plain := strings.Contains(c.service, "logbook") || strings.Contains(c.service, "oven-api")
 	if plain {
-		url, body = "/v1/services/"+c.service+"/entries", c.mark
-		s.once = true
+		url, body = "/v1/services/"+c.service+"/entries", c.marker
+		result.nonRepeatable = true
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.entry+url, strings.NewReader(body))
 	if err != nil {
-		s.outcome, s.detail = mayHaveRun, err.Error()
-		return s
+		result.outcome, result.detail = mayHaveRun, err.Error()
+		return result
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	if plain {
 		req.Header.Set(entry.HeaderRepeatable, "no")
-		req.Header.Set(entry.HeaderKey, c.mark)
+		req.Header.Set(entry.HeaderKey, c.marker)
 	}
-	s.outcome, s.detail = c.exchange(req, plain)
-	return s
+	result.outcome, result.detail = c.exchange(req, plain)
+	return result
 }
 
+// exchange sends a request, reads the response and returns the outcome with its detail.
 func (c *caller) exchange(req *http.Request, plain bool) (outcome, string) {
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return mayHaveRun, err.Error()
 	}
 	defer func() { _ = resp.Body.Close() }()
-	buf := make([]byte, 1)
-	n, _ := io.ReadFull(resp.Body, buf)
-	c.first()
+	firstByte := make([]byte, 1)
+	n, _ := io.ReadFull(resp.Body, firstByte)
+	c.onFirstByte()
 	rest, err := io.ReadAll(resp.Body)
-	text := append(buf[:n], rest...)
+	text := append(firstByte[:n], rest...)
 	switch {
 	case resp.Header.Get(entry.HeaderRun) == string(notRun):
 		return notRun, string(text)
@@ -200,15 +204,16 @@
 	case resp.StatusCode != http.StatusOK || bytes.Contains(text, []byte("event: error")):
 		return mayHaveRun, string(text)
 	case plain:
-		return whole, ""
+		return complete, ""
 	}
-	if got, want := streamedText(text), fake.Generate(c.mark, c.tokens); got != want {
+	if got, want := completionText(text), fake.Generate(c.marker, c.tokens); got != want {
 		return wrong, fmt.Sprintf("got %q, want %q", got, want)
 	}
-	return whole, ""
+	return complete, ""
 }
 
-func streamedText(stream []byte) string {
+// completionText returns the concatenated tokens of a completion stream.
+func completionText(stream []byte) string {
 	var b strings.Builder
 	for line := range bytes.SplitSeq(stream, []byte("\n")) {
 		data, ok := bytes.CutPrefix(line, []byte("data: {"))
@@ -220,14 +225,15 @@
 	return b.String()
 }
 
-// markPattern finds the marks in a body; each is in it once.
-var markPattern = regexp.MustCompile(`[A-Za-z0-9-]+-[0-9]+\.`)
+// markerPattern matches the markers in a request body, which has each of them once.
+var markerPattern = regexp.MustCompile(`[A-Za-z0-9-]+-[0-9]+\.`)
 
-// promises compares everything sent so far with what the targets really ran:
-// doubled: not repeatable and ran more than once; lost: answered whole, not
-// repeatable and never ran; lied: said not to have run, and ran.
-func (w *world) promises([]string) (string, error) {
-	resp, err := http.Get("http://" + w.desc.Standins.Control + "/targets")
+// promises implements the command "promises": it compares all requests so far with the
+// executions at the targets, and prints the violations. doubled counts requests that must not
+// run twice and did; lost counts those that were answered completely and never ran; lied counts
+// requests that were marked as not run and ran.
+func (sc *scenario) promises([]string) (string, error) {
+	resp, err := http.Get("http://" + sc.description.Standins.Control + "/targets")
 	if err != nil {
 		return "", err
 	}
@@ -237,27 +243,27 @@
 		return "", err
 	}
 	active, crashes := 0, int64(0)
-	ran := make(map[string]int) // by mark
+	executions := make(map[string]int) // executions by marker
 	for _, t := range targets {
 		active += t.Active
 		crashes += t.Crashes
 		for _, r := range t.Runs {
-			for _, mark := range markPattern.FindAllString(r.Body, -1) {
-				ran[mark]++
+			for _, mark := range markerPattern.FindAllString(r.Body, -1) {
+				executions[mark]++
 			}
 		}
 	}
 	doubled, lost, lied := 0, 0, 0
-	for _, s := range w.sent {
-		runs := ran[s.mark]
+	for _, s := range sc.requests {
+		runs := executions[s.marker]
 		switch {
-		case s.once && runs > 1:
+		case s.nonRepeatable && runs > 1:
 			doubled++
-		case s.once && s.outcome == whole && runs == 0:
+		case s.nonRepeatable && s.outcome == complete && runs == 0:
 			lost++
 		case s.outcome == notRun && runs > 0:
 			lied++
 		}
 	}
-	return fmt.Sprintf("sent=%d doubled=%d lost=%d lied=%d active=%d crashes=%d", len(w.sent), doubled, lost, lied, active, crashes), nil
+	return fmt.Sprintf("sent=%d doubled=%d lost=%d lied=%d active=%d crashes=%d", len(sc.requests), doubled, lost, lied, active, crashes), nil
 }
--- a/scenarios/world_test.go
+++ b/scenarios/world_test.go
@@ -21,30 +21,30 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// patience bounds every wait for something that must happen.
-const patience = 30 * time.Second
+// waitTimeout limits every wait for an expected event.
+const waitTimeout = 30 * time.Second
 
-// world is the system of one scenario.
-type world struct {
-	dir   string
-	desc  demo.Description
-	keys  *testkeys.Authority // nil: plain
-	procs map[string]*process
-	vmIDs int
+// scenario is the system under test of one script, with the requests sent to it.
+type scenario struct {
+	dir         string
+	description demo.Description
+	authority   *testkeys.Authority // nil: connections without TLS
+	procs       map[string]*process
+	vmCount     int
 
-	mu      sync.Mutex
-	entries []string // addresses for callers, live ones
-	sent    []sent
-	serial  int
-	latest  caller // the request that was sent last
-	batches map[string]*batch
-	maps    map[string]string // by group, in use when an expert became popular
-	owners  map[string]string // by group, entries that were frozen as its owner
+	mu           sync.Mutex
+	entries      []string // addresses for callers of the live entries
+	requests     []sentRequest
+	markerCount  int
+	latest       caller // the latest request, for "repeat"
+	batches      map[string]*batch
+	mapsBefore   map[string]string // by group: the map in use at the latest "popular"
+	pausedOwners map[string]string // by group: the entry that "owner pause" has paused
 }
 
-// fleet EXAMPLE ENTRIES [tls] starts stand-ins, an agent for each target and
-// entries, and waits until every entry reaches every target.
-func (w *world) fleet(args []string) (string, error) {
+// fleet implements the command "fleet EXAMPLE ENTRIES [tls]": it starts stand-ins, an agent for
+// each target and entries, and waits until every entry is ready.
+func (sc *scenario) fleet(args []string) (string, error) {
 	if len(args) < 2 {
 		return "", errors.New("want: fleet EXAMPLE ENTRIES [tls]")
 	}
@@ -53,62 +53,64 @@
 		return "", err
 	}
 	if len(args) > 2 {
-		if w.keys, err = testkeys.NewAuthority(); err != nil {
+		if sc.authority, err = testkeys.NewAuthority(); err != nil {
 			return "", err
 		}
 	}
-	_, out, err := w.launch("standins", "heatherrail", "demo", "--standins-only", "--example", args[0])
+	_, out, err := sc.launch("standins", "heatherrail", "demo", "--standins-only", "--example", args[0])
 	if err != nil {
 		return "", err
 	}
-	if err := json.NewDecoder(out).Decode(&w.desc); err != nil {
-		return "", fmt.Errorf("stand-ins: %w", err)
+	if err := json.NewDecoder(out).Decode(&sc.description); err != nil {
+		return "", fmt.Errorf("decode description of stand-ins: %w", err)
 	}
-	if err := w.writeOperator(args[0]); err != nil {
+	if err := sc.writeOperatorFiles(args[0]); err != nil {
 		return "", err
 	}
 	var names []string
-	for target := range w.desc.Standins.Targets {
+	for target := range sc.description.Standins.Targets {
 		names = append(names, target)
 	}
 	for i := range count {
 		names = append(names, fmt.Sprintf("entry-%d", i+1))
 	}
-	if _, err := w.start(names); err != nil {
+	if _, err := sc.start(names); err != nil {
 		return "", err
 	}
-	return "", w.awaitReady()
+	return "", sc.awaitReady()
 }
 
-// start NAME… starts an entry (entry-N) or the agent of a target on a new VM.
-func (w *world) start(names []string) (string, error) {
+// start implements the command "start NAME…": it starts an entry (entry-N) or the agent of a
+// target, each on a new VM.
+func (sc *scenario) start(names []string) (string, error) {
 	for _, name := range names {
-		if err := w.startOne(name); err != nil {
+		if err := sc.startOne(name); err != nil {
 			return "", fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return "", nil
 }
 
-func (w *world) startOne(name string) error {
-	program, text := "heatherrail-entry", w.entrySettings(name)
-	target, isAgent := w.desc.Standins.Targets[name]
+// startOne starts one process and adds its VM to the VM list.
+func (sc *scenario) startOne(name string) error {
+	program, text := "heatherrail-entry", sc.entrySettings(name)
+	target, isAgent := sc.description.Standins.Targets[name]
 	if isAgent {
-		program, text = "heatherrail-agent", w.agentSettings(name, target)
+		program, text = "heatherrail-agent", sc.agentSettings(name, target)
 	}
 	role := "entry.heatherrail"
 	if isAgent {
 		role = "agent.heatherrail"
 	}
-	keys, err := w.writeKeys(name, role)
+	keys, err := sc.writeKeys(name, role)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(w.dir, name+".ini")
+	path := filepath.Join(sc.dir, name+".ini")
 	if err := os.WriteFile(path, []byte(text+keys), 0o600); err != nil {
 		return err
 	}
-	p, _, err := w.launch(name, program, "--settings", path)
+	p, _, err := sc.launch(name, program, "--settings", path)
 	if err != nil {
 		return err
 	}
@@ -116,25 +118,25 @@
 	if err != nil {
 		return err
 	}
-	w.vmIDs++
-	p.vm = outside.VM{ID: fmt.Sprintf("vm-%d", w.vmIDs), Name: name, State: outside.StateLive, DataCentre: target.DataCentre}
+	sc.vmCount++
+	p.vm = outside.VM{ID: fmt.Sprintf("vm-%d", sc.vmCount), Name: name, State: outside.StateLive, DataCentre: target.DataCentre}
 	p.vm.Role, p.vm.Address = outside.RoleTarget, values["listen"]
 	if !isAgent {
 		p.vm.Role, p.vm.Callers = outside.RoleEntry, values["callers"]
-		p.vm.DataCentre = w.anyDataCentre()
-		w.addEntry(p)
+		p.vm.DataCentre = sc.anyDataCentre()
+		sc.addEntry(p)
 	}
 	body, err := json.Marshal(p.vm)
 	if err != nil {
 		return err
 	}
-	return w.control(http.MethodPut, "/vms", string(body))
+	return sc.control(http.MethodPut, "/vms", string(body))
 }
 
-// writeOperator writes what the operators' tool needs: heatherrail.ini, and the
-// example's files in config/.
-func (w *world) writeOperator(example string) error {
-	keys, err := w.writeKeys("operator", "tool.heatherrail")
+// writeOperatorFiles writes the files for the command-line tool: heatherrail.ini, and the files
+// of the example in config/.
+func (sc *scenario) writeOperatorFiles(example string) error {
+	keys, err := sc.writeKeys("operator", "tool.heatherrail")
 	if err != nil {
 		return err
 	}
@@ -142,15 +144,15 @@
 	if err != nil {
 		return err
 	}
-	dir := filepath.Join(w.dir, "config")
+	dir := filepath.Join(sc.dir, "config")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	files["heatherrail.ini"] = w.platformSettings() + keys
+	files["heatherrail.ini"] = sc.platformSettings() + keys
 	for name, text := range files {
 		path := filepath.Join(dir, filepath.Base(name))
 		if name == "heatherrail.ini" {
-			path = filepath.Join(w.dir, name)
+			path = filepath.Join(sc.dir, name)
 		}
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
@@ -159,69 +161,72 @@
 	return nil
 }
 
-// race BASE DIR… applies all directories at once, on the same version, and prints
-// what each operator was told.
-func (w *world) race(args []string) (string, error) {
-	told := make([]string, len(args)-1)
+// race implements the command "race BASE DIR…": it applies all directories concurrently on the
+// same base version, and prints the output of each apply.
+func (sc *scenario) race(args []string) (string, error) {
+	outputs := make([]string, len(args)-1)
 	var operators sync.WaitGroup
 	for i, dir := range args[1:] {
 		operators.Go(func() {
 			cmd := exec.Command(filepath.Join(binDir, "heatherrail"), "apply", "--base", args[0], "--wait", "5s", dir)
-			cmd.Dir = w.dir
+			cmd.Dir = sc.dir
 			out, err := cmd.CombinedOutput()
-			told[i] = fmt.Sprintf("%s: %s%v", dir, out, err)
+			outputs[i] = fmt.Sprintf("%s: %s%v", dir, out, err)
 		})
 	}
 	operators.Wait()
-	return strings.Join(told, "\n"), nil
+	return strings.Join(outputs, "\n"), nil
 }
 
-func (w *world) anyDataCentre() string {
-	for _, t := range w.desc.Standins.Targets {
+// anyDataCentre returns the data centre of one of the targets.
+func (sc *scenario) anyDataCentre() string {
+	for _, t := range sc.description.Standins.Targets {
 		return t.DataCentre
 	}
 	return ""
 }
 
-func (w *world) entrySettings(name string) string {
+func (sc *scenario) entrySettings(name string) string {
 	return fmt.Sprintf("[entry]\nname = %s\ndata-centre = %s\ncallers = 127.0.0.1:0\nlisten = 127.0.0.1:0\nanswer-life = 1s\nshutdown-deadline = 20s\n%s",
-		name, w.anyDataCentre(), w.platformSettings())
+		name, sc.anyDataCentre(), sc.platformSettings())
 }
 
-func (w *world) agentSettings(name string, t demo.TargetDescription) string {
+func (sc *scenario) agentSettings(name string, t demo.TargetDescription) string {
 	return fmt.Sprintf("[agent]\ntarget = %s\ndata-centre = %s\nlisten = 127.0.0.1:0\nbackend = %s\nkind = %s\nshutdown-deadline = 20s\n%s",
-		name, t.DataCentre, t.Address, t.Kind, w.platformSettings())
+		name, t.DataCentre, t.Address, t.Kind, sc.platformSettings())
 }
 
-func (w *world) platformSettings() string {
-	return fmt.Sprintf("[platform]\nlog = %s\nvms = %s\n", w.desc.Standins.Platform, w.desc.Standins.Platform)
+func (sc *scenario) platformSettings() string {
+	return fmt.Sprintf("[platform]\nlog = %s\nvms = %s\n", sc.description.Standins.Platform, sc.description.Standins.Platform)
 }
 
-func (w *world) writeKeys(name, role string) (string, error) {
-	if w.keys == nil {
+// writeKeys writes the TLS files of a process and returns the [tls] section of its settings; ""
+// without TLS.
+func (sc *scenario) writeKeys(name, role string) (string, error) {
+	if sc.authority == nil {
 		return "", nil
 	}
-	dir := filepath.Join(w.dir, name+"-keys")
+	dir := filepath.Join(sc.dir, name+"-keys")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
 	}
-	f, err := w.keys.Write(dir, role)
+	f, err := sc.authority.Write(dir, role)
 	return fmt.Sprintf("[tls]\ncert = %s\nkey = %s\nca = %s\n", f.Cert, f.Key, f.CA), err
 }
 
-// ready waits until every live entry reaches every target.
-func (w *world) ready([]string) (string, error) { return "", w.awaitReady() }
+// ready implements the command "ready": it waits until every live entry is ready.
+func (sc *scenario) ready([]string) (string, error) { return "", sc.awaitReady() }
 
-// awaitReady waits until every entry reaches every target and may dispatch what
-// must not run twice.
-func (w *world) awaitReady() error {
-	want := fmt.Sprintf("heatherrail_targets_linked %d", len(w.desc.Standins.Targets))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// awaitReady waits until every live entry is connected to every target, and is registered, so
+// that it may dispatch requests that must not run twice.
+func (sc *scenario) awaitReady() error {
+	wantLinked := fmt.Sprintf("heatherrail_targets_linked %d", len(sc.description.Standins.Targets))
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	for _, addr := range w.entries {
+	for _, addr := range sc.entries {
 		for {
-			text, err := get(ctx, "http://"+addr+"/metrics")
-			if err == nil && strings.Contains(text, want+"\n") && strings.Contains(text, "heatherrail_registered 1\n") {
+			text, err := httpGet(ctx, "http://"+addr+"/metrics")
+			if err == nil && strings.Contains(text, wantLinked+"\n") && strings.Contains(text, "heatherrail_registered 1\n") {
 				break
 			}
 			if ctx.Err() != nil {
@@ -233,11 +238,12 @@
 	return nil
 }
 
-// counter PREFIX prints the counters of all live entries that begin with it.
-func (w *world) counter(args []string) (string, error) {
+// counter implements the command "counter PREFIX": it prints the metrics of all live entries
+// whose lines begin with PREFIX.
+func (sc *scenario) counter(args []string) (string, error) {
 	var out strings.Builder
-	for _, addr := range w.entries {
-		text, err := get(context.Background(), "http://"+addr+"/metrics")
+	for _, addr := range sc.entries {
+		text, err := httpGet(context.Background(), "http://"+addr+"/metrics")
 		if err != nil {
 			return "", err
 		}
@@ -250,29 +256,33 @@
 	return out.String(), nil
 }
 
-// fault METHOD PATH asks the stand-ins' control address, see docs/STANDINS.md.
-func (w *world) fault(args []string) (string, error) {
-	return "", w.control(args[0], args[1], "")
+// fault implements the command "fault METHOD PATH": it sends a request to the control address
+// of the stand-ins, see docs/STANDINS.md.
+func (sc *scenario) fault(args []string) (string, error) {
+	return "", sc.control(args[0], args[1], "")
 }
 
-func (w *world) control(method, path, body string) error {
-	req, err := http.NewRequest(method, "http://"+w.desc.Standins.Control+path, strings.NewReader(body))
+// control sends a request to the control address of the stand-ins.
+func (sc *scenario) control(method, path, body string) error {
+	req, err := http.NewRequest(method, "http://"+sc.description.Standins.Control+path, strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	_, err = do(req)
+	_, err = doRequest(req)
 	return err
 }
 
-func get(ctx context.Context, url string) (string, error) {
+func httpGet(ctx context.Context, url string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return "", err
 	}
-	return do(req)
+	return doRequest(req)
 }
 
-func do(req *http.Request) (string, error) {
+// doRequest sends a request and returns the body of the response. It fails for any status but
+// 200.
+func doRequest(req *http.Request) (string, error) {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", err
@@ -285,30 +295,32 @@
 	return string(text), err
 }
 
-func (w *world) addEntry(p *process) {
+// addEntry adds a process to the live entries if it is an entry.
+func (sc *scenario) addEntry(p *process) {
 	if p.vm.Callers == "" {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.entries = append(w.entries, p.vm.Callers)
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.entries = append(sc.entries, p.vm.Callers)
 }
 
-func (w *world) forgetEntry(p *process) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var rest []string
-	for _, addr := range w.entries {
+// removeEntry removes a process from the live entries, so that callers no longer use it.
+func (sc *scenario) removeEntry(p *process) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	var remaining []string
+	for _, addr := range sc.entries {
 		if addr != p.vm.Callers {
-			rest = append(rest, addr)
+			remaining = append(remaining, addr)
 		}
 	}
-	w.entries = rest
+	sc.entries = remaining
 }
 
-func (w *world) close() {
-	for _, p := range w.procs {
-		_ = p.cmd.Process.Kill() // those that have ended need nothing
+func (sc *scenario) close() {
+	for _, p := range sc.procs {
+		_ = p.cmd.Process.Kill() // fails for processes that have ended
 		<-p.done
 	}
 }
