--- a/docs/generate.go
+++ b/docs/generate.go
@@ -1,5 +1,5 @@
-// Package docs holds the pages for operators and contributors. Two of them are
-// made from tables in the code.
+// Package docs holds the pages for operators and contributors. RESULTS.md and SETTINGS.md are
+// generated from tables in the code.
 package docs
 
 //go:generate go run ../internal/tools/gendocs results RESULTS.md
