--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -143,7 +143,8 @@
 	e.sim.group.enqueue(e.sim.rankOf[t.ID], j)
 }
 
-// applyReport sends the queue counts and applies the latest load report to the tracker.
+// applyReport records the queue counts for the next load report, and applies the latest load
+// report to the tracker.
 func (e *entry) applyReport() {
 	e.reportedCounts = e.queue.QueueCounts(e.sim.clock.now)
 	if e.sim.lastReport.state.ReportedAt.IsZero() {
--- a/cmd/heatherrail/apply.go
+++ b/cmd/heatherrail/apply.go
@@ -122,6 +122,7 @@
 	return &exitError{exitNotInForce, fmt.Errorf("accepted, but %d entries have not reported version %d", len(behind), version)}
 }
 
+// processState returns the name of a process with its version, or with the error of the query.
 func processState(a control.Answer) string {
 	if a.Err != nil {
 		return a.VM.Name + ": " + a.Err.Error()
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -35,6 +35,8 @@
 	tokens   int
 }
 
+// run sends requests until the batch is stopped. The batch counts as started for this caller
+// at its first byte.
 func (l *callerLoop) run() {
 	markStarted := sync.OnceFunc(l.batch.started.Done)
 	defer markStarted()
--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -248,8 +248,8 @@
 		active += t.Active
 		crashes += t.Crashes
 		for _, r := range t.Runs {
-			for _, mark := range markerPattern.FindAllString(r.Body, -1) {
-				executions[mark]++
+			for _, marker := range markerPattern.FindAllString(r.Body, -1) {
+				executions[marker]++
 			}
 		}
 	}
