--- a/bench/expert.go
+++ b/bench/expert.go
@@ -69,8 +69,8 @@
 // curveShape is the group size of the curve.
 var curveShape = ExpertShapes[1]
 
-// newPolicyRuns returns the policies under test. With curve, it adds those that are only
-// drawn on the curve.
+// newPolicyRuns returns the policies under test. With curve, it adds one with a load
+// trend and those along the curve.
 func newPolicyRuns(curve bool) []*policyRun {
 	list := []*policyRun{
 		{name: "none", kind: kindNone},
--- a/demo/ranks.go
+++ b/demo/ranks.go
@@ -24,7 +24,7 @@
 )
 
 // showSwitch shows a map switch of the first group that plans at least once a second. It does
-// nothing if all groups plan less often, since a switch would take too long.
+// nothing if all groups plan less often.
 func showSwitch(ctx context.Context, p *printer, base string, f *Fleet) error {
 	for i := range f.Config.Groups {
 		g := &f.Config.Groups[i]
