--- a/agent/agent.go
+++ b/agent/agent.go
@@ -113,9 +113,9 @@
 	a.dispatches = newDispatchChecker(o.Settings.Target, o.Incarnation, o.Log)
 	a.crashes = newCrashDetector(a)
 	a.health = &engineHealth{agent: a}
-	a.dedup.dropClaims = o.Off.Ledger
-	a.dispatches.skipCheck = o.Off.Witness
-	if o.Off.Roster {
+	a.dedup.dropClaims = o.Off.Deduplication
+	a.dispatches.skipCheck = o.Off.DispatchCheck
+	if o.Off.EntryList {
 		a.dispatches.log = nil
 	}
 	a.startRank()
@@ -147,7 +147,7 @@
 		Handler:  a,
 		Serve:    a.servePeer,
 		Refused: func(remote net.Addr, err error) {
-			a.opts.Metrics.Result(result.From(err).Code)
+			a.opts.Metrics.CountResult(result.From(err).Code)
 			a.log.Error(err, "peer refused", "peer", remote.String())
 		},
 	}
--- a/agent/control.go
+++ b/agent/control.go
@@ -107,7 +107,7 @@
 	for i, f := range msg.Floors {
 		floors[i] = control.Floor{Resource: f.Resource, Fence: f.Fence}
 	}
-	a.config.fence.Learn(c.Peer().Name, msg.Entries, floors)
+	a.config.fence.RecordFloors(c.Peer().Name, msg.Entries, floors)
 	if msg.Version >= a.config.newestVersion() {
 		a.setPolicies(&msg)
 	}
--- a/agent/control_test.go
+++ b/agent/control_test.go
@@ -63,9 +63,9 @@
 			return code(a.Order(t.Context(), &wire.Order{Resource: res, Fence: fence, AgentInc: a.opts.Incarnation, Model: model}))
 		}
 		a := newTestAgent(engine, 1)
-		a.config.fence.Learn("entry-1", 1, nil)
+		a.config.fence.RecordFloors("entry-1", 1, nil)
 		g.Expect(order(a, 4, "old")).To(Equal(result.OK))
-		engine.LoseAnswers(1)
+		engine.DropResponses(1)
 		g.Expect(order(a, 5, "new")).To(Equal(result.OK))
 		g.Expect(order(a, 5, "new")).To(Equal(result.OK))
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceStale))
@@ -73,7 +73,7 @@
 
 		a = newTestAgent(engine, 2)
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceUnknown))
-		a.config.fence.Learn("entry-1", 1, []control.Floor{{Resource: res, Fence: 5}})
+		a.config.fence.RecordFloors("entry-1", 1, []control.Floor{{Resource: res, Fence: 5}})
 		g.Expect(order(a, 4, "old")).To(Equal(result.FenceStale))
 		g.Expect(engine.Fences()).To(Equal([]uint64{4, 5}), "each order must take effect once, and none of the old holder")
 
--- a/agent/dispatchcheck.go
+++ b/agent/dispatchcheck.go
@@ -34,7 +34,7 @@
 			return err
 		}
 		if logErr := c.readEntries(ctx, req.ConfigVersion); logErr != nil {
-			return result.New(result.KeyInDoubt, "entries that may have dispatched the request cannot be read: %w", logErr)
+			return result.New(result.KeyUncertain, "entries that may have dispatched the request cannot be read: %w", logErr)
 		}
 		select {
 		case <-time.After(dispatchReportPoll):
@@ -60,7 +60,7 @@
 		return nil, nil
 	}
 	if at, ok := c.uncertainKeys[route.KeyHash(k.homeKey())]; ok && now.Sub(at) <= window {
-		return nil, result.New(result.KeyInDoubt, "request was dispatched to an earlier home or incarnation")
+		return nil, result.New(result.KeyUncertain, "request was dispatched to an earlier home or incarnation")
 	}
 	since, from, isHome := c.homeSince(k.homeKey())
 	if !isHome {
@@ -77,7 +77,7 @@
 // since version from, without a gap. mu is held.
 func (c *dispatchChecker) checkEntries(from uint64, now time.Time, window time.Duration) (missing []uint64, err error) {
 	if c.log != nil && (!c.entriesRead || c.entriesVersion < from) {
-		return []uint64{entryListUnread}, result.New(result.KeyInDoubt, "entries that may have dispatched the request are not known yet")
+		return []uint64{entryListUnread}, result.New(result.KeyUncertain, "entries that may have dispatched the request are not known yet")
 	}
 	unreported := 0
 	for entry, at := range c.entries {
@@ -92,7 +92,7 @@
 	if unreported == 0 {
 		return nil, nil
 	}
-	return missing, result.New(result.KeyInDoubt, "%d entries that may have dispatched the request have sent no dispatch report", unreported)
+	return missing, result.New(result.KeyUncertain, "%d entries that may have dispatched the request have sent no dispatch report", unreported)
 }
 
 // markUnresponsive marks entries that sent no dispatch report in time. Later requests do
@@ -228,7 +228,7 @@
 // If the entry list were first read when a key needs it, and the log were down by then, an
 // agent without requests since the last change would answer "may have run" for the whole
 // outage. Therefore the list is read as soon as a version is received. Only a version
-// accepted just before an outage is not covered: its keys stay in doubt.
+// accepted just before an outage is not covered: its keys stay uncertain.
 func (a *Agent) maintainPresence() {
 	c := a.dispatches
 	if c.log == nil {
--- a/agent/nonrepeatable.go
+++ b/agent/nonrepeatable.go
@@ -126,7 +126,7 @@
 	if !first {
 		a.opts.Metrics.Count("replayed_answers_total", 1)
 	}
-	a.opts.Metrics.Result(result.OK)
+	a.opts.Metrics.CountResult(result.OK)
 }
 
 func (a *Agent) relayRecord(ctx context.Context, s *wire.Stream, r *record, answer wire.Answer, first bool) error {
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -13,7 +13,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// backendQueue is the admission queue before the backend. It implements outside.Backend,
+// backendQueue is the target queue before the backend. It implements outside.Backend,
 // so every request passes through it and its counts are exact.
 type backendQueue struct {
 	backend    outside.Backend
@@ -21,7 +21,7 @@
 	onRejected func(entry string) // called with the entry whose request was rejected
 
 	mu        sync.Mutex
-	admission *route.AdmissionQueue
+	admission *route.TargetQueue
 }
 
 func newBackendQueue(b outside.Backend, s settings.Agent, onRejected func(entry string)) *backendQueue {
@@ -29,7 +29,7 @@
 	if slots == 0 {
 		slots = s.Queue
 	}
-	return &backendQueue{backend: b, start: time.Now(), onRejected: onRejected, admission: route.NewAdmissionQueue(slots, s.Queue)}
+	return &backendQueue{backend: b, start: time.Now(), onRejected: onRejected, admission: route.NewTargetQueue(slots, s.Queue)}
 }
 
 // queueSlot is one request's place in the queue and on the backend.
--- a/agent/record.go
+++ b/agent/record.go
@@ -134,7 +134,7 @@
 		r.mu.Unlock()
 		switch {
 		case dropped:
-			return nil, result.New(result.KeyInDoubt, "request ran, but its answer is no longer kept")
+			return nil, result.New(result.KeyUncertain, "request ran, but its answer is no longer kept")
 		case len(p) > 0:
 			return p, nil
 		case err != nil:
@@ -167,5 +167,5 @@
 	if err == io.EOF || result.From(err).Run() == result.RunNot {
 		return err
 	}
-	return result.New(result.KeyInDoubt, "an earlier attempt failed: %w", err)
+	return result.New(result.KeyUncertain, "an earlier attempt failed: %w", err)
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -95,7 +95,7 @@
 
 func (a *Agent) refuse(s *wire.Stream, id string, err error) {
 	e := result.From(err)
-	a.opts.Metrics.Result(e.Code)
+	a.opts.Metrics.CountResult(e.Code)
 	a.log.V(1).Info("refused", "request", id, "code", e.Code, "detail", e.Detail)
 	_ = s.Refuse(e) // on a lost connection there is no receiver
 }
@@ -126,7 +126,7 @@
 		_ = s.Abort(err) // on a lost connection the entry notices the loss itself
 		return
 	}
-	a.opts.Metrics.Result(result.OK)
+	a.opts.Metrics.CountResult(result.OK)
 }
 
 func backendCall(req *wire.Request) *outside.Call {
--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -55,7 +55,7 @@
 
 // targetPool returns the pool of all targets of the group.
 func (e *entry) targetPool() placing.TargetPool {
-	return placing.TargetPool{Service: &e.sim.service, EventGapObjective: e.sim.shape.EventGapObjective, Targets: e.sim.targets, Entries: len(e.sim.entries)}
+	return placing.TargetPool{Service: &e.sim.service, EventGapObjective: e.sim.shape.EventGapObjective, Targets: e.sim.targets, EntryCount: len(e.sim.entries)}
 }
 
 // place dispatches a request at once, or adds it to the admission queue if the policy uses
--- a/bench/group/group_test.go
+++ b/bench/group/group_test.go
@@ -55,7 +55,7 @@
 
 // Guards against goodput collapse when twice the supported load arrives while demand shifts.
 // Without the queue, passes are too long and nearly all streams are late or abandoned.
-func TestTheAdmissionQueueKeepsTheSupportedLoadInTimeUnderOverload(t *testing.T) {
+func TestTheAdmissionQueueKeepsTheSupportedLoadOnTimeUnderOverload(t *testing.T) {
 	for s := range Shapes {
 		g := NewWithT(t)
 		shape := &Shapes[s]
@@ -63,8 +63,8 @@
 		unlimited := meanOverSeeds(shape, patternByName("twice too much"), PolicyLeast)
 		full := meanOverSeeds(shape, patternByName("full"), PolicyHeatherrail)
 		g.Expect(overloaded.MetObjectives).To(BeNumerically(">", 5*unlimited.MetObjectives), shape.Name)
-		absoluteInTime := func(f Figures, p string) float64 { return f.MetObjectives * patternByName(p).Load }
-		g.Expect(absoluteInTime(overloaded, "twice too much")).To(BeNumerically(">", 0.75*absoluteInTime(full, "full")), shape.Name)
+		absoluteOnTime := func(f Figures, p string) float64 { return f.MetObjectives * patternByName(p).Load }
+		g.Expect(absoluteOnTime(overloaded, "twice too much")).To(BeNumerically(">", 0.75*absoluteOnTime(full, "full")), shape.Name)
 		g.Expect(overloaded.Abandoned).To(BeNumerically("<", 0.01), "callers get an answer or a rejection")
 	}
 }
--- a/bench/group/simulation.go
+++ b/bench/group/simulation.go
@@ -154,7 +154,7 @@
 // load queries.
 func (sim *simulation) queuedRequests() (n placing.QueueCounts) {
 	for _, e := range sim.entries {
-		n.InTime += e.reportedCounts.InTime
+		n.OnTime += e.reportedCounts.OnTime
 		n.Late += e.reportedCounts.Late
 	}
 	return n
--- a/bench/place/engine.go
+++ b/bench/place/engine.go
@@ -30,13 +30,13 @@
 	decodeLeft  int
 }
 
-// engine is one simulated engine with the admission queue of its agent.
+// engine is one simulated engine with the target queue of its agent.
 type engine struct {
 	sim        *simulation
 	index      int
 	dataCentre int
 	speed      float64 // relative; 1: normal
-	queue      *route.AdmissionQueue
+	queue      *route.TargetQueue
 	running    []*sequence
 	waiting    map[*route.Job]*sequence
 	isStepping bool // a step is running
@@ -57,14 +57,14 @@
 		index:      index,
 		dataCentre: index % sim.dataCentres,
 		speed:      1,
-		queue:      route.NewAdmissionQueue(engineSlots, sim.opts.queueLimit),
+		queue:      route.NewTargetQueue(engineSlots, sim.opts.queueLimit),
 		waiting:    make(map[*route.Job]*sequence),
 		cache:      make(map[uint64]*list.Element),
 		lru:        list.New(),
 	}
 }
 
-// admit offers a request that has arrived at the agent to the admission queue. If it is not
+// admit offers a request that has arrived at the agent to the target queue. If it is not
 // admitted, the duration is the wait that the queue expected.
 func (e *engine) admit(r *request, cached float64, bounds route.AdmissionBounds) (route.Admission, time.Duration) {
 	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.promptTokens)-cached), Decode: e.sim.expectedDecode()}}
--- a/bench/place/figures.go
+++ b/bench/place/figures.go
@@ -75,7 +75,7 @@
 }
 
 // jainIndex returns Jain's fairness index over the satisfaction of the teams. Satisfaction is
-// the tokens served in time, relative to the smaller of demand and share, at most 1.
+// the tokens served on time, relative to the smaller of demand and share, at most 1.
 func jainIndex(ended []*request, share float64) float64 {
 	served, demand := make(map[string]float64), make(map[string]float64)
 	for _, r := range ended {
--- a/bench/relay/system.go
+++ b/bench/relay/system.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	backend := outside.NewHTTPBackend(s.server.Addr)
-	backend.WholeEvents = true
+	backend.RequireDone = true
 	s.agent, err = agent.Start(agent.Options{
 		Settings:    settings.Agent{Target: targetName, Listen: loopback, Backend: s.server.Addr, Kind: settings.KindEngine, Queue: queueLimit},
 		Backend:     backend,
@@ -63,7 +63,7 @@
 		return err
 	}
 	s.entry, err = entry.Start(entry.Options{
-		Settings:    settings.Entry{Name: "entry-1", Callers: loopback, Listen: loopback, MaxBody: 1 << 20, MaxCallers: queueLimit, AnswerLife: time.Second},
+		Settings:    settings.Entry{Name: "entry-1", Callers: loopback, Listen: loopback, MaxBody: 1 << 20, MaxCallers: queueLimit, DirectoryTTL: time.Second},
 		Log:         log,
 		VMs:         vms,
 		Logger:      logr.Discard(),
--- a/cmd/heatherrail-agent/main.go
+++ b/cmd/heatherrail-agent/main.go
@@ -41,7 +41,7 @@
 		defer server.Close()
 	}
 	backend := outside.NewHTTPBackend(file.Agent.Backend)
-	backend.WholeEvents = file.Agent.Kind == settings.KindEngine
+	backend.RequireDone = file.Agent.Kind == settings.KindEngine
 	a, err := agent.Start(agent.Options{
 		Settings:    file.Agent,
 		Listener:    ln,
--- a/cmd/heatherrail-entry/main.go
+++ b/cmd/heatherrail-entry/main.go
@@ -33,15 +33,15 @@
 		return daemon.ExitFail
 	}
 	e, err := entry.Start(entry.Options{
-		Settings:     file.Entry,
-		Dial:         file.Network.Dial,
-		PeerListener: ln,
-		Log:          &outside.HTTPLog{Addr: file.Platform.Log},
-		VMs:          &outside.HTTPVMList{Addr: file.Platform.VMs},
-		Logger:       logging.New(os.Stderr, file.Entry.Verbosity),
-		Metrics:      metrics.New(),
-		Incarnation:  daemon.Incarnation(),
-		Snapshots:    file.Platform.Snapshots,
+		Settings:         file.Entry,
+		Dial:             file.Network.Dial,
+		PeerListener:     ln,
+		Log:              &outside.HTTPLog{Addr: file.Platform.Log},
+		VMs:              &outside.HTTPVMList{Addr: file.Platform.VMs},
+		Logger:           logging.New(os.Stderr, file.Entry.Verbosity),
+		Metrics:          metrics.New(),
+		Incarnation:      daemon.Incarnation(),
+		SnapshotInterval: file.Platform.SnapshotInterval,
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/heatherrail/demo.go
+++ b/cmd/heatherrail/demo.go
@@ -58,11 +58,11 @@
 		return err
 	}
 	f, err := demo.Start(demo.Options{
-		Config:     cfg,
-		Entries:    c.Entries,
-		StepTime:   c.Step,
-		AnswerLife: demoDirectoryTTL,
-		Logger:     c.logger(),
+		Config:       cfg,
+		Entries:      c.Entries,
+		StepTime:     c.Step,
+		DirectoryTTL: demoDirectoryTTL,
+		Logger:       c.logger(),
 	})
 	if err != nil {
 		return err
--- a/cmd/heatherrail/explain.go
+++ b/cmd/heatherrail/explain.go
@@ -80,7 +80,7 @@
 		fmt.Fprintf(tw, "try %d at %s, entry %s, service %s: %s\n", i+1, d.At.Format("15:04:05.000"), name, d.Service, choiceText(d.Chosen))
 		fmt.Fprintln(tw, "TARGET\tDATA CENTRE\tSCORE s\tOWN\tOTHERS\tPROMPT AHEAD\tCACHED")
 		for _, c := range d.Candidates {
-			fmt.Fprintf(tw, "%s\t%s\t%.4f\t%.0f\t%.1f\t%.0f\t%.0f\n", c.Target, c.DataCentre, c.Score, c.Own, c.Others, c.Prompt, c.Cached)
+			fmt.Fprintf(tw, "%s\t%s\t%.4f\t%.0f\t%.1f\t%.0f\t%.0f\n", c.Target, c.DataCentre, c.ScoreSeconds, c.OwnRequests, c.OthersRequests, c.PromptTokensAhead, c.CachedTokens)
 		}
 	}
 	if err := tw.Flush(); err != nil {
--- a/cmd/heatherrail/explain_test.go
+++ b/cmd/heatherrail/explain_test.go
@@ -56,7 +56,7 @@
 	g := NewWithT(t)
 	var out strings.Builder
 	g.Expect(writeDecisions(&out, "entry-3", []entry.DecisionView{
-		{Service: "drafter", Chosen: "t7", Candidates: []entry.CandidateView{{Target: "t7", Score: 0.0125}, {Target: "t9", Score: 0.5}}},
+		{Service: "drafter", Chosen: "t7", Candidates: []entry.CandidateView{{Target: "t7", ScoreSeconds: 0.0125}, {Target: "t9", ScoreSeconds: 0.5}}},
 		{Service: "drafter"},
 	})).To(Succeed())
 	g.Expect(out.String()).To(And(ContainSubstring("chose t7"), ContainSubstring("0.0125"), ContainSubstring("no target could take work")))
--- a/cmd/heatherrail/soak.go
+++ b/cmd/heatherrail/soak.go
@@ -24,13 +24,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	_, err := soak.Run(ctx, soak.Options{
-		Program: c.Program,
-		Seed:    c.Seed,
-		For:     c.For,
-		Entries: c.Entries,
-		Targets: c.Targets,
-		Callers: c.Callers,
-		Out:     os.Stdout,
+		Program:  c.Program,
+		Seed:     c.Seed,
+		Duration: c.For,
+		Entries:  c.Entries,
+		Targets:  c.Targets,
+		Callers:  c.Callers,
+		Out:      os.Stdout,
 	})
 	return err
 }
--- a/control/apply_test.go
+++ b/control/apply_test.go
@@ -79,7 +79,7 @@
 				rng := rand.New(rand.NewPCG(seed, 99))
 				for range 20 {
 					time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-					log.SetFaults(fake.LogFaults{Down: rng.IntN(4) == 0, LoseAnswers: rng.IntN(3), Delay: time.Duration(rng.IntN(300)) * time.Millisecond})
+					log.SetFaults(fake.LogFaults{Down: rng.IntN(4) == 0, DropResponses: rng.IntN(3), Delay: time.Duration(rng.IntN(300)) * time.Millisecond})
 				}
 				log.SetFaults(fake.LogFaults{})
 			})
@@ -166,7 +166,7 @@
 		defer c.close()
 		c.startAll()
 		v := c.apply(1)
-		c.log.SetFaults(fake.LogFaults{LoseAnswers: 1})
+		c.log.SetFaults(fake.LogFaults{DropResponses: 1})
 		g.Expect(c.apply(2)).To(Equal(v + 1))
 		g.Expect(c.apply(3)).To(Equal(v + 2))
 		c.waitForVersion(applyDeadline, v+2, c.names()...)
--- a/control/fence.go
+++ b/control/fence.go
@@ -37,9 +37,9 @@
 	return &Fence{sources: make(map[string]bool), highest: make(map[string]uint64)}
 }
 
-// Learn records the fencing floors that one entry read from the log, and the number of
+// RecordFloors records the fencing floors that one entry read from the log, and the number of
 // entries in that entry's VM list: with a single entry, one source is enough.
-func (f *Fence) Learn(source string, entries int, floors []Floor) {
+func (f *Fence) RecordFloors(source string, entries int, floors []Floor) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sources[source] = true
--- a/control/fence_test.go
+++ b/control/fence_test.go
@@ -21,12 +21,12 @@
 		return result.OK
 	}
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
-	f.Learn("entry-1", 3, []Floor{{res, 6}}) // entry-1 is cut off from the log: its floor is old
-	f.Learn("entry-1", 3, []Floor{{res, 6}})
+	f.RecordFloors("entry-1", 3, []Floor{{res, 6}}) // entry-1 is cut off from the log: its floor is old
+	f.RecordFloors("entry-1", 3, []Floor{{res, 6}})
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
-	f.Learn("entry-2", 3, []Floor{{res, 8}})
+	f.RecordFloors("entry-2", 3, []Floor{{res, 8}})
 	g.Expect(code(7)).To(Equal(result.FenceStale))
 	g.Expect(code(8)).To(Equal(result.OK))
-	f.Learn("entry-1", 3, []Floor{{res, 6}})
+	f.RecordFloors("entry-1", 3, []Floor{{res, 6}})
 	g.Expect(code(7)).To(Equal(result.FenceStale))
 }
--- a/control/follow.go
+++ b/control/follow.go
@@ -151,9 +151,9 @@
 	return n.foldRecords(page.Next-uint64(len(page.Records)), page.Records, time.Now())
 }
 
-// Take folds consecutive log records, beginning at offset first, that this process has
+// FoldRecords folds consecutive log records, beginning at offset first, that this process has
 // read for another purpose. It may stop early at a gap; the followers read on from there.
-func (n *Node) Take(first uint64, records [][]byte) error {
+func (n *Node) FoldRecords(first uint64, records [][]byte) error {
 	return n.foldRecords(first, records, time.Now())
 }
 
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -120,7 +120,7 @@
 		agent := NewFence()
 		learn := func() {
 			for _, name := range c.names() {
-				agent.Learn(name, len(c.peers), c.node(name).Floors([]string{res}))
+				agent.RecordFloors(name, len(c.peers), c.node(name).Floors([]string{res}))
 			}
 		}
 		learn()
@@ -163,7 +163,7 @@
 		c.log.SetFaults(fake.LogFaults{Down: true})
 		time.Sleep(DefaultLeaseTiming.TTL)
 		g.Expect(c.holders(res)).To(BeEmpty())
-		c.log.SetFaults(fake.LogFaults{LoseAnswers: 3})
+		c.log.SetFaults(fake.LogFaults{DropResponses: 3})
 		c.waitForHolder(res, time.Minute, "")
 	})
 }
--- a/control/topology.go
+++ b/control/topology.go
@@ -68,8 +68,8 @@
 	return t
 }
 
-// Place returns the rank of this process in its data centre, from 0.
-func (t *Topology) Place() int { return slices.Index(t.Ranked, t.Self.Name) }
+// LocalIndex returns the rank of this process in its data centre, from 0.
+func (t *Topology) LocalIndex() int { return slices.Index(t.Ranked, t.Self.Name) }
 
 // Local returns the first n entries of the own data centre without this process.
 func (t *Topology) Local(n int) []string {
@@ -78,14 +78,14 @@
 }
 
 // ReadsLog reports whether this process is one of the log readers of its data centre.
-func (t *Topology) ReadsLog() bool { return t.Place() < LogReaderCount }
+func (t *Topology) ReadsLog() bool { return t.LocalIndex() < LogReaderCount }
 
 // SummaryPeers returns the entries to which this process sends summaries. Only the first
 // entry of a data centre sends any: to the first entry of each other data centre in its
 // region, and, from the first data centre of the region, to one entry of each other
 // region.
 func (t *Topology) SummaryPeers() []string {
-	if t.Place() != 0 {
+	if t.LocalIndex() != 0 {
 		return nil
 	}
 	centres := make(map[string][]string) // by data centre
@@ -122,7 +122,7 @@
 // their records are stale.
 func (t *Topology) Sources() []string {
 	sources := Rank(t.Self.Name, t.Local(RelayCount))
-	if t.Place() < RelayCount {
+	if t.LocalIndex() < RelayCount {
 		logReaders := t.Local(LogReaderCount)
 		sources = append(Rank(t.Self.Name, logReaders), slices.DeleteFunc(sources, func(n string) bool { return slices.Contains(logReaders, n) })...)
 	}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -29,7 +29,7 @@
 	if len(answer.Entries) == 0 {
 		return errors.New("the entry returned an empty list of entry addresses")
 	}
-	p.printf("entries: %s (keep for %d s)", strings.Join(answer.Entries, " "), answer.Lifetime)
+	p.printf("entries: %s (keep for %d s)", strings.Join(answer.Entries, " "), answer.LifetimeSeconds)
 	base := "http://" + answer.Entries[0]
 	if err := showDraft(ctx, p, base, f); err != nil {
 		return fmt.Errorf("draft: %w", err)
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -25,11 +25,11 @@
 	cfg, err := config.Load(files)
 	g.Expect(err).NotTo(HaveOccurred())
 	f, err := demo.Start(demo.Options{
-		Config:     cfg,
-		Entries:    3,
-		StepTime:   time.Millisecond,
-		AnswerLife: time.Second,
-		Logger:     logr.Discard(),
+		Config:       cfg,
+		Entries:      3,
+		StepTime:     time.Millisecond,
+		DirectoryTTL: time.Second,
+		Logger:       logr.Discard(),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(f.Close)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -22,12 +22,12 @@
 
 // Options configure a fleet.
 type Options struct {
-	Config     *config.Config
-	Entries    int           // number of entries
-	StepTime   time.Duration // duration of one engine step
-	AnswerLife time.Duration // TTL of the list of entries that callers read
-	Arrival    time.Duration // timeout for receiving a whole request; zero: the entry's default
-	Logger     logr.Logger
+	Config         *config.Config
+	Entries        int           // number of entries
+	StepTime       time.Duration // duration of one engine step
+	DirectoryTTL   time.Duration // TTL of the list of entries that callers read
+	RequestTimeout time.Duration // timeout for receiving a whole request; zero: the entry's default
+	Logger         logr.Logger
 }
 
 // Fleet is a running system. Close stops all of its parts.
@@ -96,7 +96,7 @@
 	defer f.mu.Unlock()
 	addr := f.Targets[t.Name].Server.Addr
 	backend := outside.NewHTTPBackend(addr)
-	backend.WholeEvents = f.Kind(t) == settings.KindEngine
+	backend.RequireDone = f.Kind(t) == settings.KindEngine
 	a, err := agent.Start(agent.Options{
 		Settings: settings.Agent{
 			Target:     t.Name,
@@ -175,14 +175,14 @@
 	dc := f.Config.Targets[i%len(f.Config.Targets)].DataCentre
 	e, err := entry.Start(entry.Options{
 		Settings: settings.Entry{
-			Name:       name,
-			DataCentre: dc,
-			Callers:    loopback,
-			Listen:     loopback,
-			MaxBody:    4 << 20,
-			MaxCallers: maxCallers,
-			AnswerLife: f.opts.AnswerLife,
-			Arrival:    f.opts.Arrival,
+			Name:           name,
+			DataCentre:     dc,
+			Callers:        loopback,
+			Listen:         loopback,
+			MaxBody:        4 << 20,
+			MaxCallers:     maxCallers,
+			DirectoryTTL:   f.opts.DirectoryTTL,
+			RequestTimeout: f.opts.RequestTimeout,
 		},
 		Log:         &outside.HTTPLog{Addr: f.Platform},
 		VMs:         &outside.HTTPVMList{Addr: f.Platform},
--- a/demo/hosted/fleet.go
+++ b/demo/hosted/fleet.go
@@ -48,7 +48,7 @@
 var plainTargetZones = [plainTargetCount]string{"x", "y"}
 
 var groupConfig = standin.GroupConfig{
-	Ranks: rankCount, Sets: 2, Experts: 24, Places: 6, Slots: 10,
+	Ranks: rankCount, Sets: 2, Experts: 24, ExpertsPerRank: 6, Slots: 10,
 	BasePass: 20 * time.Millisecond, PassPerStream: 4 * time.Millisecond, CopyTime: 15 * time.Millisecond, Events: 16,
 }
 
--- a/demo/ranks_test.go
+++ b/demo/ranks_test.go
@@ -52,7 +52,7 @@
 	g := NewWithT(t)
 	cfg, err := config.Load(map[string]string{"ranks.ini": rankConfig})
 	g.Expect(err).NotTo(HaveOccurred())
-	f, err := demo.Start(demo.Options{Config: cfg, Entries: 3, StepTime: 2 * time.Millisecond, AnswerLife: time.Second, Logger: logr.Discard()})
+	f, err := demo.Start(demo.Options{Config: cfg, Entries: 3, StepTime: 2 * time.Millisecond, DirectoryTTL: time.Second, Logger: logr.Discard()})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(f.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -88,7 +88,7 @@
 func allMaps(f *demo.Fleet) string {
 	var b strings.Builder
 	for _, e := range f.Entries {
-		_ = expert.WriteMapStatus(&b, e.MapLogs()) // a Builder returns no errors
+		_ = expert.WriteMapStatus(&b, e.PlanHistories()) // a Builder returns no errors
 	}
 	return b.String()
 }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -138,7 +138,7 @@
 
 // recordOutcome counts and logs the outcome of the request.
 func (b *answerBody) recordOutcome(code result.Code, detail string) {
-	b.entry.opts.Metrics.Result(code)
+	b.entry.opts.Metrics.CountResult(code)
 	level := 1
 	if code != result.OK {
 		level = 0
--- a/entry/control.go
+++ b/entry/control.go
@@ -23,12 +23,12 @@
 		}
 		e.peerListener = ln
 	}
-	timing := e.opts.Control
+	timing := e.opts.ControlTiming
 	if timing == (control.Timing{}) {
 		timing = control.DefaultTiming
 	}
-	if e.opts.Snapshots > 0 {
-		timing.Snapshots = e.opts.Snapshots
+	if e.opts.SnapshotInterval > 0 {
+		timing.Snapshots = e.opts.SnapshotInterval
 	}
 	s := &e.opts.Settings
 	e.node = control.New(control.Options{
@@ -74,7 +74,7 @@
 		Handler:  e.node,
 		Serve:    e.node.Accept,
 		Refused: func(remote net.Addr, err error) {
-			e.opts.Metrics.Result(result.From(err).Code)
+			e.opts.Metrics.CountResult(result.From(err).Code)
 			e.log.Error(err, "peer refused", "peer", remote.String())
 		},
 	}
--- a/entry/dispatchlog.go
+++ b/entry/dispatchlog.go
@@ -55,7 +55,7 @@
 func (d *dispatchLog) record(dedupKey, fleet string, dest destination, version uint64, expiresAt, now time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.off.Book {
+	if d.off.DispatchLog {
 		return nil
 	}
 	if d.closed {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,10 +38,10 @@
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	// PeerListener replaces the plain TCP listener on Settings.Listen, which is for loopback only.
 	PeerListener net.Listener
-	// Snapshots is the interval at which the configuration is published again; zero is the default.
-	Snapshots time.Duration
-	// Control sets the periods of the control plane; zero is control.DefaultTiming.
-	Control control.Timing
+	// SnapshotInterval is the interval at which the configuration is published again; zero is the default.
+	SnapshotInterval time.Duration
+	// ControlTiming sets the periods of the control plane; zero is control.DefaultTiming.
+	ControlTiming control.Timing
 	// NoCallers disables the HTTP server; calls then come through Do only.
 	NoCallers bool
 	// Off disables safeguards, for tests that must detect a missing safeguard.
@@ -146,7 +146,7 @@
 
 // refuseConn counts and logs a connection beyond the limit.
 func (e *Entry) refuseConn(remote net.Addr) {
-	e.opts.Metrics.Result(result.ConnsFull)
+	e.opts.Metrics.CountResult(result.ConnsFull)
 	e.log.V(1).Info("connection refused", "remote", remote.String(), "code", int(result.ConnsFull))
 }
 
@@ -164,7 +164,7 @@
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.Drain()
 	select {
-	case <-time.After(e.opts.Settings.AnswerLife):
+	case <-time.After(e.opts.Settings.DirectoryTTL):
 	case <-ctx.Done():
 	}
 	err := e.awaitIdle(ctx)
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -57,34 +57,34 @@
 	At         time.Time       `json:"at"`
 	Service    string          `json:"service"`
 	Chosen     string          `json:"chosen"`  // empty: no target could take work
-	Dropped    int             `json:"dropped"` // sampled targets that could not take work
+	Filtered   int             `json:"dropped"` // sampled targets that could not take work
 	Candidates []CandidateView `json:"candidates"`
 }
 
 // CandidateView is one target that the placement scored. Seconds and tokens are
 // estimates.
 type CandidateView struct {
-	Target     string  `json:"target"`
-	DataCentre string  `json:"data_centre"`
-	Score      float64 `json:"score_seconds"`
-	Own        float64 `json:"own_requests"`
-	Others     float64 `json:"others_requests"`
-	Prompt     float64 `json:"prompt_tokens_ahead"`
-	Cached     float64 `json:"cached_tokens"`
+	Target            string  `json:"target"`
+	DataCentre        string  `json:"data_centre"`
+	ScoreSeconds      float64 `json:"score_seconds"`
+	OwnRequests       float64 `json:"own_requests"`
+	OthersRequests    float64 `json:"others_requests"`
+	PromptTokensAhead float64 `json:"prompt_tokens_ahead"`
+	CachedTokens      float64 `json:"cached_tokens"`
 }
 
 func (x *explanation) view() DecisionView {
-	v := DecisionView{At: x.at, Service: x.service, Dropped: x.decision.Filtered}
-	for i := range x.decision.N {
+	v := DecisionView{At: x.at, Service: x.service, Filtered: x.decision.Filtered}
+	for i := range x.decision.NumCandidates {
 		c := &x.decision.Candidates[i]
 		v.Candidates = append(v.Candidates, CandidateView{
-			Target:     c.Target.Name,
-			DataCentre: c.Target.DataCentre,
-			Score:      c.Score,
-			Own:        c.Target.Own.Requests,
-			Others:     c.Target.Others.Requests,
-			Prompt:     c.Target.Own.Prompt + c.Target.Others.Prompt,
-			Cached:     c.Target.CachedTokens,
+			Target:            c.Target.Name,
+			DataCentre:        c.Target.DataCentre,
+			ScoreSeconds:      c.Score,
+			OwnRequests:       c.Target.Own.Requests,
+			OthersRequests:    c.Target.Others.Requests,
+			PromptTokensAhead: c.Target.Own.Prompt + c.Target.Others.Prompt,
+			CachedTokens:      c.Target.CachedTokens,
 		})
 	}
 	if best := x.decision.Best(); best != nil {
--- a/entry/http.go
+++ b/entry/http.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	defaultArrivalTimeout = 30 * time.Second // for a whole request, where the settings set no limit
+	defaultRequestTimeout = 30 * time.Second // for a whole request, where the settings set no limit
 	callerIdleTimeout     = 2 * time.Minute
 	callerReadBufferBytes = 8 << 10 // also the limit on the headers of a request
 )
@@ -38,7 +38,7 @@
 	app := fiber.New(fiber.Config{
 		BodyLimit:      int(e.opts.Settings.MaxBody),
 		Concurrency:    e.opts.Settings.MaxCallers,
-		ReadTimeout:    cmp.Or(e.opts.Settings.Arrival, defaultArrivalTimeout),
+		ReadTimeout:    cmp.Or(e.opts.Settings.RequestTimeout, defaultRequestTimeout),
 		IdleTimeout:    callerIdleTimeout,
 		ReadBufferSize: callerReadBufferBytes,
 		ErrorHandler:   e.httpError,
@@ -124,14 +124,14 @@
 
 // EntriesAnswer is the body of GET /v1/entries.
 type EntriesAnswer struct {
-	Entries  []string `json:"entries"`  // addresses in order of preference
-	Lifetime int      `json:"lifetime"` // seconds for which a caller may cache the answer
+	Entries         []string `json:"entries"`  // addresses in order of preference
+	LifetimeSeconds int      `json:"lifetime"` // seconds for which a caller may cache the answer
 }
 
 // serveEntries lists this entry first, then the other usable entries. Entries that enforce the
 // limits of the caller's team move to the front.
 func (e *Entry) serveEntries(c fiber.Ctx) error {
-	answer := EntriesAnswer{Lifetime: int(e.opts.Settings.AnswerLife.Seconds())}
+	answer := EntriesAnswer{LifetimeSeconds: int(e.opts.Settings.DirectoryTTL.Seconds())}
 	vms := e.vms.Load()
 	if vms == nil {
 		vms = new([]outside.VM)
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	logged := new(logBuffer)
-	f, err := demo.Start(demo.Options{Config: cfg, Entries: 1, StepTime: time.Millisecond, AnswerLife: time.Second, Arrival: arrival, Logger: logging.New(logged, 4)})
+	f, err := demo.Start(demo.Options{Config: cfg, Entries: 1, StepTime: time.Millisecond, DirectoryTTL: time.Second, RequestTimeout: arrival, Logger: logging.New(logged, 4)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -223,8 +223,8 @@
 	return expert.CostWeights{Skew: 1, Move: 1}
 }
 
-// MapLogs returns the plan history of every group that this entry owns or has owned.
-func (e *Entry) MapLogs() []expert.PlanHistory {
+// PlanHistories returns the plan history of every group that this entry owns or has owned.
+func (e *Entry) PlanHistories() []expert.PlanHistory {
 	var histories []expert.PlanHistory
 	e.planHistories.Range(func(_, v any) bool {
 		histories = append(histories, v.(expert.PlanHistory))
@@ -236,7 +236,7 @@
 // mapStatusText returns what `status maps` prints for this entry's groups.
 func (e *Entry) mapStatusText() string {
 	var b strings.Builder
-	if err := expert.WriteMapStatus(&b, e.MapLogs()); err != nil {
+	if err := expert.WriteMapStatus(&b, e.PlanHistories()); err != nil {
 		return err.Error()
 	}
 	return b.String()
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -50,7 +50,7 @@
 	g := NewWithT(t)
 	cfg, err := config.Load(placementConfig)
 	g.Expect(err).NotTo(HaveOccurred())
-	f, err := demo.Start(demo.Options{Config: cfg, Entries: 1, StepTime: time.Millisecond, AnswerLife: time.Second, Logger: logr.Discard()})
+	f, err := demo.Start(demo.Options{Config: cfg, Entries: 1, StepTime: time.Millisecond, DirectoryTTL: time.Second, Logger: logr.Discard()})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(f.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -75,7 +75,7 @@
 		next = page.Next
 		// Registered waits for the configuration versions among these records. An
 		// entry that follows peers would get them later.
-		if err := e.node.Take(next-uint64(len(page.Records)), page.Records); err != nil {
+		if err := e.node.FoldRecords(next-uint64(len(page.Records)), page.Records); err != nil {
 			return err
 		}
 		for _, raw := range page.Records {
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -39,7 +39,7 @@
 func (e *Entry) refuse(c fiber.Ctx, err error) error {
 	r := result.From(err)
 	info := r.Code.Info()
-	e.opts.Metrics.Result(r.Code)
+	e.opts.Metrics.CountResult(r.Code)
 	e.log.Info("refused", "request", requestID(c), "code", int(r.Code), "reason", info.Name, "detail", r.Detail)
 	c.Set(HeaderResult, strconv.Itoa(int(r.Code)))
 	c.Set(HeaderRun, info.Run.String())
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -242,7 +242,7 @@
 		t.entry.opts.Metrics.Count("retries_denied_total", 1)
 		return false
 	}
-	t.entry.opts.Metrics.Retry(code)
+	t.entry.opts.Metrics.CountRetry(code)
 	if target != "" {
 		t.avoid[target] = true
 	}
@@ -266,11 +266,11 @@
 	if r.Run() != result.RunNot {
 		return r
 	}
-	if t.uncertainErr != nil && !t.entry.opts.Off.Doubt {
+	if t.uncertainErr != nil && !t.entry.opts.Off.UncertainOutcome {
 		return result.From(t.uncertainErr)
 	}
 	if !t.call.Repeatable && r.Code != result.KeyReused && t.entry.outcomes.dispatchLog.contains(t.dedupKey) {
-		return result.New(result.KeyInDoubt, "an earlier attempt may have run; the last one did not: %w", r)
+		return result.New(result.KeyUncertain, "an earlier attempt may have run; the last one did not: %w", r)
 	}
 	if t.budgetDenied {
 		return result.New(result.RetryExhausted, "%w", r)
--- a/entry/sched.go
+++ b/entry/sched.go
@@ -13,7 +13,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// schedState holds what placement and the agents' admission queues know of a call.
+// schedState holds what placement and the agents' target queues know of a call.
 type schedState struct {
 	prepared     bool // prepareSched has run
 	cost         route.Cost
@@ -84,7 +84,7 @@
 	s.blockHashes = route.BlockHashes(c.Team, text, nil)
 }
 
-// toWire returns the scheduling data for the agent's admission queue.
+// toWire returns the scheduling data for the agent's target queue.
 func (s *schedState) toWire() wire.Sched {
 	return wire.Sched{
 		Weight:    s.weight,
--- a/entry/work.go
+++ b/entry/work.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Arrived implements wire.Watcher.
-func (r *trackedRequest) Arrived(chunk []byte) {
+// ChunkReceived implements wire.Watcher.
+func (r *trackedRequest) ChunkReceived(chunk []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended {
@@ -53,8 +53,8 @@
 	r.link.addOwnWork(0, progress)
 }
 
-// Ended implements wire.Watcher.
-func (r *trackedRequest) Ended() {
+// StreamEnded implements wire.Watcher.
+func (r *trackedRequest) StreamEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended {
@@ -69,7 +69,7 @@
 	r := l.trackRequest(&req.Sched)
 	s, err := conn.OpenWatched(wire.MethodRequest, req, r)
 	if err != nil {
-		r.Ended()
+		r.StreamEnded()
 		return nil, result.New(result.Unreachable, "open stream to %s: %w", l.target, err)
 	}
 	return s, nil
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -34,15 +34,15 @@
 	l.applyLoad(old, loadOf(6, 9, 0)) // duplicate
 	l.applyLoad(old, loadOf(4, 9, 0)) // reordered
 	g.Expect(requestsAt(l)).To(Equal(5.0))
-	first.Ended()
-	first.Ended() // the stream ends and is closed too
+	first.StreamEnded()
+	first.StreamEnded() // the stream ends and is closed too
 	g.Expect(requestsAt(l)).To(Equal(4.0))
-	second.Arrived([]byte("data: a\n\ndata: b\n\n"))
+	second.ChunkReceived([]byte("data: a\n\ndata: b\n\n"))
 	var target route.Target
 	l.readTarget(&target)
 	g.Expect(target.Own).To(Equal(route.Work{Requests: 1, Decode: 98}))
-	second.Ended()
-	second.Arrived([]byte("data: late\n\n"))
+	second.StreamEnded()
+	second.ChunkReceived([]byte("data: late\n\n"))
 	l.readTarget(&target)
 	g.Expect(target.Own).To(Equal(route.Work{}))
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -78,7 +78,7 @@
 			}
 			return nil, e
 		}
-		d.g.opts.Metrics.Retry(e.Code)
+		d.g.opts.Metrics.CountRetry(e.Code)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 
 func (g *Gateway) serveCallers() {
 	ln := callers.NewListener(g.listener, maxCallerConns, func(a net.Addr) {
-		g.opts.Metrics.Result(result.ConnsFull)
+		g.opts.Metrics.CountResult(result.ConnsFull)
 		g.opts.Log.Info("caller refused", "remote", a.String(), "reason", result.ConnsFull.Info().Name)
 	})
 	g.callerServer = &fasthttp.Server{
--- a/gateway/heartbeat.go
+++ b/gateway/heartbeat.go
@@ -76,7 +76,7 @@
 
 func (c *cluster) topicUpdate(t serving.Topic, from uint64) peers.TopicUpdate {
 	update := c.g.state.updateSince(t, from)
-	msg := peers.TopicUpdate{Topic: uint8(t), From: update.FromOffset, Next: update.NextOffset, Full: update.Full}
+	msg := peers.TopicUpdate{Topic: uint8(t), FromOffset: update.FromOffset, NextOffset: update.NextOffset, Full: update.Full}
 	for _, rec := range update.Records {
 		msg.Records = append(msg.Records, peers.Record{Key: rec.Key, Value: rec.Value, Offset: rec.Offset})
 	}
@@ -123,7 +123,7 @@
 		c.g.opts.Log.Error(err, "news of an entry ignored", "entry", h.Entry.Name)
 		return
 	}
-	update := serving.ReplicaUpdate{FromOffset: msg.From, NextOffset: msg.Next, Full: msg.Full}
+	update := serving.ReplicaUpdate{FromOffset: msg.FromOffset, NextOffset: msg.NextOffset, Full: msg.Full}
 	for _, rec := range msg.Records {
 		update.Records = append(update.Records, serving.Record{Key: rec.Key, Value: rec.Value, Offset: rec.Offset})
 	}
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -51,7 +51,7 @@
 	}
 	var loads peers.Loads
 	queued := r.queuedRequests()
-	query := &peers.LoadsQuery{Roster: r.rosterID, Entry: r.g.opts.Name, QueuedInTime: peers.ClampUint16(queued.InTime), QueuedLate: peers.ClampUint16(queued.Late)}
+	query := &peers.LoadsQuery{Roster: r.rosterID, Entry: r.g.opts.Name, QueuedOnTime: peers.ClampUint16(queued.OnTime), QueuedLate: peers.ClampUint16(queued.Late)}
 	err := r.client.Ask(ctx, peers.KindLoads, query, &loads, loadsTimeout)
 	if err != nil {
 		r.disconnect(err)
@@ -163,7 +163,7 @@
 		}
 	}
 	r.follower.setEngines(r.group, r.engines)
-	state := placing.NewGroupState(byAddress, float64(loads.Imbalance), float64(loads.PeakImbalance), placing.QueueCounts{InTime: int(loads.QueuedInTime), Late: int(loads.QueuedLate)}, reportedAt)
+	state := placing.NewGroupState(byAddress, float64(loads.Imbalance), float64(loads.PeakImbalance), placing.QueueCounts{OnTime: int(loads.QueuedOnTime), Late: int(loads.QueuedLate)}, reportedAt)
 	state.Name, state.Complete = r.group, loads.Complete
 	r.g.tracker.ApplyLoadReport(r.service, r.g.state.snapshot().targets[r.service], byAddress, state)
 	r.g.admitIfQueued(r.service)
@@ -230,6 +230,6 @@
 		Service:           s,
 		EventGapObjective: snap.index.EventGapObjective(service),
 		Targets:           snap.targets[service],
-		Entries:           g.cluster.liveCount(),
+		EntryCount:        g.cluster.liveCount(),
 	}, time.Now())
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -47,7 +47,7 @@
 }
 
 func (g *Gateway) logAnswered(r *request, d *dispatch, a *attempt) {
-	g.opts.Metrics.Result(result.OK)
+	g.opts.Metrics.CountResult(result.OK)
 	elapsed := time.Since(r.arrived)
 	late := notLate
 	if r.route.LatencyObjective > 0 && elapsed > r.route.LatencyObjective {
@@ -65,11 +65,11 @@
 		fields = append(fields, "first_ms", b.firstEventAt.Sub(r.arrived).Milliseconds())
 	}
 	if b.endErr == io.EOF {
-		g.opts.Metrics.Result(result.OK)
+		g.opts.Metrics.CountResult(result.OK)
 		g.opts.Log.Info("answered", fields...)
 		return
 	}
-	g.opts.Metrics.Result(b.failure.Code)
+	g.opts.Metrics.CountResult(b.failure.Code)
 	g.opts.Log.Info("broken off", append(fields, "code", int(b.failure.Code), "reason", b.failure.Code.Info().Name,
 		"detail", b.failure.Detail, "last_event", b.scanner.lastID)...)
 }
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -56,7 +56,7 @@
 // awaitPermit waits for a permit of a target that reports a rate limit. If no permit becomes valid
 // within maxPermitWait, the request is refused at once.
 func (d *dispatch) awaitPermit(ctx context.Context) (*serving.Target, *result.Error) {
-	candidates, ownerRetryIn := d.g.tracker.PermitBoundTargets(d.targets(), d.wasTried, time.Now())
+	candidates, ownerRetryIn := d.g.tracker.TargetsNeedingPermits(d.targets(), d.wasTried, time.Now())
 	if len(candidates) == 0 && ownerRetryIn == 0 {
 		return nil, d.preferLastError(result.New(result.NoTarget, "no untried target of service %s", d.r.service.Name))
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -41,7 +41,7 @@
 		if !d.canRetry(d.lastErr) {
 			return nil, d.lastErr
 		}
-		g.opts.Metrics.Retry(d.lastErr.Code)
+		g.opts.Metrics.CountRetry(d.lastErr.Code)
 	}
 }
 
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -15,7 +15,7 @@
 
 // refuse answers a request with an error of the gateway itself.
 func (g *Gateway) refuse(c *fasthttp.RequestCtx, e *result.Error) {
-	g.opts.Metrics.Result(e.Code)
+	g.opts.Metrics.CountResult(e.Code)
 	c.Response.Reset()
 	c.SetStatusCode(statusOf(e))
 	c.Response.Header.SetBytesV(g.opts.Headers.RequestID, c.Request.Header.Peek(g.opts.Headers.RequestID))
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -180,7 +180,7 @@
 	if b.scanner.lastID >= 0 {
 		after = strconv.FormatInt(b.scanner.lastID, 10)
 	}
-	b.g.opts.Metrics.Retry(b.failure.Code)
+	b.g.opts.Metrics.CountRetry(b.failure.Code)
 	a, e := b.dispatch.nextResponse(b.ctx, after)
 	switch {
 	case e != nil:
--- a/internal/ablate/ablate.go
+++ b/internal/ablate/ablate.go
@@ -13,23 +13,23 @@
 
 // Mechanisms. Each comment describes the behaviour without the mechanism.
 const (
-	Limit        Mechanism = "limit"         // streams fill all slots of an engine
-	Room         Mechanism = "room"          // each entry uses all the headroom that it sees
-	LateShare    Mechanism = "late-share"    // late streams use all remaining headroom
-	Breaker      Mechanism = "breaker"       // requests are sent to a broken group
-	InTimeFirst  Mechanism = "in-time-first" // requests are admitted in the order of arrival
-	RefuseEarly  Mechanism = "refuse-early"  // requests are queued even if the expected wait is too long
-	CannotFinish Mechanism = "cannot-finish" // streams are admitted that can't finish on time
-	Sample       Mechanism = "sample"        // each placement compares all targets
-	SlowWeight   Mechanism = "slow-weight"   // a slow rank gets the same share of work as others
-	SlowLeftOut  Mechanism = "slow-left-out" // a very slow rank gets work
-	Ejection     Mechanism = "ejection"      // failing targets get work
-	Doubts       Mechanism = "doubts"        // an entry does not send failure reports to other entries
-	Resume       Mechanism = "resume"        // a broken stream is not resumed
-	TwoMeans     Mechanism = "two-means"     // demand is estimated by one mean
-	Urgency      Mechanism = "urgency"       // plans price copies as for a busy group
-	HeldSoon     Mechanism = "held-soon"     // a group left on hold is queried with the usual time limits
-	StoreTurns   Mechanism = "store-turns"   // every entry reads the store as often as the first one
+	Limit            Mechanism = "limit"         // streams fill all slots of an engine
+	Headroom         Mechanism = "room"          // each entry uses all the headroom that it sees
+	LateShare        Mechanism = "late-share"    // late streams use all remaining headroom
+	Breaker          Mechanism = "breaker"       // requests are sent to a broken group
+	OnTimeFirst      Mechanism = "in-time-first" // requests are admitted in the order of arrival
+	RefuseEarly      Mechanism = "refuse-early"  // requests are queued even if the expected wait is too long
+	CannotFinish     Mechanism = "cannot-finish" // streams are admitted that can't finish on time
+	Sample           Mechanism = "sample"        // each placement compares all targets
+	SlowWeight       Mechanism = "slow-weight"   // a slow rank gets the same share of work as others
+	SlowLeftOut      Mechanism = "slow-left-out" // a very slow rank gets work
+	Ejection         Mechanism = "ejection"      // failing targets get work
+	FailureReports   Mechanism = "doubts"        // an entry does not send failure reports to other entries
+	Resume           Mechanism = "resume"        // a broken stream is not resumed
+	TwoMeans         Mechanism = "two-means"     // demand is estimated by one mean
+	Urgency          Mechanism = "urgency"       // plans price copies as for a busy group
+	FastHoldRecovery Mechanism = "held-soon"     // a group left on hold is queried with the usual time limits
+	StoreTurns       Mechanism = "store-turns"   // every entry reads the store as often as the first one
 )
 
 // off is the disabled mechanism, set by the linker; empty: none.
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -56,7 +56,7 @@
 	c.Handle("GET /log", func(*http.Request) (any, error) { return l.State(), nil })
 	c.Handle("POST /log", func(r *http.Request) (any, error) {
 		f := formReader{r: r}
-		faults := LogFaults{Down: f.isYes("down"), LoseAnswers: f.number("lose-answers"), Delay: f.duration("delay")}
+		faults := LogFaults{Down: f.isYes("down"), DropResponses: f.number("lose-answers"), Delay: f.duration("delay")}
 		if f.err == nil {
 			l.SetFaults(faults)
 		}
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -16,9 +16,9 @@
 
 // LogFaults configures the faults of a Log.
 type LogFaults struct {
-	Down        bool          // every call fails
-	LoseAnswers int           // number of appends that take effect but return an error
-	Delay       time.Duration // added to each call
+	Down          bool          // every call fails
+	DropResponses int           // number of appends that take effect but return an error
+	Delay         time.Duration // added to each call
 }
 
 // Log is an append-only log in memory.
@@ -91,8 +91,8 @@
 	l.appends++
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if l.faults.LoseAnswers > 0 {
-		l.faults.LoseAnswers--
+	if l.faults.DropResponses > 0 {
+		l.faults.DropResponses--
 		return 0, outside.ErrUnknownOutcome
 	}
 	return offset, nil
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -13,25 +13,25 @@
 
 // OrderedEngine is a stand-in for the order interface of an engine.
 type OrderedEngine struct {
-	// Fenced makes the engine refuse orders with a fencing token lower than the highest
+	// Fenced makes the engine refuse orders with a fencing number lower than the highest
 	// one it has seen. Without it the engine executes every order.
 	Fenced bool
 
-	mu            sync.Mutex
-	state         outside.EngineState
-	highest       map[string]uint64 // highest fencing token seen, by resource
-	fences        []uint64          // tokens of the executed orders, in order of execution
-	answersToLose int
+	mu              sync.Mutex
+	state           outside.EngineState
+	highest         map[string]uint64 // highest fencing number seen, by resource
+	fences          []uint64          // fencing numbers of the executed orders, in order of execution
+	responsesToDrop int
 }
 
-// LoseAnswers makes the next n orders take effect but return an error.
-func (e *OrderedEngine) LoseAnswers(n int) {
+// DropResponses makes the next n orders take effect but return an error.
+func (e *OrderedEngine) DropResponses(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answersToLose = n
+	e.responsesToDrop = n
 }
 
-// Fences returns the fencing tokens of the executed orders, in order of execution.
+// Fences returns the fencing numbers of the executed orders, in order of execution.
 func (e *OrderedEngine) Fences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,8 +51,8 @@
 	e.highest[resource] = max(e.highest[resource], fence)
 	e.state = want
 	e.fences = append(e.fences, fence)
-	if e.answersToLose > 0 {
-		e.answersToLose--
+	if e.responsesToDrop > 0 {
+		e.responsesToDrop--
 		return errAnswerLost
 	}
 	return ctx.Err()
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -6,14 +6,14 @@
 // Off selects the safeguards that are disabled. In production it has its zero value: all
 // safeguards are enabled.
 type Off struct {
-	Ledger      bool // agent: keep the deduplication table of idempotency keys
-	Witness     bool // agent: ask the entries that may have dispatched an unknown key
-	Roster      bool // agent: ask entries without a connection to the agent, too
-	Incarnation bool // agent: refuse requests sent to an earlier incarnation
-	Book        bool // entry: record dispatches and report them to agents that ask
-	Supersede   bool // entry: send nothing to a superseded agent
-	Doubt       bool // entry: a later "not run" does not clear an earlier "may have run"
-	Home        bool // entry: route each key to its home target
-	Deadline    bool // entry: end a request at its deadline
-	Continue    bool // entry: continue a broken stream where it ended
+	Deduplication    bool // agent: keep the deduplication table of idempotency keys
+	DispatchCheck    bool // agent: ask the entries that may have dispatched an unknown key
+	EntryList        bool // agent: ask entries without a connection to the agent, too
+	Incarnation      bool // agent: refuse requests sent to an earlier incarnation
+	DispatchLog      bool // entry: record dispatches and report them to agents that ask
+	Supersede        bool // entry: send nothing to a superseded agent
+	UncertainOutcome bool // entry: a later "not run" does not clear an earlier "may have run"
+	Home             bool // entry: route each key to its home target
+	Deadline         bool // entry: end a request at its deadline
+	Continue         bool // entry: continue a broken stream where it ended
 }
--- a/lockstep/collect.go
+++ b/lockstep/collect.go
@@ -156,15 +156,15 @@
 // addQueueCounts adds to s the counts of requests that are queued at the entries. It covers the
 // entries that query this agent or an agent of its subtree for loads.
 func (a *Agent) addQueueCounts(s *peers.RankState) {
-	inTime, late := a.queueCounts()
-	s.QueuedInTime, s.QueuedLate = uint32(inTime), uint32(late)
+	onTime, late := a.queueCounts()
+	s.QueuedOnTime, s.QueuedLate = uint32(onTime), uint32(late)
 	s.EnginesUnknown = a.enginesUnknown()
 	for i := range s.Subtree {
 		below := &s.Subtree[i]
-		s.QueuedInTime += below.QueuedInTime
+		s.QueuedOnTime += below.QueuedOnTime
 		s.QueuedLate += below.QueuedLate
 		s.EnginesUnknown = s.EnginesUnknown || below.EnginesUnknown
-		below.QueuedInTime, below.QueuedLate = 0, 0
+		below.QueuedOnTime, below.QueuedLate = 0, 0
 	}
 }
 
--- a/lockstep/entryqueues.go
+++ b/lockstep/entryqueues.go
@@ -10,7 +10,7 @@
 
 // queueReport is the queue count of one entry.
 type queueReport struct {
-	inTime, late int // requests that can still be on time, and those that cannot
+	onTime, late int // requests that can still be on time, and those that cannot
 	reportedAt   time.Time
 }
 
@@ -18,25 +18,25 @@
 const queueReportTTL = time.Second
 
 // record sets the queue counts of an entry.
-func (q *entryQueues) record(entry string, inTime, late int, now time.Time) {
+func (q *entryQueues) record(entry string, onTime, late int, now time.Time) {
 	if entry == "" {
 		return
 	}
 	if q.byEntry == nil {
 		q.byEntry = make(map[string]queueReport)
 	}
-	q.byEntry[entry] = queueReport{inTime: inTime, late: late, reportedAt: now}
+	q.byEntry[entry] = queueReport{onTime: onTime, late: late, reportedAt: now}
 }
 
 // sum returns the total counts and removes entries whose report has expired.
-func (q *entryQueues) sum(now time.Time) (inTime, late int) {
+func (q *entryQueues) sum(now time.Time) (onTime, late int) {
 	for entry, report := range q.byEntry {
 		if now.Sub(report.reportedAt) > queueReportTTL {
 			delete(q.byEntry, entry)
 			continue
 		}
-		inTime += report.inTime
+		onTime += report.onTime
 		late += report.late
 	}
-	return inTime, late
+	return onTime, late
 }
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -58,7 +58,7 @@
 }
 
 // queueCounts returns the requests queued at the entries that query this agent.
-func (a *Agent) queueCounts() (inTime, late int) {
+func (a *Agent) queueCounts() (onTime, late int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.entryQueues.sum(time.Now())
@@ -72,7 +72,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.entryQueues.record(q.Entry, int(q.QueuedInTime), int(q.QueuedLate), time.Now())
+	a.entryQueues.record(q.Entry, int(q.QueuedOnTime), int(q.QueuedLate), time.Now())
 	loads := a.groupLoads.loads
 	if !loads.Known || len(loads.Engines) == 0 {
 		return &peers.Loads{Leader: a.leaderAddr, Group: a.groupName, Ranks: peers.ClampUint16(a.groupRanks)}, nil
@@ -99,7 +99,7 @@
 		Group:         own.Group,
 		Ranks:         peers.ClampUint16(own.Ranks),
 	}
-	inTime, late := l.a.queueCounts()
+	onTime, late := l.a.queueCounts()
 	rosterHash := fnv.New64a()
 	for i := range ranks {
 		s := &ranks[i].state
@@ -110,10 +110,10 @@
 		if s.Slowdown > 1 {
 			loads.Slow = append(loads.Slow, peers.SlowRank{Rank: uint16(i), Slowdown: float32(s.Slowdown)})
 		}
-		inTime += int(s.QueuedInTime)
+		onTime += int(s.QueuedOnTime)
 		late += int(s.QueuedLate)
 	}
-	loads.QueuedInTime, loads.QueuedLate = peers.ClampUint16(inTime), peers.ClampUint16(late)
+	loads.QueuedOnTime, loads.QueuedLate = peers.ClampUint16(onTime), peers.ClampUint16(late)
 	loads.Roster = rosterHash.Sum64()
 	return loads
 }
--- a/lockstep/loads_test.go
+++ b/lockstep/loads_test.go
@@ -60,13 +60,13 @@
 		time.Sleep(time.Second)
 		for range 8 {
 			for rank := range f.agents {
-				queryLoads(t, f, rank, &peers.LoadsQuery{Entry: engineAddress(rank), QueuedInTime: 2, QueuedLate: 1})
+				queryLoads(t, f, rank, &peers.LoadsQuery{Entry: engineAddress(rank), QueuedOnTime: 2, QueuedLate: 1})
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		loads := queryLoads(t, f, 5, &peers.LoadsQuery{})
 		f.stop()
-		g.Expect(loads.QueuedInTime).To(BeEquivalentTo(2 * treeTestRanks))
+		g.Expect(loads.QueuedOnTime).To(BeEquivalentTo(2 * treeTestRanks))
 		g.Expect(loads.QueuedLate).To(BeEquivalentTo(treeTestRanks))
 	})
 }
--- a/lockstep/member.go
+++ b/lockstep/member.go
@@ -100,7 +100,7 @@
 // the leader's VM is unreachable. The timeouts of agent and engine in sequence are longer than a
 // pass may take.
 func (m *member) collectHedged(a *Agent, q *peers.Collect) peers.RankState {
-	if m.localAgent != nil || !m.canAskAgent() || ablate.Off(ablate.HeldSoon) {
+	if m.localAgent != nil || !m.canAskAgent() || ablate.Off(ablate.FastHoldRecovery) {
 		return m.collect(a, q)
 	}
 	answer := make(chan peers.RankState, 1)
--- a/members/membership.go
+++ b/members/membership.go
@@ -341,7 +341,7 @@
 	newer := m.MergeHeartbeat(&probe)
 	ack := m.newHeartbeat()
 	if probe.All {
-		ack.Members = m.table.All()
+		ack.Members = m.table.AllMembers()
 	}
 	if newer != nil {
 		ack.Members = append(ack.Members, *newer)
--- a/members/updates.go
+++ b/members/updates.go
@@ -58,8 +58,8 @@
 	return min(aliveTransmissions*doublings, maxAliveTransmissions)
 }
 
-// All returns the state of all other entries.
-func (t *Table) All() []peers.Member {
+// AllMembers returns the state of all other entries.
+func (t *Table) AllMembers() []peers.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]peers.Member, 0, len(t.byName))
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -58,8 +58,8 @@
 // BetweenTokens records the time between two consecutive tokens.
 func (s *Set) BetweenTokens(d time.Duration) { s.betweenTokens.RecordDuration(d) }
 
-// Result counts one finished request by its result code.
-func (s *Set) Result(c result.Code) {
+// CountResult counts one finished request by its result code.
+func (s *Set) CountResult(c result.Code) {
 	counter, ok := s.results.Load(c)
 	if !ok {
 		counter, _ = s.results.LoadOrStore(c, s.scope.Tagged(map[string]string{"reason": c.Info().Name}).Counter("results_total"))
@@ -67,8 +67,8 @@
 	counter.(tally.Counter).Inc(1)
 }
 
-// Retry counts one retry by the result code of the failed attempt.
-func (s *Set) Retry(c result.Code) {
+// CountRetry counts one retry by the result code of the failed attempt.
+func (s *Set) CountRetry(c result.Code) {
 	s.scope.Tagged(map[string]string{"reason": c.Info().Name}).Counter("retries_total").Inc(1)
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -17,9 +17,9 @@
 	g := NewWithT(t)
 	s := metrics.New()
 	for _, info := range result.All() {
-		s.Result(info.Code)
-		s.Result(info.Code)
-		s.Retry(info.Code)
+		s.CountResult(info.Code)
+		s.CountResult(info.Code)
+		s.CountRetry(info.Code)
 	}
 	s.FirstToken(300 * time.Millisecond)
 	s.FirstToken(700 * time.Millisecond)
@@ -47,7 +47,7 @@
 func TestServerServesMetrics(t *testing.T) {
 	g := NewWithT(t)
 	s := metrics.New()
-	s.Result(result.TargetBusy)
+	s.CountResult(result.TargetBusy)
 	server, err := s.Serve("127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer server.Close()
--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -116,7 +116,7 @@
 			g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
 			w.replaceAgent(home, time.Second, newAddress)
 			time.Sleep(time.Second)
-			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyInDoubt))
+			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyUncertain))
 			unused := keyWithHome(w, home, false) + "2"
 			g.Expect(w.send("team-0", 1, plainJob(unused), 0).Code).To(Equal(result.OK))
 		})
@@ -164,7 +164,7 @@
 		g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
 		w.replaceAgent(homeTarget(w, "n", false), time.Second, false)
 		time.Sleep(time.Second)
-		g.Expect(w.send("team-0", 0, plainJob("n"), 0).Code).To(Equal(result.KeyInDoubt))
+		g.Expect(w.send("team-0", 0, plainJob("n"), 0).Code).To(Equal(result.KeyUncertain))
 		w.Log.SetFaults(fake.LogFaults{})
 		time.Sleep(time.Second)
 		again := w.send("team-0", 0, plainJob("n"), 1)
@@ -177,7 +177,7 @@
 func TestEntryRegistersAgainAfterLostLogResponse(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		w.entry(0).Close()
-		w.Log.SetFaults(fake.LogFaults{LoseAnswers: 1})
+		w.Log.SetFaults(fake.LogFaults{DropResponses: 1})
 		g.Expect(w.startEntry(0)).To(Succeed())
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.EntryUnregistered))
@@ -194,7 +194,7 @@
 		g.Expect(w.send("team-0", 0, plainJob(key), 0).Code).To(Equal(result.OK))
 		g.Expect(w.applyConfig(true)).To(Succeed())
 		time.Sleep(time.Second)
-		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyInDoubt))
+		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyUncertain))
 		unused := "x" + key
 		for homeTarget(w, unused, true) != "oven-api-4" {
 			unused = "x" + unused
@@ -214,7 +214,7 @@
 		time.Sleep(10 * time.Millisecond)
 		late := make(chan *Invocation)
 		go func() { late <- w.send("team-0", 0, plainJob(key), 0) }()
-		g.Expect(w.send("team-0", 1, plainJob(key), 0).Code).To(Equal(result.KeyInDoubt))
+		g.Expect(w.send("team-0", 1, plainJob(key), 0).Code).To(Equal(result.KeyUncertain))
 		w.net.resumeProcess("entry-1")
 		<-late
 		g.Expect(executionsOfKey(w, key)).To(BeNumerically("<=", 1))
@@ -241,7 +241,7 @@
 		g.Expect(w.send("team-0", 0, plainJob(unused), 0).Code.Info().Run).To(Equal(result.RunNot))
 		g.Expect(w.applyConfig(false)).To(Succeed())
 		time.Sleep(time.Second)
-		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyInDoubt))
+		g.Expect(w.send("team-0", 1, plainJob(key), 1).Code).To(Equal(result.KeyUncertain))
 		g.Expect(w.send("team-0", 1, plainJob(unused), 1).Code).To(Equal(result.OK))
 	})
 }
@@ -260,12 +260,12 @@
 			}
 			w.replaceAgent(home, time.Second, false)
 			time.Sleep(time.Second)
-			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyInDoubt))
+			g.Expect(w.send("team-0", 1, plainJob("k"), 1).Code).To(Equal(result.KeyUncertain))
 			unused := "n" + keyWithHome(w, home, false)
 			for homeTarget(w, unused, false) != home {
 				unused = "n" + unused
 			}
-			want := result.KeyInDoubt
+			want := result.KeyUncertain
 			if graceful {
 				want = result.OK
 			}
--- a/outcomes/convict_test.go
+++ b/outcomes/convict_test.go
@@ -22,14 +22,14 @@
 		rule     string
 		scenario func(w *World)
 	}{
-		{"deduplication table", safeguard.Off{Ledger: true}, safeguard.Off{}, RuleAtMostOnce, sendThroughTwoEntries},
-		{"one home", safeguard.Off{Home: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, repeatThroughBothEntries},
-		{"query for unknown keys", safeguard.Off{Witness: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
-		{"dispatch report", safeguard.Off{Book: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
-		{"roster", safeguard.Off{Roster: true}, safeguard.Off{}, RuleAtMostOnce, killEntryAndAgent},
-		{"incarnation", safeguard.Off{Incarnation: true, Witness: true}, safeguard.Off{Witness: true}, RuleAtMostOnce, deliverFrameAfterRestart},
+		{"deduplication table", safeguard.Off{Deduplication: true}, safeguard.Off{}, RuleAtMostOnce, sendThroughTwoEntries},
+		{"one home", safeguard.Off{Home: true, DispatchCheck: true}, safeguard.Off{DispatchCheck: true}, RuleAtMostOnce, repeatThroughBothEntries},
+		{"query for unknown keys", safeguard.Off{DispatchCheck: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
+		{"dispatch report", safeguard.Off{DispatchLog: true}, safeguard.Off{}, RuleAtMostOnce, restartAgentBeforeRepeat},
+		{"roster", safeguard.Off{EntryList: true}, safeguard.Off{}, RuleAtMostOnce, killEntryAndAgent},
+		{"incarnation", safeguard.Off{Incarnation: true, DispatchCheck: true}, safeguard.Off{DispatchCheck: true}, RuleAtMostOnce, deliverFrameAfterRestart},
 		{"superseded agent", safeguard.Off{Supersede: true}, safeguard.Off{}, RuleAtMostOnce, runOldAndNewAgent},
-		{"unknown outcome of an earlier attempt", safeguard.Off{Doubt: true}, safeguard.Off{}, RuleNotRun, loseAgentsAfterDispatch},
+		{"unknown outcome of an earlier attempt", safeguard.Off{UncertainOutcome: true}, safeguard.Off{}, RuleNotRun, loseAgentsAfterDispatch},
 		{"deadline", safeguard.Off{Deadline: true}, safeguard.Off{}, RuleDeadline, stallEngines},
 		{"continuation", safeguard.Off{Continue: true}, safeguard.Off{}, RuleCompleteAnswer, killEngineInStream},
 	}
--- a/outcomes/faults.go
+++ b/outcomes/faults.go
@@ -80,7 +80,7 @@
 		time.Sleep(2 * duration)
 		w.Log.SetFaults(fake.LogFaults{})
 	case FaultLogAnswerLost:
-		w.Log.SetFaults(fake.LogFaults{LoseAnswers: 3, Delay: 20 * time.Millisecond})
+		w.Log.SetFaults(fake.LogFaults{DropResponses: 3, Delay: 20 * time.Millisecond})
 		w.entry(entryIdx).Close()
 		w.must(w.startEntry(entryIdx))
 		time.Sleep(duration)
--- a/outcomes/world.go
+++ b/outcomes/world.go
@@ -223,7 +223,7 @@
 func (w *World) startEntry(i int) error {
 	p := w.entries[i]
 	e, err := entry.Start(entry.Options{
-		Settings:    settings.Entry{Name: p.name, AnswerLife: answerTTL},
+		Settings:    settings.Entry{Name: p.name, DirectoryTTL: answerTTL},
 		Log:         &processLog{Log: w.Log, net: w.net, process: p.name},
 		VMs:         w.vms,
 		Logger:      w.logger,
--- a/outside/backend.go
+++ b/outside/backend.go
@@ -23,11 +23,11 @@
 // twice. It also cannot be cancelled before the response header arrives, so a caller
 // that has gone would keep its engine slot.
 type HTTPBackend struct {
-	// WholeEvents makes an event stream complete only if its last event is
+	// RequireDone makes an event stream complete only if its last event is
 	// "data: [DONE]", as model engines send it. When the computing part of an engine
 	// dies, its HTTP front may still end the body cleanly, and a partial response
 	// would be taken for a complete one.
-	WholeEvents bool
+	RequireDone bool
 
 	addr     string
 	dial     func(ctx context.Context) (net.Conn, error)
@@ -149,7 +149,7 @@
 		body.fixedBody = resp.Body()
 	}
 	r.Body = body
-	if b.WholeEvents && r.Status == fasthttp.StatusOK && bytes.HasPrefix(resp.Header.ContentType(), []byte("text/event-stream")) {
+	if b.RequireDone && r.Status == fasthttp.StatusOK && bytes.HasPrefix(resp.Header.ContentType(), []byte("text/event-stream")) {
 		r.Body = &eventBody{ReadCloser: body}
 	}
 	return r
--- a/outside/backend_test.go
+++ b/outside/backend_test.go
@@ -153,7 +153,7 @@
 				_ = nc.Close()
 			}()
 			b := outside.NewHTTPBackend(ln.Addr().String())
-			b.WholeEvents = tc.events
+			b.RequireDone = tc.events
 			_, err = call(b, outside.Call{Method: http.MethodPost, Path: "/"})
 			g.Expect(err == nil).To(Equal(tc.complete), "%v", err)
 		})
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -85,7 +85,7 @@
 func TestLargeUpdateIsCompressed(t *testing.T) {
 	g := NewWithT(t)
 	value := []byte(strings.Repeat(`{"name":"r-1","host":"h","path-prefix":"/x/","timeout-ms":8000},`, 20000))
-	update := TopicUpdate{Topic: 1, From: 2, Next: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
+	update := TopicUpdate{Topic: 1, FromOffset: 2, NextOffset: 9, Records: []Record{{Key: "config", Value: value, Offset: 8}}}
 	want := update.Records
 	g.Expect(update.Pack()).To(Succeed())
 	g.Expect(len(update.Packed)).To(BeNumerically("<", len(value)/8))
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -131,12 +131,12 @@
 //
 //msgp:tuple TopicUpdate
 type TopicUpdate struct {
-	Topic   uint8
-	From    uint64 // the update applies to a receiver that knows all records before this offset
-	Next    uint64
-	Full    bool // Records are the newest records of all existing keys, for a receiver at any offset
-	Records []Record
-	Packed  []byte // Records as msgpack compressed with DEFLATE, where that is shorter
+	Topic      uint8
+	FromOffset uint64 // the update applies to a receiver that knows all records before this offset
+	NextOffset uint64
+	Full       bool // Records are the newest records of all existing keys, for a receiver at any offset
+	Records    []Record
+	Packed     []byte // Records as msgpack compressed with DEFLATE, where that is shorter
 }
 
 // Records are the records of a topic.
@@ -195,7 +195,7 @@
 
 	Lists [][]uint16 // experts of this rank in the map in use, by layer set
 
-	QueuedInTime   uint32 // queued requests of the entries that query this agent that can still be on time
+	QueuedOnTime   uint32 // queued requests of the entries that query this agent that can still be on time
 	QueuedLate     uint32 // queued requests of these entries that are late
 	EnginesUnknown bool   // the agent does not know which engines the loads belong to
 
@@ -267,7 +267,7 @@
 type LoadsQuery struct {
 	Roster       uint64 // identifies the list of engines that the querying entry knows; 0: none
 	Entry        string // name of the querying entry
-	QueuedInTime uint16 // queued requests of the entry that can still be on time
+	QueuedOnTime uint16 // queued requests of the entry that can still be on time
 	QueuedLate   uint16 // queued requests of the entry that are late
 }
 
@@ -285,7 +285,7 @@
 	PeakImbalance float32  // recent maximum of Imbalance
 	Roster        uint64   // identifies the list of engines
 	Engines       []string // addresses by rank; omitted if the querying entry knows them
-	QueuedInTime  uint16   // queued requests of all entries that can still be on time
+	QueuedOnTime  uint16   // queued requests of all entries that can still be on time
 	QueuedLate    uint16   // queued requests of all entries that are late
 	Running       []byte   // running requests by rank; 255: that many or more
 	Waiting       []byte   // waiting requests by rank; 255: that many or more
--- a/peers/schema_gen.go
+++ b/peers/schema_gen.go
@@ -545,7 +545,7 @@
 	for za0001 := range z.Engines {
 		o = msgp.AppendString(o, z.Engines[za0001])
 	}
-	o = msgp.AppendUint16(o, z.QueuedInTime)
+	o = msgp.AppendUint16(o, z.QueuedOnTime)
 	o = msgp.AppendUint16(o, z.QueuedLate)
 	o = msgp.AppendBytes(o, z.Running)
 	o = msgp.AppendBytes(o, z.Waiting)
@@ -640,9 +640,9 @@
 			return
 		}
 	}
-	z.QueuedInTime, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedOnTime, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "QueuedInTime")
+		err = msgp.WrapError(err, "QueuedOnTime")
 		return
 	}
 	z.QueuedLate, bts, err = msgp.ReadUint16Bytes(bts)
@@ -760,7 +760,7 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Roster)
 	o = msgp.AppendString(o, z.Entry)
-	o = msgp.AppendUint16(o, z.QueuedInTime)
+	o = msgp.AppendUint16(o, z.QueuedOnTime)
 	o = msgp.AppendUint16(o, z.QueuedLate)
 	return
 }
@@ -787,9 +787,9 @@
 		err = msgp.WrapError(err, "Entry")
 		return
 	}
-	z.QueuedInTime, bts, err = msgp.ReadUint16Bytes(bts)
+	z.QueuedOnTime, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "QueuedInTime")
+		err = msgp.WrapError(err, "QueuedOnTime")
 		return
 	}
 	z.QueuedLate, bts, err = msgp.ReadUint16Bytes(bts)
@@ -1564,7 +1564,7 @@
 			o = msgp.AppendUint16(o, z.Lists[za0001][za0002])
 		}
 	}
-	o = msgp.AppendUint32(o, z.QueuedInTime)
+	o = msgp.AppendUint32(o, z.QueuedOnTime)
 	o = msgp.AppendUint32(o, z.QueuedLate)
 	o = msgp.AppendBool(o, z.EnginesUnknown)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Subtree)))
@@ -1780,9 +1780,9 @@
 			}
 		}
 	}
-	z.QueuedInTime, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueuedOnTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "QueuedInTime")
+		err = msgp.WrapError(err, "QueuedOnTime")
 		return
 	}
 	z.QueuedLate, bts, err = msgp.ReadUint32Bytes(bts)
@@ -2135,8 +2135,8 @@
 	// array header, size 6
 	o = append(o, 0x96)
 	o = msgp.AppendUint8(o, z.Topic)
-	o = msgp.AppendUint64(o, z.From)
-	o = msgp.AppendUint64(o, z.Next)
+	o = msgp.AppendUint64(o, z.FromOffset)
+	o = msgp.AppendUint64(o, z.NextOffset)
 	o = msgp.AppendBool(o, z.Full)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
 	for za0001 := range z.Records {
@@ -2167,14 +2167,14 @@
 		err = msgp.WrapError(err, "Topic")
 		return
 	}
-	z.From, bts, err = msgp.ReadUint64Bytes(bts)
+	z.FromOffset, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "From")
+		err = msgp.WrapError(err, "FromOffset")
 		return
 	}
-	z.Next, bts, err = msgp.ReadUint64Bytes(bts)
+	z.NextOffset, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Next")
+		err = msgp.WrapError(err, "NextOffset")
 		return
 	}
 	z.Full, bts, err = msgp.ReadBoolBytes(bts)
--- a/placing/admissionqueue.go
+++ b/placing/admissionqueue.go
@@ -142,7 +142,7 @@
 // A late response is worth the same however late it is, while admitting late requests first would
 // make the requests behind them late too.
 func (q *AdmissionQueue) nextIndex(now time.Time, admitLate bool) int {
-	if ablate.Off(ablate.InTimeFirst) {
+	if ablate.Off(ablate.OnTimeFirst) {
 		return 0
 	}
 	for i, w := range q.waiting {
@@ -175,7 +175,7 @@
 func (q *AdmissionQueue) countWaiting(now time.Time) (counts QueueCounts) {
 	for _, w := range q.waiting {
 		if w.request.isOnTime(now) {
-			counts.InTime++
+			counts.OnTime++
 		} else {
 			counts.Late++
 		}
--- a/placing/admit.go
+++ b/placing/admit.go
@@ -12,7 +12,7 @@
 	Service           *serving.Service
 	EventGapObjective time.Duration // objective for the gap between two events of a stream; 0: none
 	Targets           []*serving.Target
-	Entries           int // number of entries that send to these targets
+	EntryCount        int // number of entries that send to these targets
 }
 
 // Admit grants targets to requests in the admission queue while the targets have headroom.
--- a/placing/admit_bench_test.go
+++ b/placing/admit_bench_test.go
@@ -17,7 +17,7 @@
 	pool := TargetPool{
 		Service:           &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 8, BaseStepTime: 4 * time.Millisecond, StepTimePerStream: time.Millisecond}},
 		EventGapObjective: 100 * time.Millisecond,
-		Entries:           40,
+		EntryCount:        40,
 	}
 	for group := range groups {
 		loads := make(map[string]RankLoad)
--- a/placing/cold_test.go
+++ b/placing/cold_test.go
@@ -46,7 +46,7 @@
 
 // After a power loss all targets are cold and all permit owners are new. If a new owner granted no
 // permits at first, the whole fleet would be idle.
-func TestColdTargetGetsPermitsRightAfterIssuerChange(t *testing.T) {
+func TestColdTargetGetsPermitsRightAfterPermitOwnerChange(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
 	g.Expect(tr.IssuePermit(limitedRun, 1, PermitQuery{ColdRate: 26}, now).Granted).To(BeTrue())
--- a/placing/failurereport.go
+++ b/placing/failurereport.go
@@ -195,7 +195,7 @@
 func (tr *Tracker) RecordBrokenConnection(t *serving.Target, now time.Time) EjectionDecision {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if ablate.Off(ablate.Ejection) || ablate.Off(ablate.Doubts) {
+	if ablate.Off(ablate.Ejection) || ablate.Off(ablate.FailureReports) {
 		return EjectionDecision{}
 	}
 	before := tr.failures.failureScore(t.Run(), now)
@@ -212,7 +212,7 @@
 func (tr *Tracker) RecordTimeout(t *serving.Target, isRank bool, sentAt, now time.Time) EjectionDecision {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if isRank && !tr.group(tr.groupKeyOf(t, now)).latestAnsweredSend.After(sentAt) || ablate.Off(ablate.Ejection) || ablate.Off(ablate.Doubts) {
+	if isRank && !tr.group(tr.groupKeyOf(t, now)).latestAnsweredSend.After(sentAt) || ablate.Off(ablate.Ejection) || ablate.Off(ablate.FailureReports) {
 		return EjectionDecision{}
 	}
 	before := tr.failures.failureScore(t.Run(), now)
@@ -260,7 +260,7 @@
 			continue
 		}
 		after := tr.failures.failureScore(r.Run, now)
-		if after >= 1 && after > before && !ablate.Off(ablate.Doubts) {
+		if after >= 1 && after > before && !ablate.Off(ablate.FailureReports) {
 			tr.ejector.EjectMinimum(r.Run, now)
 			ejected = append(ejected, r.Run)
 		}
--- a/placing/groups_test.go
+++ b/placing/groups_test.go
@@ -19,14 +19,14 @@
 		for _, t := range list {
 			loads[t.Address] = RankLoad{Running: running}
 		}
-		state := NewGroupState(loads, 1, 1, QueueCounts{InTime: 20}, now)
+		state := NewGroupState(loads, 1, 1, QueueCounts{OnTime: 20}, now)
 		state.Name = name
 		tr.ApplyLoadReport("p", list, loads, state)
 	}
 	report("g", targets[:2], first)
 	report("h", targets[2:], second)
 	s := &serving.Service{Name: "p", Engine: testModel()}
-	return tr, TargetPool{Service: s, Targets: targets, Entries: 1}
+	return tr, TargetPool{Service: s, Targets: targets, EntryCount: 1}
 }
 
 // admitAndCount admits requests and returns their number by target.
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -39,15 +39,15 @@
 	s := &state.headroom
 	if !s.known {
 		headroom := p.maxStreams*float64(countAccepting(p.Targets)) - float64(state.TotalRequests)
-		arriving := d.admittedPerSecond * float64(p.Entries) * reportInterval.Seconds()
-		wanted := float64(max(state.Queued.InTime, d.queued.InTime)) + arriving
+		arriving := d.admittedPerSecond * float64(p.EntryCount) * reportInterval.Seconds()
+		wanted := float64(max(state.Queued.OnTime, d.queued.OnTime)) + arriving
 		*s = headroomShare{
 			known:       true,
 			onTimeRatio: coveredShare(headroom, wanted),
 			lateRatio:   coveredShare(headroom-wanted, float64(max(state.Queued.Late, d.queued.Late))),
 			enqueued:    d.enqueued,
 		}
-		s.onTimeLeft = tr.roundRandomly(s.onTimeRatio * float64(d.queued.InTime))
+		s.onTimeLeft = tr.roundRandomly(s.onTimeRatio * float64(d.queued.OnTime))
 		s.lateLeft = tr.roundRandomly(s.lateRatio * float64(d.queued.Late))
 		return
 	}
@@ -67,7 +67,7 @@
 // then as far as the remaining headroom goes.
 func (s *headroomShare) canAdmit(late bool) bool {
 	switch {
-	case !s.known || ablate.Off(ablate.Room):
+	case !s.known || ablate.Off(ablate.Headroom):
 		return true
 	case late:
 		return s.onTimeRatio >= 1 && (s.lateRatio >= 1 || s.lateLeft > 0)
@@ -94,7 +94,7 @@
 	capacity, hasHeadroom := 0.0, false
 	for i := range pools {
 		p := &pools[i]
-		capacity += p.maxStreams * float64(countAccepting(p.Targets)) / float64(max(p.Entries, 1))
+		capacity += p.maxStreams * float64(countAccepting(p.Targets)) / float64(max(p.EntryCount, 1))
 		hasHeadroom = hasHeadroom || tr.group(p.key).headroom.canAdmit(true)
 	}
 	return hasHeadroom && tr.lateShareOf(pools[0].Service.Name).canAdmit(capacity)
--- a/placing/permits_test.go
+++ b/placing/permits_test.go
@@ -61,7 +61,7 @@
 
 // An entry becomes the permit owner and the previous owner has not learnt of it. The two must not
 // grant permits at the same time.
-func TestNewIssuerGrantsNoPermitDuringTakeOverDelay(t *testing.T) {
+func TestNewPermitOwnerGrantsNoPermitDuringTakeOverDelay(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
 	reportRate(tr, limitedRun, 10, now)
@@ -132,7 +132,7 @@
 	g := NewWithT(t)
 	tr, q, now := permitTracker(), new(AdmissionQueue), time.Unix(1000, 0)
 	targets := []*serving.Target{{ID: "i1", Service: "s"}, {ID: "i2", Service: "s"}}
-	pool := TargetPool{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, Entries: 1}
+	pool := TargetPool{Service: &serving.Service{Name: "s", Engine: &serving.EngineModel{Slots: 4}}, Targets: targets, EntryCount: 1}
 	reportRate(tr, targets[0].Run(), 1, now)
 	tr.RecordPermitDenied(targets[0].Run(), now.Add(time.Second))
 	w, _, _ := q.Enqueue(&Request{Arrived: now}, now)
@@ -145,11 +145,11 @@
 	g.Expect(<-w.Granted()).To(BeNil())
 	g.Expect(q.HasWaiting()).To(BeFalse())
 	noneExcluded := func(*serving.Target) bool { return false }
-	limited, ownerRetry := tr.PermitBoundTargets(targets, noneExcluded, now)
+	limited, ownerRetry := tr.TargetsNeedingPermits(targets, noneExcluded, now)
 	g.Expect(limited).To(Equal([]*serving.Target{targets[1], targets[0]}), "the target with an available permit comes first")
 	g.Expect(ownerRetry).To(BeZero())
 	tr.RecordOwnerUnreachable(targets[1].Run(), now.Add(time.Second))
-	limited, ownerRetry = tr.PermitBoundTargets(targets, noneExcluded, now)
+	limited, ownerRetry = tr.TargetsNeedingPermits(targets, noneExcluded, now)
 	g.Expect(limited).To(Equal(targets[:1]))
 	g.Expect(ownerRetry).To(Equal(time.Second))
 }
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -16,7 +16,7 @@
 func testTracker() *Tracker { return NewTracker("e", "a", testRandom) }
 
 func testPool(entries int, targets ...*serving.Target) TargetPool {
-	return TargetPool{Service: &serving.Service{Name: "s"}, Targets: targets, Entries: entries}
+	return TargetPool{Service: &serving.Service{Name: "s"}, Targets: targets, EntryCount: entries}
 }
 
 func testModel() *serving.EngineModel {
@@ -93,7 +93,7 @@
 func newFullGroup(target *serving.Target, waiting int, now time.Time) *Tracker {
 	tr := testTracker()
 	loads := map[string]RankLoad{target.Address: {Running: 6}}
-	tr.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{InTime: waiting}, now))
+	tr.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{OnTime: waiting}, now))
 	return tr
 }
 
@@ -106,7 +106,7 @@
 func sendAll(tr *Tracker, target *serving.Target, waiting int, now time.Time) (sent int) {
 	pool := testPool(fullGroupEntries, target)
 	pools := singlePool(pool, 10)
-	tr.updateHeadroom(pools, demand{queued: QueueCounts{InTime: waiting}, enqueued: waiting}, now)
+	tr.updateHeadroom(pools, demand{queued: QueueCounts{OnTime: waiting}, enqueued: waiting}, now)
 	for range waiting {
 		if tr.reserve(pools, new(Request), now) != nil {
 			sent++
@@ -177,7 +177,7 @@
 	tr.StartAttempt(target, Size{})
 	ts := tr.TargetState(target)
 	loads := map[string]RankLoad{"1": {Running: 10}}
-	tr.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{InTime: 60}, now))
+	tr.ApplyLoadReport("s", []*serving.Target{target}, loads, NewGroupState(loads, 1, 1, QueueCounts{OnTime: 60}, now))
 	g.Expect(sendAll(tr, target, 3, now)).To(BeZero())
 	tr.EndAttempt(ts, new(Request), now)
 	g.Expect(sendAll(tr, target, 3, now)).To(Equal(1))
@@ -279,7 +279,7 @@
 		before := q.QueueCounts(now)
 		Admit(q, tr, pool, now)
 		after := q.QueueCounts(now)
-		return before.InTime + before.Late - after.InTime - after.Late
+		return before.OnTime + before.Late - after.OnTime - after.Late
 	}
 	tr.RecordGroupRefusal(target, now)
 	g.Expect(admit()).To(BeZero())
--- a/placing/ratelimit.go
+++ b/placing/ratelimit.go
@@ -233,11 +233,11 @@
 	return limited
 }
 
-// PermitBoundTargets returns the usable targets that need permits, sorted by when a permit may be
+// TargetsNeedingPermits returns the usable targets that need permits, sorted by when a permit may be
 // available; ejected targets come last. Targets whose permit owner did not respond are left out;
 // ownerRetry is the time until the first of these owners is asked again, 0 if there are none.
 // exclude must not call the tracker.
-func (tr *Tracker) PermitBoundTargets(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) (list []*serving.Target, ownerRetry time.Duration) {
+func (tr *Tracker) TargetsNeedingPermits(targets []*serving.Target, exclude func(*serving.Target) bool, now time.Time) (list []*serving.Target, ownerRetry time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var runs []serving.Run
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -17,7 +17,7 @@
 
 // QueueCounts counts requests in admission queues.
 type QueueCounts struct {
-	InTime int // requests that can still have their first event on time
+	OnTime int // requests that can still have their first event on time
 	Late   int // requests that can't
 }
 
@@ -92,7 +92,7 @@
 				own += ts.running
 			}
 		}
-		state.assumedOthers = float64(own*(p.Entries-1)) / float64(len(p.Targets))
+		state.assumedOthers = float64(own*(p.EntryCount-1)) / float64(len(p.Targets))
 	}
 }
 
--- a/result/codes.go
+++ b/result/codes.go
@@ -85,7 +85,7 @@
 	TargetLost   Code = 301
 	EngineLost   Code = 302
 	DeadlinePast Code = 303
-	KeyInDoubt   Code = 304
+	KeyUncertain Code = 304
 	CallerGone   Code = 305
 	AnswerBroken Code = 306
 	Internal     Code = 399
@@ -163,7 +163,7 @@
 	{TargetLost, "target_lost", http.StatusBadGateway, RunMaybe, 0, "The target was lost after the request was sent.", "Look at the target's VM."},
 	{EngineLost, "engine_lost", http.StatusBadGateway, RunMaybe, 0, "The engine or service behind the agent failed while it ran the request.", "Look at the engine's log."},
 	{DeadlinePast, "deadline_past", http.StatusGatewayTimeout, RunMaybe, 0, "The deadline passed while the request ran.", "Compare step times with the callers' deadlines."},
-	{KeyInDoubt, "key_in_doubt", http.StatusConflict, RunMaybe, 0, "An earlier try with this idempotency key may have run.", "The caller must look before it asks again."},
+	{KeyUncertain, "key_in_doubt", http.StatusConflict, RunMaybe, 0, "An earlier try with this idempotency key may have run.", "The caller must look before it asks again."},
 	{CallerGone, "caller_gone", 499, RunMaybe, 0, "The caller closed its connection.", "Nothing, unless it is frequent."},
 	{AnswerBroken, "answer_broken", http.StatusBadGateway, RunMaybe, 0, "The answer could not be completed.", "Look at the target's log."},
 	{Internal, "internal", http.StatusInternalServerError, RunMaybe, 0, "A fault inside heatherrail.", "Report it with the request id."},
--- a/route/place.go
+++ b/route/place.go
@@ -86,7 +86,7 @@
 type Decision struct {
 	Chosen        int // index into Candidates, -1 if no target can be used
 	Candidates    [MaxCandidates]Candidate
-	N             int // number of candidates scored
+	NumCandidates int // number of candidates scored
 	Filtered      int // number of targets that a filter removed
 	cachedIndexes [maxCached]int
 }
@@ -149,7 +149,7 @@
 
 // Pick stores the placement decision for a request in d.
 func (p *Placer) Pick(r *Request, pool TargetPool, d *Decision) {
-	d.Chosen, d.N, d.Filtered = -1, 0, 0
+	d.Chosen, d.NumCandidates, d.Filtered = -1, 0, 0
 	rnd := random(r.Seed)
 	n, near := pool.Len(), pool.NearCount()
 	if len(r.Blocks) > 0 {
@@ -179,7 +179,7 @@
 	stride := rnd.coprime(n)
 	found := 0
 	for range n {
-		if d.N == MaxCandidates || found == want {
+		if d.NumCandidates == MaxCandidates || found == want {
 			break
 		}
 		if p.scoreTarget(r, pool, from+offset, d) {
@@ -196,15 +196,15 @@
 // scoreTarget adds a target to the candidates, unless it is a candidate already or a filter
 // removes it. It reports whether the target was added.
 func (p *Placer) scoreTarget(r *Request, pool TargetPool, i int, d *Decision) bool {
-	if d.N == MaxCandidates {
+	if d.NumCandidates == MaxCandidates {
 		return false
 	}
-	for k := range d.N {
+	for k := range d.NumCandidates {
 		if d.Candidates[k].Index == i {
 			return false
 		}
 	}
-	c := &d.Candidates[d.N]
+	c := &d.Candidates[d.NumCandidates]
 	c.Index = i
 	pool.Read(i, r, &c.Target)
 	for _, f := range p.Filters {
@@ -215,8 +215,8 @@
 	}
 	c.Score = p.Scorer.Score(r, &c.Target)
 	if d.Chosen < 0 || c.Score < d.Candidates[d.Chosen].Score {
-		d.Chosen = d.N
+		d.Chosen = d.NumCandidates
 	}
-	d.N++
+	d.NumCandidates++
 	return true
 }
--- a/route/admissionqueue.go
+++ b/route/targetqueue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// AdmissionQueue decides for one target which requests run, wait or are refused. It runs
+// TargetQueue decides for one target which requests run, wait or are refused. It runs
 // in the agent of the target, through which all requests of the target pass. So its counts
 // are exact, and shares between teams hold over all entries although no entry knows the
 // demand at the others. It keeps the engine's own queue empty, because requests in the
 // engine can't be reordered.
-type AdmissionQueue struct {
+type TargetQueue struct {
 	slots              int
 	queue              *FairQueue
 	maxQueued          int
@@ -22,7 +22,7 @@
 	workByEntry        map[string]*Work // by entry, queued requests included
 }
 
-// Job is one request in an AdmissionQueue.
+// Job is one request in a TargetQueue.
 type Job struct {
 	FairItem
 	Cost     Cost
@@ -38,13 +38,13 @@
 	promptTokensAhead float64       // prompt tokens in the engine at the start, its own included
 	prefilled         bool          // prompt computed
 	generatedTokens   float64
-	remainingDecode   float64 // its part of AdmissionQueue.decodeTokens
+	remainingDecode   float64 // its part of TargetQueue.decodeTokens
 }
 
-// Admission is the result of AdmissionQueue.Offer.
+// Admission is the result of TargetQueue.Offer.
 type Admission uint8
 
-// Results of AdmissionQueue.Offer.
+// Results of TargetQueue.Offer.
 const (
 	Admitted         Admission = iota // queued; Next returns the job when it may start
 	RejectedWait                      // the expected wait is longer than MaxWait; another target may be better
@@ -58,27 +58,27 @@
 	MaxWait  time.Duration // for the first token
 }
 
-// NewAdmissionQueue returns a queue with room for maxQueued requests, for an engine that
+// NewTargetQueue returns a queue with room for maxQueued requests, for an engine that
 // decodes slots requests at once.
-func NewAdmissionQueue(slots, maxQueued int) *AdmissionQueue {
-	return &AdmissionQueue{slots: slots, maxQueued: maxQueued, queue: NewFairQueue(), workByEntry: make(map[string]*Work)}
+func NewTargetQueue(slots, maxQueued int) *TargetQueue {
+	return &TargetQueue{slots: slots, maxQueued: maxQueued, queue: NewFairQueue(), workByEntry: make(map[string]*Work)}
 }
 
 // Running returns the number of requests in the engine.
-func (q *AdmissionQueue) Running() int { return q.running }
+func (q *TargetQueue) Running() int { return q.running }
 
 // Queued returns the number of queued requests.
-func (q *AdmissionQueue) Queued() int { return q.queue.Len() }
+func (q *TargetQueue) Queued() int { return q.queue.Len() }
 
 // ExpectedWait estimates the time until the first token of a job that is offered now.
-func (q *AdmissionQueue) ExpectedWait(j *Job) time.Duration {
+func (q *TargetQueue) ExpectedWait(j *Job) time.Duration {
 	base, perSec := q.speed.Prefill()
 	prefill := (q.enginePromptTokens + j.Cost.Prompt) / orDefault(perSec, defaultPrefillPerSec)
 	return seconds(base + prefill + q.slotWaitSeconds(j))
 }
 
 // slotWaitSeconds estimates how long a job would be queued for a slot.
-func (q *AdmissionQueue) slotWaitSeconds(j *Job) float64 {
+func (q *TargetQueue) slotWaitSeconds(j *Job) float64 {
 	if q.running < q.slots && q.queue.WouldBeNext(j.Team, j.Weight) {
 		return 0
 	}
@@ -89,7 +89,7 @@
 
 // completionsNeeded returns how many running requests must end before the job may start.
 // Jobs that are queued before it are not counted.
-func (q *AdmissionQueue) completionsNeeded(j *Job) float64 {
+func (q *TargetQueue) completionsNeeded(j *Job) float64 {
 	if q.queue.TeamCount() < 2 || q.queue.IsUnderserved(j.Team, j.Weight) {
 		return 1
 	}
@@ -101,7 +101,7 @@
 
 // Offer queues a job or rejects it, and returns the expected wait for its first token. The
 // decision is immediate and final.
-func (q *AdmissionQueue) Offer(now time.Duration, j *Job, bounds AdmissionBounds) (Admission, time.Duration) {
+func (q *TargetQueue) Offer(now time.Duration, j *Job, bounds AdmissionBounds) (Admission, time.Duration) {
 	wait := q.ExpectedWait(j)
 	if q.isIdle() {
 		bounds.MaxWait = 0 // no other target is better, and the speed estimate may be wrong
@@ -124,7 +124,7 @@
 }
 
 // addWork adds a job to the counts of outstanding work.
-func (q *AdmissionQueue) addWork(j *Job) {
+func (q *TargetQueue) addWork(j *Job) {
 	w := q.workByEntry[j.Peer]
 	if w == nil {
 		w = new(Work)
@@ -139,7 +139,7 @@
 }
 
 // removeWork removes what remains of a job from the counts of outstanding work.
-func (q *AdmissionQueue) removeWork(j *Job) {
+func (q *TargetQueue) removeWork(j *Job) {
 	q.removePromptWork(j)
 	j.work.Requests--
 	q.removeDecodeWork(j, j.remainingDecode)
@@ -151,7 +151,7 @@
 	}
 }
 
-func (q *AdmissionQueue) removePromptWork(j *Job) {
+func (q *TargetQueue) removePromptWork(j *Job) {
 	if j.prefilled {
 		return
 	}
@@ -160,7 +160,7 @@
 	j.work.Prompt -= j.Cost.Prompt
 }
 
-func (q *AdmissionQueue) removeDecodeWork(j *Job, n float64) {
+func (q *TargetQueue) removeDecodeWork(j *Job, n float64) {
 	n = min(n, j.remainingDecode)
 	j.remainingDecode -= n
 	q.decodeTokens -= n
@@ -171,10 +171,10 @@
 // If its speed estimate is wrong, as after a stall, refusing requests because of the
 // estimate would leave the target without the work that corrects the estimate, and the
 // target would refuse for ever.
-func (q *AdmissionQueue) isIdle() bool { return q.running == 0 && q.queue.Len() == 0 }
+func (q *TargetQueue) isIdle() bool { return q.running == 0 && q.queue.Len() == 0 }
 
 // runTime estimates how long the decode of a job takes in a full engine; 0: unknown.
-func (q *AdmissionQueue) runTime(j *Job) time.Duration {
+func (q *TargetQueue) runTime(j *Job) time.Duration {
 	perSlot := q.speed.TokensPerSec(1)
 	if perSlot == 0 {
 		return 0
@@ -185,7 +185,7 @@
 // Next removes and returns the next job, nil if none may start now. The caller must not
 // start a job that is Expired: its deadline can no longer be met, and running it would
 // make other jobs miss theirs.
-func (q *AdmissionQueue) Next(now time.Duration) *Job {
+func (q *TargetQueue) Next(now time.Duration) *Job {
 	if !q.canStart() {
 		return nil
 	}
@@ -222,7 +222,7 @@
 )
 
 // canStart reports whether the engine has room for the next queued job.
-func (q *AdmissionQueue) canStart() bool {
+func (q *TargetQueue) canStart() bool {
 	free := q.slots - q.running
 	if free <= 0 {
 		return false
@@ -238,7 +238,7 @@
 const startsPerEviction = 1024
 
 // Remove removes a queued job. It returns false if the job is not queued.
-func (q *AdmissionQueue) Remove(j *Job) bool {
+func (q *TargetQueue) Remove(j *Job) bool {
 	if !q.queue.Remove(&j.FairItem) {
 		return false
 	}
@@ -249,7 +249,7 @@
 // RecordTokens records the n tokens that a running job has generated since the last call.
 // streamed reports whether the answer is streamed: only then does the arrival of the first
 // token measure the prefill speed.
-func (q *AdmissionQueue) RecordTokens(now time.Duration, j *Job, n float64, streamed bool) {
+func (q *TargetQueue) RecordTokens(now time.Duration, j *Job, n float64, streamed bool) {
 	if !j.prefilled {
 		if streamed {
 			q.speed.RecordFirstToken(j.promptTokensAhead, now-j.startedAt)
@@ -264,7 +264,7 @@
 // markPrefilled records that the prompt of a job has been computed, and with it the prompts
 // of all jobs that started earlier: engines compute prompts in start order, and a job
 // whose answer is not streamed shows no progress until its end.
-func (q *AdmissionQueue) markPrefilled(j *Job) {
+func (q *TargetQueue) markPrefilled(j *Job) {
 	for i, other := range q.prefilling {
 		if other != j {
 			continue
@@ -279,7 +279,7 @@
 }
 
 // Finish removes a running job. completed reports whether its answer was complete.
-func (q *AdmissionQueue) Finish(now time.Duration, j *Job, completed bool) {
+func (q *TargetQueue) Finish(now time.Duration, j *Job, completed bool) {
 	q.recordRunning(now)
 	q.removePrefilling(j)
 	q.running--
@@ -294,7 +294,7 @@
 }
 
 // removePrefilling removes the prompt of a job that ends before its first token.
-func (q *AdmissionQueue) removePrefilling(j *Job) {
+func (q *TargetQueue) removePrefilling(j *Job) {
 	for i, other := range q.prefilling {
 		if other == j {
 			q.enginePromptTokens -= j.Cost.Prompt
@@ -306,7 +306,7 @@
 
 // recordRunning passes the number of running jobs and the tokens generated since the last
 // call to the speed estimator.
-func (q *AdmissionQueue) recordRunning(now time.Duration) {
+func (q *TargetQueue) recordRunning(now time.Duration) {
 	q.speed.RecordRunning(now, q.running, q.unrecordedTokens)
 	q.unrecordedTokens = 0
 }
@@ -323,7 +323,7 @@
 }
 
 // LoadReport returns the present load for a report to one entry.
-func (q *AdmissionQueue) LoadReport(entry string) LoadReport {
+func (q *TargetQueue) LoadReport(entry string) LoadReport {
 	base, perSec := q.speed.Prefill()
 	report := LoadReport{
 		Total:             Work{Requests: float64(q.running + q.queue.Len()), Prompt: q.promptTokens, Decode: q.decodeTokens},
--- a/route/admissionqueue_test.go
+++ b/route/targetqueue_test.go
@@ -61,7 +61,7 @@
 // starts before all queued ones, because the small team has received less than its share.
 func TestRequestOfUnderservedTeamStartsNext(t *testing.T) {
 	g := NewWithT(t)
-	queue := route.NewAdmissionQueue(4, 1000)
+	queue := route.NewTargetQueue(4, 1000)
 	var running []*route.Job
 	for range 200 {
 		admission, _ := queue.Offer(0, newJob("large"), route.AdmissionBounds{})
@@ -89,7 +89,7 @@
 func TestWorkCountsReturnToZeroWhenAllJobsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		queue := route.NewAdmissionQueue(3, 20)
+		queue := route.NewTargetQueue(3, 20)
 		var waiting, running []*route.Job
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -151,7 +151,7 @@
 // rejected at once instead of being queued; a request with enough time is admitted.
 func TestUnmeetableDeadlineIsRejectedBeforeQueueing(t *testing.T) {
 	g := NewWithT(t)
-	queue := route.NewAdmissionQueue(2, 1000)
+	queue := route.NewTargetQueue(2, 1000)
 	for range 100 {
 		j := &route.Job{Cost: route.Cost{Decode: 1000}, Peer: "entry"}
 		j.Team, j.Weight = "a", 1
@@ -172,7 +172,7 @@
 // would stay unused.
 func TestRecoveredEngineIsUsedAgain(t *testing.T) {
 	g := NewWithT(t)
-	queue := route.NewAdmissionQueue(4, 100)
+	queue := route.NewTargetQueue(4, 100)
 	now := time.Duration(0)
 	serve := func(duration time.Duration) int {
 		var running []*route.Job
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,17 +18,17 @@
 
 // Entry holds the [entry] section of the settings of heatherrail-entry.
 type Entry struct {
-	Name       string        `ini:"name" required:"true" doc:"name of this entry, unique"`
-	DataCentre string        `ini:"data-centre" required:"true" doc:"data centre of this VM"`
-	Region     string        `ini:"region" doc:"region of the data centre; empty: there is only one"`
-	MaxCallers int           `ini:"max-callers" default:"8192" min:"16" max:"262144" doc:"callers' connections at once"`
-	Callers    string        `ini:"callers" required:"true" format:"address" doc:"address that callers connect to"`
-	Listen     string        `ini:"listen" required:"true" format:"address" doc:"address for other heatherrail processes"`
-	MaxBody    ini.Bytes     `ini:"max-body" default:"4MB" min:"1KB" max:"7MB" doc:"largest request body"`
-	Arrival    time.Duration `ini:"request-timeout" default:"30s" min:"1s" max:"10m" doc:"how long a request may take to arrive whole, headers and body"`
-	AnswerLife time.Duration `ini:"answer-life" default:"30s" min:"1s" max:"1h" doc:"how long callers keep the list of entries"`
-	Grace      time.Duration `ini:"shutdown-deadline" default:"10m" min:"1s" max:"24h" doc:"when a graceful shutdown gives up waiting"`
-	Verbosity  int           `ini:"verbosity" default:"0" min:"0" max:"4" doc:"detail of the log"`
+	Name           string        `ini:"name" required:"true" doc:"name of this entry, unique"`
+	DataCentre     string        `ini:"data-centre" required:"true" doc:"data centre of this VM"`
+	Region         string        `ini:"region" doc:"region of the data centre; empty: there is only one"`
+	MaxCallers     int           `ini:"max-callers" default:"8192" min:"16" max:"262144" doc:"callers' connections at once"`
+	Callers        string        `ini:"callers" required:"true" format:"address" doc:"address that callers connect to"`
+	Listen         string        `ini:"listen" required:"true" format:"address" doc:"address for other heatherrail processes"`
+	MaxBody        ini.Bytes     `ini:"max-body" default:"4MB" min:"1KB" max:"7MB" doc:"largest request body"`
+	RequestTimeout time.Duration `ini:"request-timeout" default:"30s" min:"1s" max:"10m" doc:"how long a request may take to arrive whole, headers and body"`
+	DirectoryTTL   time.Duration `ini:"answer-life" default:"30s" min:"1s" max:"1h" doc:"how long callers keep the list of entries"`
+	Grace          time.Duration `ini:"shutdown-deadline" default:"10m" min:"1s" max:"24h" doc:"when a graceful shutdown gives up waiting"`
+	Verbosity      int           `ini:"verbosity" default:"0" min:"0" max:"4" doc:"detail of the log"`
 }
 
 // Agent holds the [agent] section of the settings of heatherrail-agent.
@@ -57,8 +57,8 @@
 type Platform struct {
 	Log string `ini:"log" required:"true" format:"address" doc:"address of the log service"`
 	VMs string `ini:"vms" required:"true" format:"address" doc:"address of the VM list"`
-	// Snapshots is the largest age of the newest configuration snapshot in the log.
-	Snapshots time.Duration `ini:"snapshot-every" default:"30m" min:"1m" max:"24h" doc:"how often the configuration is published again; at most a quarter of the log's retention"`
+	// SnapshotInterval is the largest age of the newest configuration snapshot in the log.
+	SnapshotInterval time.Duration `ini:"snapshot-every" default:"30m" min:"1m" max:"24h" doc:"how often the configuration is published again; at most a quarter of the log's retention"`
 }
 
 // TLS holds the [tls] section: certificate and key files for connections between
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -50,7 +50,7 @@
 		s.logEvent("reset %s's connections to the store", e.name)
 		e.proxy.reset()
 	case 11:
-		s.injectTargetFault(target, duration, standin.TargetFaults{DropAnswer: 0.2, Truncate: 0.2, NotExecuted: 0.2, Fail: 0.1})
+		s.injectTargetFault(target, duration, standin.TargetFaults{DropResponse: 0.2, Truncate: 0.2, NotExecuted: 0.2, Fail: 0.1})
 	case 12:
 		s.logEvent("target %d is replaced", target)
 		if err := s.fleet.replaceTarget(target); err != nil {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,13 +20,13 @@
 
 // Options configures a soak run.
 type Options struct {
-	Program string // path of heatherrail-gateway
-	Seed    uint64
-	For     time.Duration // length of the run
-	Entries int           // gateway processes
-	Targets int           // per service; there are two services
-	Callers int           // concurrent callers
-	Out     io.Writer     // receives the summary and, after a violation, the timeline
+	Program  string // path of heatherrail-gateway
+	Seed     uint64
+	Duration time.Duration // length of the run
+	Entries  int           // gateway processes
+	Targets  int           // per service; there are two services
+	Callers  int           // concurrent callers
+	Out      io.Writer     // receives the summary and, after a violation, the timeline
 	// Corrupt, if set, alters each record before it is stored. Tests use it to
 	// verify that the checker detects violations.
 	Corrupt func(r Record) Record
@@ -81,7 +81,7 @@
 const faultFreePeriod = 3 * time.Second
 
 func (s *soak) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, s.opts.For)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.Duration)
 	defer cancel()
 	var tasks conc.WaitGroup
 	for i := range s.opts.Callers {
@@ -89,7 +89,7 @@
 		tasks.Go(func() { s.runCaller(ctx, i, seed) })
 	}
 	tasks.Go(func() { s.fleet.renewTargets(ctx) })
-	end := s.startedAt.Add(s.opts.For - faultFreePeriod)
+	end := s.startedAt.Add(s.opts.Duration - faultFreePeriod)
 	faultCtx, cancelFaults := context.WithDeadline(ctx, end)
 	defer cancelFaults()
 	var rates conc.WaitGroup
@@ -113,7 +113,7 @@
 }
 
 func (s *soak) report(out io.Writer) (Report, error) {
-	r := s.checker.check(s.startedAt.Add(s.opts.For - faultFreePeriod + recoveryTime))
+	r := s.checker.check(s.startedAt.Add(s.opts.Duration - faultFreePeriod + recoveryTime))
 	r.Seed, r.Faults = s.opts.Seed, s.faults
 	r.Violations = append(r.Violations, s.fleet.rateLimitViolations()...)
 	fmt.Fprintf(out, "seed %d: %d requests, %d whole, %d refused, %d faults, %d broken promises\n",
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,7 +22,7 @@
 }
 
 func options(program string, seed uint64, out *strings.Builder) soak.Options {
-	return soak.Options{Program: program, Seed: seed, For: 12 * time.Second, Entries: 3, Targets: 3, Callers: 12, Out: out}
+	return soak.Options{Program: program, Seed: seed, Duration: 12 * time.Second, Entries: 3, Targets: 3, Callers: 12, Out: out}
 }
 
 // Entries are killed, the store fails and targets drop responses. No non-idempotent request
@@ -42,7 +42,7 @@
 	g := NewWithT(t)
 	var out strings.Builder
 	o := options(buildGateway(t), 2, &out)
-	o.For = 5 * time.Second
+	o.Duration = 5 * time.Second
 	n := 0
 	o.Corrupt = func(r soak.Record) soak.Record {
 		if n++; n%50 == 0 {
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -55,8 +55,8 @@
 // Watcher observes a stream, for load tracking. Its methods run in the read loop or in the
 // goroutine that closes the connection, and must not block.
 type Watcher interface {
-	Arrived(chunk []byte) // called for each chunk; chunk is valid during the call
-	Ended()               // called once when the stream ends or fails, but not after Stream.Close
+	ChunkReceived(chunk []byte) // called for each chunk; chunk is valid during the call
+	StreamEnded()               // called once when the stream ends or fails, but not after Stream.Close
 }
 
 func newStream(c *Conn, id uint64) *Stream {
@@ -94,7 +94,7 @@
 	cancel := s.cancel
 	s.mu.Unlock()
 	if first && s.watcher != nil {
-		s.watcher.Ended()
+		s.watcher.StreamEnded()
 	}
 	if cancel != nil && err != io.EOF {
 		cancel(err)
@@ -229,7 +229,7 @@
 	s.recvSeq++
 	_, _ = s.recvDigest.Write(data) // writing to a digest never fails
 	if s.watcher != nil {
-		s.watcher.Arrived(data)
+		s.watcher.ChunkReceived(data)
 	}
 	return s.queueData(data)
 }
