--- a/agent/control_test.go
+++ b/agent/control_test.go
@@ -33,7 +33,7 @@
 
 // A request under version 7 passes for the grace after version 8 arrives and is refused
 // after it. Version 9 must not renew the grace.
-func TestOvertakenVersionIsRefusedAfterGrace(t *testing.T) {
+func TestSupersededVersionIsRefusedAfterGrace(t *testing.T) {
 	g := NewWithT(t)
 	a := newTestAgent(nil, 1)
 	start := time.Unix(1000, 0)
@@ -54,7 +54,7 @@
 
 // Holder 4 is paused while holder 5 takes over, then sends an order, also after an agent
 // restart. The engine ignores fencing numbers, so the agent must refuse the order.
-func TestOrdersAreFencedForEnginesThatIgnoreIt(t *testing.T) {
+func TestAgentRefusesStaleOrdersForEnginesWithoutFencing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		engine := new(fake.OrderedEngine)
--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -146,7 +146,7 @@
 
 // Readers start at the first record, fall behind the trimming of the log, or start from
 // a snapshot or a peer's state. All must reach the same state.
-func TestFoldReachesOneState(t *testing.T) {
+func TestReadersReachSameStateFromAnyStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
 		fromStart := NewFold(new(counter))
@@ -222,7 +222,7 @@
 
 // The append of a change is delayed, and a resumed apply voids its id and reports that it did not
 // happen. The delayed record arrives while its base is in force and must change nothing.
-func TestSettledChangeNeverTakesEffect(t *testing.T) {
+func TestVoidedChangeNeverTakesEffect(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
 	late := mustRecords(changeTo("a", 0, nil, teams(1, 0)))[0]
--- a/control/apply_test.go
+++ b/control/apply_test.go
@@ -49,7 +49,7 @@
 
 // Four operators apply conflicting configurations while the log loses answers and is down
 // at times. Their outcomes must fit one order of changes, each on the version before it.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentAppliesHaveOneOrder(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -130,7 +130,7 @@
 
 // The operator's tool dies between the parts of a large change. No node may apply any
 // part, the next change succeeds, and a later Resume of the first change is refused.
-func TestApplyCutOffHalfWay(t *testing.T) {
+func TestIncompleteChangeIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2})
@@ -159,7 +159,7 @@
 
 // An append takes effect but its answer is lost. The operator must find the change by
 // reading back and see it accepted exactly once.
-func TestLostAppendAnswer(t *testing.T) {
+func TestChangeIsAcceptedOnceAfterLostAppendResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2})
--- a/control/fence_test.go
+++ b/control/fence_test.go
@@ -10,7 +10,7 @@
 
 // A holder is paused, a newer one gives an order, and the agent restarts. The agent must
 // refuse the paused holder's order before and after two entries have sent their floors.
-func TestFenceAfterRestart(t *testing.T) {
+func TestRestartedAgentRefusesStaleFencingNumber(t *testing.T) {
 	g := NewWithT(t)
 	res := GroupResource("a")
 	f := NewFence()
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -105,7 +105,7 @@
 
 // A holder is paused while its lease lapses, another node claims it, and the agent
 // restarts. The agent must refuse the paused holder's order by its fencing number.
-func TestPausedHolderDoesNoHarm(t *testing.T) {
+func TestOrderOfPausedHolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		res := GroupResource("g")
@@ -148,7 +148,7 @@
 
 // Renewals fail while the log is down. The holder must stop acting when its TTL has
 // passed, and one node must hold the lease again after the outage.
-func TestLeaseRunsOutWithTheLog(t *testing.T) {
+func TestLeaseExpiresDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		res := GroupResource("g")
@@ -170,7 +170,7 @@
 
 // A holder that drops its lease hands over without waiting for the TTL, and one record
 // renews 30 resources of a holder.
-func TestLeaseReleaseAndBatches(t *testing.T) {
+func TestReleasedLeaseIsTakenAtOnceAndRenewalsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2})
--- a/control/members_test.go
+++ b/control/members_test.go
@@ -9,7 +9,7 @@
 )
 
 // A process is down only if two observers miss it and none hears it.
-func TestMembersNeedTwoWitnesses(t *testing.T) {
+func TestProcessIsDownOnlyWhenTwoObserversMissIt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) Observation { return Observation{Name: "x", Incarnation: 1, Age: d} }
 	cases := []struct {
@@ -37,7 +37,7 @@
 
 // A replaced VM comes back under the same name. Late reports about the old process must
 // neither make the new one down nor bring back its version.
-func TestMembersIncarnations(t *testing.T) {
+func TestReportsOnEarlierIncarnationAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	m := NewMembers("me", DefaultFailureTimeout)
@@ -52,7 +52,7 @@
 
 // Loss in one direction between two entries must not make an entry unusable or flap. An
 // entry that is really lost, or draining, is unusable until it returns.
-func TestAsymmetricLossEvictsNobody(t *testing.T) {
+func TestAsymmetricLossMakesNoEntryUnusable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 5})
@@ -94,7 +94,7 @@
 
 // The number of log readers and of peers of each entry stays within bounds in a system of
 // 399 entries.
-func TestTopologyIsFlat(t *testing.T) {
+func TestTopologyBoundsLogReadersAndPeers(t *testing.T) {
 	g := NewWithT(t)
 	var all []Peer
 	for r := range 7 {
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -17,7 +17,7 @@
 
 // An attacker on a target's VM asks an entry for the whole state. It must not get the key
 // hashes of the teams, and its heartbeats must not count.
-func TestAgentsGetNoState(t *testing.T) {
+func TestAgentsCannotReadState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2})
@@ -63,7 +63,7 @@
 
 // The log goes down before all nodes have read a change, and an apply in the outage stays unknown.
 // No node goes back to an older version; a change after the outage reaches all nodes in time.
-func TestLogDownForAnHour(t *testing.T) {
+func TestNodesKeepVersionDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 3, "b": 2})
@@ -104,7 +104,7 @@
 
 // The log is down and one entry, then a whole data centre, is replaced. New entries must
 // get the state from a peer; until then they have no configuration.
-func TestNewcomerDuringAnOutage(t *testing.T) {
+func TestNewEntryGetsStateFromPeerDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 3, "b": 3})
@@ -129,7 +129,7 @@
 
 // The log is trimmed past a node that is cut off. The node must keep its version until a
 // peer's state or a snapshot on the log lets it catch up.
-func TestTrimmedPastASlowReader(t *testing.T) {
+func TestReaderBehindTrimmedLogCatchesUp(t *testing.T) {
 	for _, source := range []string{"peer", "snapshot"} {
 		t.Run(source, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -163,7 +163,7 @@
 
 // All processes are lost after the first records were trimmed. Snapshots on the log alone
 // must bring the configuration back to new processes.
-func TestAllProcessesLostAfterTrimming(t *testing.T) {
+func TestSnapshotsRestoreConfigurationAfterTotalLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2, "b": 2})
@@ -191,7 +191,7 @@
 
 // An entry is cut off from all others, and the log goes down after a change that it has
 // not read. When only its peers are reachable again, it must get the change from them.
-func TestIsolatedEntryAndOutage(t *testing.T) {
+func TestIsolatedEntryCatchesUpFromPeersDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 3, "b": 2})
@@ -212,7 +212,7 @@
 
 // The relays of a data centre are cut off from the log but not from their followers.
 // Followers must notice that the records are stale and use another source.
-func TestFollowersLeaveAStaleSource(t *testing.T) {
+func TestFollowersReplaceStaleSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, map[string]int{"a": 6})
 		defer c.close()
