--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -303,7 +303,7 @@
 
 // Two requests arrive in one write. The watch on the connection reads the first byte of the second
 // request, and that byte must not be lost.
-func TestPipelinedRequests(t *testing.T) {
+func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
 	nc, err := net.Dial("tcp", addr)
--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -296,7 +296,7 @@
 
 // All agents and entries are drained and replaced in turn under load. Requests in flight
 // must complete; callers do not use leaving entries.
-func TestRollingReplacementCutsNothingOff(t *testing.T) {
+func TestRollingReplacementInterruptsNoRequest(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		until := time.Now().Add(20 * time.Second)
 		for n := range 4 {
@@ -343,7 +343,7 @@
 
 // The VM list marks a target as leaving, and its agent is not notified. New requests must
 // stop within two seconds; a repeat of a completed key must still get its answer.
-func TestALeavingTargetGetsNothingNew(t *testing.T) {
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		leaving := homeTarget(w, "k", false)
 		g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
--- a/outcomes/run_test.go
+++ b/outcomes/run_test.go
@@ -16,7 +16,7 @@
 
 // Each seed selects one or two faults and their times; callers retry requests with an unknown
 // outcome. Results must be correct, and more than a third of the requests must succeed.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(seeds) {
 		plan := outcomes.PlanForSeed(seed)
 		t.Run(fmt.Sprintf("%d %v", seed, plan.Faults), func(t *testing.T) {
--- a/outside/backend_test.go
+++ b/outside/backend_test.go
@@ -94,7 +94,7 @@
 
 // The service closes an idle connection, for example in a restart. A request sent on it
 // would count as possibly run, so the backend must open a new connection.
-func TestKeptConnectionThatWasClosedIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{}, 1)
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
@@ -118,7 +118,7 @@
 
 // A broken connection or a dead engine truncates a response. The truncated response must
 // end with an error and not with io.EOF.
-func TestAnswerIsWholeOnlyIfItsEndCanBeTold(t *testing.T) {
+func TestResponseIsCompleteOnlyWithDelimitedEnd(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	done := "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 	cases := []struct {
@@ -162,7 +162,7 @@
 
 // A line end in the path would end the request line and start a second request at the
 // service, which no entry has authenticated.
-func TestPathCannotCarryASecondRequest(t *testing.T) {
+func TestPathCannotSmuggleASecondRequest(t *testing.T) {
 	g := NewWithT(t)
 	addr, requests := rawHTTPServer(t, func(int64) string { return okAnswer })
 	b := outside.NewHTTPBackend(addr)
