--- a/entry/ranks_test.go
+++ b/entry/ranks_test.go
@@ -7,9 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The owner of a group dies and its ranks stall. Agents report this twice a second and the entry
-// checks four times a second, so every other check sees no new report. The stall must still count
-// from the first report.
+// The owner of a group dies and its ranks stall. Agents report twice a second, the entry checks four
+// times, so every other check sees no new report. The stall must still count from the first report.
 func TestStallCountsFromFirstReport(t *testing.T) {
 	g := NewWithT(t)
 	var s stalledRanks
--- a/expert/history_test.go
+++ b/expert/history_test.go
@@ -168,10 +168,9 @@
 	return nil
 }
 
-// 64 ranks and three coordinators with competing ballots, under lost replies, withdrawals and
-// restarts of agents and engines. No step may mix maps, and one ballot without faults must make the
-// group advance again.
-func TestRandomHistoriesOfLargeGroups(t *testing.T) {
+// 64 ranks, three coordinators with competing ballots, lost replies, withdrawals, agent and engine
+// restarts. No step may mix maps, and one ballot without faults must make the group advance again.
+func TestRandomHistoriesOfLargeGroupsNeverMixMaps(t *testing.T) {
 	for seed := range uint64(12) {
 		g := NewWithT(t)
 		w := &largeWorld{rng: rand.New(rand.NewPCG(seed, 7)), mapOfStep: map[uint64]MapID{}, liveInStep: map[uint64]int{}}
--- a/expert/switch_test.go
+++ b/expert/switch_test.go
@@ -22,9 +22,8 @@
 
 var deepSearch = flag.Bool("deep", false, "run searches that take too long for an ordinary test run")
 
-// All ranks of a group must use one map in every step, and the group must always be able to advance.
-// The search tries all interleavings of lost, repeated, late and reordered messages, competing
-// coordinators and restarts of agents and engines.
+// All ranks must use one map in each step, and the group must always be able to advance, under lost,
+// repeated, late and reordered messages, competing coordinators, and restarts of agents and engines.
 func TestSwitchModel(t *testing.T) {
 	cases := map[string]bounds{"duel": duel, "agent dies": agentDies, "engine dies": engineDies}
 	if *deepSearch {
@@ -52,7 +51,7 @@
 
 // The search must detect a missing safeguard. Each case switches one off and must end with two maps in
 // a step or with a group that cannot advance.
-func TestSwitchModelConvicts(t *testing.T) {
+func TestSwitchModelDetectsBrokenVariants(t *testing.T) {
 	agentDiesOnly := agentDies
 	agentDiesOnly.noWithdrawals = true
 	small := bounds{steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}}
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -68,9 +68,8 @@
 	return serving.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// Another writer puts invalid records into the targets topic, one of them under the key of a
-// target. Only that target must disappear, until its own next record, and each invalid record
-// must be counted.
+// Another writer puts invalid records into the targets topic, one under the key of a target. Each must
+// be counted, and only that target may disappear, until its own next record.
 func TestInvalidTargetRecordsAffectOnlyTheirKey(t *testing.T) {
 	g := NewWithT(t)
 	s := testReplicaState()
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -50,9 +50,8 @@
 	g.Expect(f.tryBeginSearch()).To(BeTrue(), "the engine may be reachable again")
 }
 
-// After a restart of everything some engines are not up yet. An engine that was polled without
-// success must not block the search for other groups, as a group that is not found gets no
-// requests.
+// After a full restart some engines are not up yet. An engine that was polled without success must
+// not block the search for other groups, as a group that is not found gets no requests.
 func TestUnreachableEngineDoesNotBlockGroupSearch(t *testing.T) {
 	g := NewWithT(t)
 	f, targets := testLoadFollower()
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -16,9 +16,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// A plain request must reach a target unchanged, but with the team name instead of the key and
-// with the id of the target run. The complete response must come back with the target's own
-// headers.
+// A plain request must reach a target unchanged, but with the team name instead of the key and the id
+// of the target run. The complete response must come back with the target's own headers.
 func TestPlainRequestAndResponsePassUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	target := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool {
@@ -45,7 +44,7 @@
 
 // Without a configuration no request is known to be invalid: the response must say that the request
 // did not run and when to retry. With one, unknown keys and paths must be refused permanently.
-func TestRefusalsWithAndWithoutConfiguration(t *testing.T) {
+func TestRequestsAreRefusedPermanentlyOnlyWithConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	store := new(memStore)
 	store.setDown(true)
@@ -100,9 +99,8 @@
 	g.Expect(len(a.received()) + len(b.received())).To(Equal(1))
 }
 
-// One target answers that it did not run the request, and the address of another has been taken
-// by a new run. Neither has run it, so even a non-idempotent request must go on to the third
-// target.
+// One target answers that it did not run the request; a new run has taken the address of another.
+// Neither has run it, so even a non-idempotent request must go on to the third target.
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	g := NewWithT(t)
 	full := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool {
@@ -220,10 +218,9 @@
 	}
 }
 
-// A target's first event and an invalid chunk arrive in one read, so the attempt is over before
-// the response header is written. The event must be delivered under the header of its target, the
-// stream must resume or be cut, and the process must not crash.
-func TestFirstEventAndStreamErrorInOneRead(t *testing.T) {
+// A first event and an invalid chunk in one read end the attempt before the response header. The event
+// must be sent under its target's header, the stream resume or be cut, and the process not crash.
+func TestFirstEventIsDeliveredDespiteStreamErrorInSameRead(t *testing.T) {
 	g := NewWithT(t)
 	a, b := startTarget(t, "i1", malformedStream("i1")), startTarget(t, "i2", malformedStream("i2"))
 	e := startEntryWithTargets(t, "llm", a, b)
@@ -320,7 +317,7 @@
 
 // A response without a length ends when its connection is closed. A reset must not count as the
 // end, as the caller would take a partial response for a complete one.
-func TestResponsesDelimitedByConnectionClose(t *testing.T) {
+func TestResetDoesNotEndResponseWithoutLength(t *testing.T) {
 	g := NewWithT(t)
 	head := "HTTP/1.1 200 OK\r\nRid: %s\r\nSeal: yes\r\nConnection: close\r\n\r\n"
 	whole := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool {
--- a/gateway/register_test.go
+++ b/gateway/register_test.go
@@ -68,7 +68,7 @@
 }
 
 // After a restart of the whole fleet an entry that already has a record must not write another.
-func TestEntryWithRecordWritesNone(t *testing.T) {
+func TestRestartedEntryWithRecordWritesNoNewRecord(t *testing.T) {
 	g := NewWithT(t)
 	gw := idleGateway("entry-000")
 	value, err := (&peers.Presence{Name: "entry-000", Incarnation: 1, PeerAddr: "entry-000:1"}).MarshalMsg(nil)
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -293,9 +293,8 @@
 	largeFleetSize  = 16 // number of entries above which most are not probed in the first moment
 )
 
-// Guards against idle traffic that grows with the fleet, at each entry and between data centres,
-// and against entries that read the store themselves because they learn too late that nothing has
-// changed.
+// Guards against idle traffic that grows with the fleet, at each entry and between data centres, and
+// against entries that read the store because they learn too late that nothing has changed.
 func TestScaleIdleCostDoesNotGrowWithFleet(t *testing.T) {
 	forEachScale(t, func(t *testing.T, g *WithT, c *scaleCluster) {
 		c.start()
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -114,7 +114,7 @@
 
 // A group with hardly any streams stays within its objective on any map, so copies serve no request.
 // With a few streams on each rank the same shift is worth a switch.
-func TestIdleGroupCopiesNothing(t *testing.T) {
+func TestIdleGroupDoesNotCopyMaps(t *testing.T) {
 	g := NewWithT(t)
 	m := planModel()
 	rng := rand.New(rand.NewPCG(8, 1))
--- a/members/bench_test.go
+++ b/members/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against queries that copy the whole table: each entry makes them several times a second.
-func TestQuestionsToTheTableCopyNothingOfTheFleet(t *testing.T) {
+func TestTableQueryAllocationsDoNotGrowWithFleet(t *testing.T) {
 	for name, query := range tableQueries {
 		t.Run(name, func(t *testing.T) {
 			small, large := newTableOf(8), newTableOf(1000)
--- a/members/fleet_test.go
+++ b/members/fleet_test.go
@@ -265,7 +265,7 @@
 
 // All entries start within 0.3 s and know only the records of those started before. If they find
 // each other slowly, callers of a data centre are all sent to a few entries.
-func TestAllEntriesFindEachOther(t *testing.T) {
+func TestEntriesListAllOthersSoonAfterFleetStart(t *testing.T) {
 	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 1)
@@ -285,10 +285,9 @@
 	})
 }
 
-// A fifth of the entries loses power at once. Callers lose a second on each attempt to connect to
-// an entry that the directory still lists. Whatever the size of the fleet, 99 % of the table rows must
-// show the loss within 2 s, all rows within 5 s, and 99 % the return within 3 s.
-func TestDeadEntriesAreLeftOutSoon(t *testing.T) {
+// A fifth of the entries loses power. An attempt to connect to a dead entry takes a second, so 99 % of
+// the rows must show the loss within 2 s, all within 5 s, and 99 % the return within 3 s, at any size.
+func TestLostEntriesAreUnlistedInTime(t *testing.T) {
 	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 2)
@@ -321,7 +320,7 @@
 
 // In an idle fleet, the requests, bytes and connections of an entry must not grow with the size of
 // the fleet, and no entry may have much more load than the others.
-func TestTheCostOfAnEntryDoesNotGrowWithTheFleet(t *testing.T) {
+func TestCostPerEntryDoesNotGrowWithFleet(t *testing.T) {
 	forEachSize(t, func(t *testing.T, size int) {
 		g := NewWithT(t)
 		f := newFleet(size, 3)
--- a/members/owner_test.go
+++ b/members/owner_test.go
@@ -26,7 +26,7 @@
 
 // All entries must agree on the one owner of each key. When an entry leaves, only the keys that it
 // owned may move.
-func TestAllEntriesNameTheSameOwner(t *testing.T) {
+func TestAllEntriesAgreeOnOwner(t *testing.T) {
 	g := NewWithT(t)
 	const entries, keys = 12, 600
 	tables := newOwnerTables(entries)
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -315,9 +315,8 @@
 	g.Expect(tr.Snapshot(restarted, now).Requests).To(BeZero())
 }
 
-// The leader agent has stalled, so the expert map is not rebalanced. The limit must use the recent
-// peak of imbalance: with the usual limit, a group of 12 exceeded the event-gap objective for four
-// seconds and all its streams were late.
+// The leader agent has stalled; the map is not rebalanced. With the usual limit a group of 12 exceeded
+// the event-gap objective for 4 s, all its streams late; the recent peak of imbalance must count.
 func TestStreamLimitWithoutReportsUsesPeakImbalance(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/route/place_test.go
+++ b/route/place_test.go
@@ -110,9 +110,8 @@
 	g.Expect(picked).NotTo(Equal("t17"))
 }
 
-// By a report that is one second old a target has slightly less load than the mean. If each
-// of eight entries acted on it in full, the target would get all their requests. The report
-// of an idle target among full ones keeps its weight.
+// By a report one second old a target has slightly less load than the mean. If eight entries acted on
+// it in full, it would get all requests. An idle target's report among full ones keeps its weight.
 func TestStaleReportsAreDiscounted(t *testing.T) {
 	g := NewWithT(t)
 	var m route.LoadMeans
