--- a/control/node.go
+++ b/control/node.go
@@ -29,7 +29,7 @@
 	LogBackoff        time.Duration // upper bound for the log, so that its return is noticed soon
 	Fresh             time.Duration // a source that read the log longer ago is replaced
 	Retry             time.Duration // time until a fallback source is replaced by the first one
-	Snapshots         time.Duration // between published snapshots; a fraction of the log's retention
+	SnapshotInterval  time.Duration // between published snapshots; a fraction of the log's retention
 	Summaries         time.Duration // between summaries to other data centres
 	Lease             LeaseTiming
 }
@@ -45,7 +45,7 @@
 	LogBackoff:        500 * time.Millisecond,
 	Fresh:             12 * time.Second,
 	Retry:             20 * time.Second,
-	Snapshots:         30 * time.Minute,
+	SnapshotInterval:  30 * time.Minute,
 	Summaries:         5 * time.Second,
 	Lease:             DefaultLeaseTiming,
 }
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -135,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				c := newCluster(t, map[string]int{"a": 3})
-				c.timing.Snapshots = testSnapshotInterval
+				c.timing.SnapshotInterval = testSnapshotInterval
 				defer c.close()
 				c.startAll()
 				v := c.apply(1)
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t, map[string]int{"a": 2, "b": 2})
-		c.timing.Snapshots = testSnapshotInterval
+		c.timing.SnapshotInterval = testSnapshotInterval
 		defer c.close()
 		c.startAll()
 		v := c.apply(3)
--- a/control/publish.go
+++ b/control/publish.go
@@ -43,7 +43,7 @@
 // publishSnapshots appends the saved state to the log before the records that led to it
 // are trimmed. Otherwise a system that lost all its processes could never start again.
 func (n *Node) publishSnapshots() {
-	for n.sleep(n.opts.Timing.Snapshots / snapshotRankDivisor) {
+	for n.sleep(n.opts.Timing.SnapshotInterval / snapshotRankDivisor) {
 		if records, ok := n.nextSnapshot(); ok {
 			n.appendRecords(records, "snapshot")
 		}
@@ -54,7 +54,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	rank := n.rankAmongEntries("snapshot")
-	if rank >= maxPublishers || !n.snapshots.isDue(rank, n.opts.Timing.Snapshots, time.Now()) {
+	if rank >= maxPublishers || !n.snapshots.isDue(rank, n.opts.Timing.SnapshotInterval, time.Now()) {
 		return nil, false
 	}
 	if n.logAge() > n.opts.Timing.Fresh || n.fold.Next() == 0 {
--- a/entry/control.go
+++ b/entry/control.go
@@ -28,7 +28,7 @@
 		timing = control.DefaultTiming
 	}
 	if e.opts.SnapshotInterval > 0 {
-		timing.Snapshots = e.opts.SnapshotInterval
+		timing.SnapshotInterval = e.opts.SnapshotInterval
 	}
 	s := &e.opts.Settings
 	e.node = control.New(control.Options{
