--- a/cmd/heatherrail/apply.go
+++ b/cmd/heatherrail/apply.go
@@ -62,8 +62,8 @@
 	return c.waitInForce(ctx, client, out.Version)
 }
 
-// outcomeError wraps err with an exit code that tells scripts whether the change was
-// refused, has an unknown outcome or failed in another way.
+// outcomeError wraps err with the exit code of its kind, for scripts: the change was refused, its
+// outcome is unknown, or another failure.
 func outcomeError(err error) error {
 	switch {
 	case result.From(err).Code == result.ChangeRefused:
@@ -75,8 +75,9 @@
 	}
 }
 
-// apply sends the configuration in c.Args.Dir as a change on the base version. The outcome
-// has version 0 if the configuration has no difference to the version in force.
+// apply sends the configuration in c.Args.Dir as a change on the base version. Without --base,
+// it sends nothing if the configuration equals the version in force; the outcome then has
+// version 0.
 func (c *applyCommand) apply(ctx context.Context, op *control.Operator) (config.Outcome, error) {
 	cfg, err := config.LoadDir(c.Args.Dir)
 	if err != nil {
@@ -105,8 +106,8 @@
 	return op.Apply(ctx, id, base, cfg)
 }
 
-// waitInForce waits until all entries have the version in force, and prints those that
-// have not.
+// waitInForce waits until the version is in force at all entries. It prints the entries that have
+// not reported it before ctx ends, and returns an error with exitNotInForce for them.
 func (c *applyCommand) waitInForce(ctx context.Context, client *control.Client, version uint64) error {
 	behind, err := client.WaitInForce(ctx, version)
 	if err != nil {
--- a/cmd/heatherrail/bench_all.go
+++ b/cmd/heatherrail/bench_all.go
@@ -36,8 +36,8 @@
 	return set.Write(os.Stdout, b.Output)
 }
 
-// benchNames returns the names of the benchmarks to run: only, or all if only is empty. It
-// fails for an unknown name.
+// benchNames checks the names in only and returns them, or the names of all benchmarks if only is
+// empty. It fails for an unknown name.
 func benchNames(only []string) ([]string, error) {
 	known := make(map[string]bool)
 	var names []string
--- a/cmd/heatherrail/demo.go
+++ b/cmd/heatherrail/demo.go
@@ -51,7 +51,8 @@
 	return logging.New(os.Stderr, 0)
 }
 
-// startAndWait starts entries and agents in front of stand-ins, and waits for a signal.
+// startAndWait starts entries and agents of the project's own form, not of the hosted deployment,
+// in front of stand-ins, and waits for a signal.
 func (c *demoCommand) startAndWait() error {
 	cfg, err := exampleConfig(c.Example)
 	if err != nil {
--- a/cmd/heatherrail/diff.go
+++ b/cmd/heatherrail/diff.go
@@ -8,7 +8,7 @@
 	"github.com/heatherrail/heatherrail/config"
 )
 
-// exitError is an error with the exit code to end the program with.
+// exitError is an error that sets the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -30,8 +30,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. Exit codes follow diff(1): 0 for no difference,
-// 1 for differences, 2 for an error.
+// Execute implements flags.Commander. The exit codes are those of diff(1): 0 for no difference, 1
+// for differences, 2 for an error.
 func (c *diffCommand) Execute([]string) error {
 	differs, err := c.printDiff()
 	if err != nil {
--- a/cmd/heatherrail/explain.go
+++ b/cmd/heatherrail/explain.go
@@ -49,8 +49,8 @@
 	return errors.Join(errNoDecision, queryErrs)
 }
 
-// queryExplain returns the placement decisions that one entry has for a request, none if it
-// has no record of the request.
+// queryExplain returns the placement decisions of one entry for a request. It returns none if the
+// entry has no record of the request.
 func queryExplain(ctx context.Context, addr, id, key string) ([]entry.DecisionView, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/explain/"+url.PathEscape(id), nil)
 	if err != nil {
@@ -77,7 +77,7 @@
 func writeDecisions(w io.Writer, name string, decisions []entry.DecisionView) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i, d := range decisions {
-		fmt.Fprintf(tw, "try %d at %s, entry %s, service %s: %s\n", i+1, d.At.Format("15:04:05.000"), name, d.Service, choiceText(d.Chosen))
+		fmt.Fprintf(tw, "attempt %d at %s, entry %s, service %s: %s\n", i+1, d.At.Format("15:04:05.000"), name, d.Service, choiceText(d.Chosen))
 		fmt.Fprintln(tw, "TARGET\tDATA CENTRE\tSCORE s\tOWN\tOTHERS\tPROMPT AHEAD\tCACHED")
 		for _, c := range d.Candidates {
 			fmt.Fprintf(tw, "%s\t%s\t%.4f\t%.0f\t%.1f\t%.0f\t%.0f\n", c.Target, c.DataCentre, c.ScoreSeconds, c.OwnRequests, c.OthersRequests, c.PromptTokensAhead, c.CachedTokens)
--- a/cmd/heatherrail/version.go
+++ b/cmd/heatherrail/version.go
@@ -6,7 +6,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// version is the next release.
+// version names the release that this source tree leads to.
 const version = "0.1.0-dev"
 
 type versionCommand struct{}
