--- a/demo/demo.go
+++ b/demo/demo.go
@@ -16,9 +16,9 @@
 )
 
 // Run demonstrates a running fleet and prints each step to w. It reads the addresses of the
-// entries, sends a streamed draft and a log entry that must not run twice, and shows an
-// expert map switch if a group plans often enough. It fails if a response is incomplete or
-// the log entry did not run exactly once.
+// entries, requests a streamed draft, and posts an entry to the plain service logbook, which must
+// not run twice. It shows an expert map switch if a group plans at least once a second. It fails if
+// a response is incomplete or the log entry did not run exactly once.
 func Run(ctx context.Context, f *Fleet, w io.Writer) error {
 	p := &printer{out: w}
 	entryAddr := f.Entries[0].Addr()
@@ -27,7 +27,7 @@
 		return err
 	}
 	if len(answer.Entries) == 0 {
-		return errors.New("the entry returned an empty list of entry addresses")
+		return errors.New("the entry returned no entry addresses")
 	}
 	p.printf("entries: %s (keep for %d s)", strings.Join(answer.Entries, " "), answer.LifetimeSeconds)
 	base := "http://" + answer.Entries[0]
@@ -96,7 +96,8 @@
 const draftBody = `{"model":"drafter","stream":true,"max_tokens":24,"messages":[` +
 	`{"role":"user","content":"Fridge 3 reads 9 degrees. Draft a corrective action."}]}`
 
-// showDraft sends a streamed draft and prints its text. It fails if the stream is incomplete.
+// showDraft requests a streamed draft from the service drafter and prints its text. It fails if the
+// stream is incomplete.
 func showDraft(ctx context.Context, p *printer, base string, f *Fleet) error {
 	start := time.Now()
 	resp, err := post(ctx, base+"/v1/chat/completions", draftBody, nil)
@@ -136,8 +137,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// showLogEntry sends a log entry that must not run twice. It fails unless the plain targets
-// ran exactly one request.
+// showLogEntry posts an entry to the plain service logbook, as a request that must not run twice.
+// It fails unless the plain targets ran exactly one request.
 func showLogEntry(ctx context.Context, p *printer, base string, f *Fleet) error {
 	headers := map[string]string{entry.HeaderRepeatable: "no", entry.HeaderKey: "opening-check-7"}
 	resp, err := post(ctx, base+"/v1/services/logbook/entries", `{"check":"fridge 3","degrees":9}`, headers)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -83,7 +83,7 @@
 	return f.Apply()
 }
 
-// nextIncarnation returns a process incarnation that is greater than all earlier ones.
+// nextIncarnation returns an incarnation number that is greater than all earlier ones.
 func (f *Fleet) nextIncarnation() uint64 {
 	f.incarnations++
 	return uint64(time.Now().UnixNano()) + f.incarnations
@@ -137,7 +137,7 @@
 	return f.Agents[target]
 }
 
-// controlAgent handles requests to kill, restart or drain an agent of this process.
+// controlAgent handles requests of scenarios to kill, restart or drain an agent.
 func (f *Fleet) controlAgent(r *http.Request) (any, error) {
 	name := r.PathValue("name")
 	a := f.Agent(name)
--- a/demo/hosted/callers.go
+++ b/demo/hosted/callers.go
@@ -27,7 +27,8 @@
 	maxAttempts         = 3
 )
 
-// loadGenerator sends streams and log entries as callers do, and counts the results.
+// loadGenerator acts as the callers: it requests drafts as streams, posts entries to the plain
+// service logbook ("log entries"), and counts the results.
 type loadGenerator struct {
 	fleet     *Fleet
 	transport http.Transport
@@ -42,7 +43,7 @@
 
 // callerStats counts the requests of callers by result.
 type callerStats struct {
-	Drafts, DraftsInTime, DraftsComplete int
+	Drafts, DraftsOnTime, DraftsComplete int
 	Logs, LogsAnswered                   int
 	Retries                              int           // attempts after the first, each at another entry
 	LongestGap                           time.Duration // between two events of a stream, since the latest takeStats
@@ -72,8 +73,8 @@
 	}
 }
 
-// pickEntry returns a random entry address from the directory, which is read again after
-// directoryTTL. Addresses in failed are left out. It returns "" if none remains.
+// pickEntry returns a random address of the directory that is not in failed, or "" if there is
+// none. It reads the directory again after directoryTTL.
 func (l *loadGenerator) pickEntry(failed []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +93,8 @@
 	return usable[rand.IntN(len(usable))]
 }
 
-// sendLogEntry sends a log entry, which must not run twice. It retries, with a new request
-// id, only if the attempt got no response status.
+// sendLogEntry posts a log entry, which must not run twice. It retries at another entry, with a new
+// request id, only if the attempt got no response status.
 func (l *loadGenerator) sendLogEntry(id string) {
 	answered := false
 	var failed []string
@@ -115,7 +116,8 @@
 	})
 }
 
-// sendDraft requests a stream, and retries it from the start if it is incomplete.
+// sendDraft requests a draft as a stream. If the stream is incomplete, it requests the whole draft
+// again at another entry.
 func (l *loadGenerator) sendDraft(id string) {
 	start := time.Now()
 	var result streamResult
@@ -136,7 +138,7 @@
 			t.DraftsComplete++
 		}
 		if result.complete && result.firstEvent.Sub(start) <= firstEventObjective && result.longestGap <= eventGapObjective {
-			t.DraftsInTime++
+			t.DraftsOnTime++
 		}
 	})
 }
--- a/demo/hosted/evacuate_test.go
+++ b/demo/hosted/evacuate_test.go
@@ -14,8 +14,8 @@
 	return r.byTarget[target]
 }
 
-// Guards against an entry, also one that starts during the evacuation, that sends work to an
-// evacuated zone, and against targets that get no work after the evacuation has ended.
+// Guards against entries, also those started during an evacuation, that send work to the zone, and
+// against targets that get no work afterwards. The order to evacuate has the platform's format.
 func TestAnEvacuatedZoneGetsNoWorkFromAnyEntry(t *testing.T) {
 	g := NewWithT(t)
 	f, load, end := startWithLoad(t)
--- a/demo/hosted/fleet.go
+++ b/demo/hosted/fleet.go
@@ -1,7 +1,6 @@
-// Package hosted runs a complete small system of the hosted deployment in one process: the
-// programs of the users' machines (entries, and agents next to a group of lock-step engines),
-// plain services, and a stand-in for the platform's store. Each VM has its own loopback
-// address.
+// Package hosted runs a complete small system of the hosted deployment in one process: the programs
+// of the users' machines (entries, and agents next to a group of lock-step engines), plain services,
+// and a stand-in for the platform's store. Each VM has its own loopback address.
 package hosted
 
 import (
@@ -187,8 +186,8 @@
 	return nil
 }
 
-// publishTarget writes a heartbeat record of a target to the store every
-// targetHeartbeatInterval until the fleet is closed.
+// publishTarget writes the record of a target to the store every targetHeartbeatInterval, as its
+// heartbeat, until the fleet is closed.
 func (f *Fleet) publishTarget(id string, record standin.TargetRecord) {
 	record.Sequence = 1
 	f.store.PutTarget(id, record.Fields())
@@ -269,7 +268,8 @@
 	return nil
 }
 
-// config returns a version of the configuration. Versions above 1 have an additional route.
+// config returns the configuration with the given version. Versions above 1 have an additional
+// route.
 func (f *Fleet) config(version int) map[string]any {
 	routes := []standin.Route{
 		{Name: "draft", Host: host, Prefix: "/draft/", Kind: standin.KindStream, Service: draftService, TimeoutMS: 8000},
@@ -283,7 +283,7 @@
 	return c
 }
 
-// addedRoutePath is the path of the route that the second version of the configuration adds.
+// addedRoutePath is the path prefix of the route that configuration version 2 adds.
 const addedRoutePath = "/added/"
 
 // crashEntry aborts an entry without a shutdown, as a crash does.
@@ -295,7 +295,7 @@
 	vm.gateway.Abort()
 }
 
-// aliveEntry returns the first entry from index n on that has not crashed.
+// aliveEntry returns the first entry from index n on that has not crashed, or entry n if all have.
 func (f *Fleet) aliveEntry(n int) *entryVM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/demo/hosted/limit_test.go
+++ b/demo/hosted/limit_test.go
@@ -18,8 +18,7 @@
 	rateLimitWindow     = 4 * time.Second
 )
 
-// startWithLoad starts a system and callers. end stops the callers and waits for their
-// responses.
+// startWithLoad starts a system and callers. end stops the callers and waits for their responses.
 func startWithLoad(t *testing.T) (f *Fleet, load *loadGenerator, end func()) {
 	t.Helper()
 	g := NewWithT(t)
@@ -41,7 +40,7 @@
 }
 
 // Guards against entries that together exceed the rate limit that a rank of a group or a plain
-// target announces.
+// target announces in the platform's format.
 func TestEnginesAndPlainTargetsGetAtMostTheirAnnouncedRate(t *testing.T) {
 	g := NewWithT(t)
 	f, load, end := startWithLoad(t)
--- a/demo/hosted/show.go
+++ b/demo/hosted/show.go
@@ -26,8 +26,8 @@
 	ReadyAfter, BalancedAfter, EntryRemovedAfter, ConfigAppliedAfter time.Duration
 	ImbalanceBefore, ImbalanceAfter                                  float64
 	GapBefore, GapDuringSwitch                                       time.Duration // longest gap between two events of any stream
-	MixedMapPasses                                                   int
-	MaxExecutions                                                    int // highest number of executions of one log entry
+	MixedMapPasses                                                   int           // passes in which ranks used different maps
+	MaxExecutions                                                    int           // highest number of executions of one log entry
 	Stats                                                            callerStats
 }
 
@@ -84,8 +84,8 @@
 	return len(f.directoryAddresses()) == len(f.entries) && !slices.ContainsFunc(f.entries, func(vm *entryVM) bool { return !vm.gateway.Ready() })
 }
 
-// showSwitch waits until the expert map is balanced, shifts demand to other experts and waits
-// until a new map is balanced again.
+// showSwitch waits until the expert map is balanced, shifts demand to other experts, and waits until
+// the group has a map that is balanced for the new demand.
 func (f *Fleet) showSwitch(ctx context.Context, load *loadGenerator, r *Report) error {
 	if _, err := waitFor(ctx, mapSwitchTimeout, "a first balanced map", f.isBalanced); err != nil {
 		return err
@@ -105,17 +105,18 @@
 	return nil
 }
 
-// maxBalancedImbalance is an imbalance that only a map made for the current demand stays
-// below.
+// maxBalancedImbalance is the imbalance below which a map counts as balanced. Only a map that was
+// planned for the current demand stays below it.
 const maxBalancedImbalance = 1.3
 
-// isBalanced reports whether the group has a planned map that suits the current demand.
+// isBalanced reports whether the group has a planned map and its imbalance is low.
 func (f *Fleet) isBalanced() bool {
 	version, imbalance, _, _ := f.engineGroup.State()
 	return version != 0 && imbalance < maxBalancedImbalance
 }
 
-// showCrash crashes an entry and waits until the directory no longer lists it.
+// showCrash crashes an entry, and waits until the directory no longer lists it and its address is
+// unreachable.
 func (f *Fleet) showCrash(ctx context.Context, _ *loadGenerator, r *Report) error {
 	victim := len(f.entries) - 1
 	address := f.entries[victim].callerAddr
@@ -137,10 +138,10 @@
 	return err
 }
 
-var errTimeout = errors.New("condition not met in time")
+var errTimeout = errors.New("condition not met before the timeout")
 
-// waitFor polls condition until it is true and returns the time that took. It fails after
-// timeout, or when ctx ends.
+// waitFor polls condition until it is true, and returns the time from the call until then. It fails
+// after timeout, or when ctx ends. what names the condition in the error.
 func waitFor(ctx context.Context, timeout time.Duration, what string, condition func() bool) (time.Duration, error) {
 	start := time.Now()
 	for !condition() {
@@ -165,7 +166,7 @@
 passes with two maps     %d
 `, entryCount, rankCount, plainTargetCount, ms(r.ReadyAfter), r.ImbalanceBefore, r.ImbalanceAfter, ms(r.BalancedAfter),
 		ms(r.GapDuringSwitch), ms(r.GapBefore), ms(eventGapObjective), ms(r.EntryRemovedAfter), ms(r.ConfigAppliedAfter),
-		s.Drafts, s.DraftsComplete, s.DraftsInTime, s.Logs, s.LogsAnswered, r.MaxExecutions, s.Retries, r.MixedMapPasses)
+		s.Drafts, s.DraftsComplete, s.DraftsOnTime, s.Logs, s.LogsAnswered, r.MaxExecutions, s.Retries, r.MixedMapPasses)
 	return err
 }
 
--- a/demo/ranks.go
+++ b/demo/ranks.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	popularInterval      = 8    // one expert in this many is popular
+	popularInterval      = 8    // every eighth expert is popular
 	popularTokensPerStep = 40.0 // tokens per step of a popular expert
-	baseTokensPerStep    = 4.0
+	baseTokensPerStep    = 4.0  // tokens per step of any other expert
 )
 
 // showSwitch shows a map switch of the first group that plans at least once a second. It does
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// showSwitch makes some experts of the group popular and sends drafts until the group has
-// switched to another map. It fails if a draft fails or a step used two maps.
+// showSwitch makes some experts of the group popular and requests drafts until the group has
+// switched to another map. It fails if a draft fails or a step ran with two maps.
 func (f *Fleet) showSwitch(ctx context.Context, p *printer, base string, g *config.Group) error {
 	group := f.LockSteps[g.Name]
 	loads := make([]float64, g.Layers*g.Experts)
--- a/demo/ranks_test.go
+++ b/demo/ranks_test.go
@@ -84,7 +84,7 @@
 	t.Logf("%d steps, %d idle", group.Steps(), group.Idle())
 }
 
-// allMaps returns the map status that operators see, of all entries together.
+// allMaps returns the map status of all entries, as operators see it.
 func allMaps(f *demo.Fleet) string {
 	var b strings.Builder
 	for _, e := range f.Entries {
--- a/demo/standins.go
+++ b/demo/standins.go
@@ -29,7 +29,7 @@
 	Platform    string // address of the log service and the VM list
 	ControlAddr string // address that injects faults
 
-	singleEngines []*fake.RankGroup // engines outside any group, a group of one each
+	singleEngines []*fake.RankGroup // engines outside the rank groups, each as a group of one
 	// LockSteps holds the rank groups by name.
 	LockSteps map[string]*fake.LockStep
 	servers   []*fake.Server
@@ -131,7 +131,7 @@
 	return ""
 }
 
-// startRankGroups starts the lock-step of each rank group, and each remaining engine alone.
+// startRankGroups runs the engines of each rank group in lock-step, and each other engine alone.
 func (s *Standins) startRankGroups(stepTime time.Duration) {
 	grouped := make(map[string]bool)
 	for _, g := range s.Config.Groups {
