--- a/scenarios/groups_test.go
+++ b/scenarios/groups_test.go
@@ -18,7 +18,7 @@
 	"github.com/heatherrail/heatherrail/internal/fake"
 )
 
-// minSteps is the number of further steps after which a group counts as running.
+// minSteps is the number of steps that a group must exceed to count as running.
 const minSteps = 50
 
 // group returns the state of a group at the stand-ins. It fails if a step ran with two maps.
@@ -56,8 +56,8 @@
 	return "", sc.control(http.MethodPost, "/groups/"+args[0]+"/popular?expert="+args[1], "")
 }
 
-// switched implements the command "switched GROUP": it waits until the group uses another map
-// than at the latest "popular".
+// switched implements the command "switched GROUP": it waits until the group uses a map other than
+// the one in use at the latest "popular".
 func (sc *scenario) switched(args []string) (string, error) {
 	return sc.awaitGroup(args[0], "did not switch its map", func(s fake.GroupState) bool { return s.Map != sc.mapsBefore[args[0]] })
 }
@@ -72,8 +72,8 @@
 	return sc.awaitGroup(args[0], "runs no steps", func(s fake.GroupState) bool { return s.Steps > before.Steps+minSteps })
 }
 
-// awaitGroup polls the state of a group until met returns true. After waitTimeout it fails with
-// the fault, the state and the latest log lines about the group.
+// awaitGroup polls the state of a group until met returns true. It fails after waitTimeout; the error
+// contains fault, the state and the latest log lines about the group.
 func (sc *scenario) awaitGroup(group, fault string, met func(fake.GroupState) bool) (string, error) {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		state, err := sc.group(group)
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -7,8 +7,9 @@
 	"sync"
 )
 
-// load implements the command "load NAME SERVICE CALLERS [TOKENS]": callers send requests one
-// after the other, each to a random live entry, until "end NAME".
+// load implements the command "load NAME SERVICE CALLERS [TOKENS]": each caller sends one request
+// after the other to random live entries, until "end NAME". The command returns when each caller
+// has received a first byte.
 func (sc *scenario) load(args []string) (string, error) {
 	callers, tokens, err := batchArgs(args)
 	if err != nil {
@@ -35,8 +36,8 @@
 	tokens   int
 }
 
-// run sends requests until the batch is stopped. The batch counts as started for this caller
-// at its first byte.
+// run sends requests until the batch is stopped. It marks the caller as started at the first byte of
+// a response.
 func (l *callerLoop) run() {
 	markStarted := sync.OnceFunc(l.batch.started.Done)
 	defer markStarted()
@@ -74,8 +75,9 @@
 	return sc.entries[rng.IntN(len(sc.entries))]
 }
 
-// replace implements the command "replace NAME…": it replaces VMs one after the other. The new
-// VM is ready before callers stop using the old entry, or the old agent is shut down.
+// replace implements the command "replace NAME…": it replaces VMs one after the other, as operators
+// do. The new VM is ready before callers stop using the old entry, and before the old entry or agent
+// is shut down.
 func (sc *scenario) replace(names []string) (string, error) {
 	for _, name := range names {
 		if err := sc.replaceOne(name); err != nil {
--- a/scenarios/process_test.go
+++ b/scenarios/process_test.go
@@ -66,7 +66,8 @@
 // keyValuePattern matches a key=value pair of a log line.
 var keyValuePattern = regexp.MustCompile(`(\S+?)=("[^"]*"|\S+)`)
 
-// readLog reads the log of the process and passes on the values of its "started" event.
+// readLog reads the log of the process and sends the values of its first "started" event to
+// p.started.
 func (p *process) readLog(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -23,24 +23,24 @@
 
 const (
 	complete   outcome = "whole"        // the complete answer to this request
-	notRun     outcome = "not-run"      // rejected, marked as not run
-	mayHaveRun outcome = "may-have-run" // unknown: marked so, truncated, or no response
-	wrong      outcome = "wrong"        // looks complete, but the content is wrong
+	notRun     outcome = "not-run"      // rejected; the response says that the request did not run
+	mayHaveRun outcome = "may-have-run" // any other error, a truncated answer, or no response
+	wrong      outcome = "wrong"        // no error, but not the expected content
 )
 
 // sentRequest is a request with its outcome.
 type sentRequest struct {
-	marker        string // unique text in the body, by which its executions are found
+	marker        string // unique text in the body; identifies executions at the targets
 	nonRepeatable bool   // must not run twice
 	outcome       outcome
 	detail        string
 }
 
-// batch is a set of requests that are sent together.
+// batch holds the requests of one command.
 type batch struct {
 	started  sync.WaitGroup // done when each request has its first byte or its outcome
 	callers  sync.WaitGroup
-	stop     chan struct{} // closed to stop a load; nil for "begin" and "send"
+	stop     chan struct{} // closed to stop the command "load"; nil for other commands
 	mu       sync.Mutex
 	requests []sentRequest
 }
@@ -225,13 +225,15 @@
 	return b.String()
 }
 
-// markerPattern matches the markers in a request body, which has each of them once.
+// markerPattern matches a marker. A request body contains its marker once, so each match counts one
+// execution.
 var markerPattern = regexp.MustCompile(`[A-Za-z0-9-]+-[0-9]+\.`)
 
-// promises implements the command "promises": it compares all requests so far with the
-// executions at the targets, and prints the violations. doubled counts requests that must not
-// run twice and did; lost counts those that were answered completely and never ran; lied counts
-// requests that were marked as not run and ran.
+// promises implements the command "promises": it compares all requests so far with the executions at
+// the targets, and prints the number of violations:
+//   - doubled: requests that must not run twice, and ran more than once
+//   - lost: requests that must not run twice, were answered completely, and never ran
+//   - lied: requests that were reported as not run, and ran
 func (sc *scenario) promises([]string) (string, error) {
 	resp, err := http.Get("http://" + sc.description.Standins.Control + "/targets")
 	if err != nil {
--- a/scenarios/world_test.go
+++ b/scenarios/world_test.go
@@ -39,7 +39,7 @@
 	latest       caller // the latest request, for "repeat"
 	batches      map[string]*batch
 	mapsBefore   map[string]string // by group: the map in use at the latest "popular"
-	pausedOwners map[string]string // by group: the entry that "owner pause" has paused
+	pausedOwners map[string]string // by group: the lease holder that "owner pause" has paused
 }
 
 // fleet implements the command "fleet EXAMPLE ENTRIES [tls]": it starts stand-ins, an agent for
@@ -214,11 +214,11 @@
 	return fmt.Sprintf("[tls]\ncert = %s\nkey = %s\nca = %s\n", f.Cert, f.Key, f.CA), err
 }
 
-// ready implements the command "ready": it waits until every live entry is ready.
+// ready implements the command "ready": it waits until every live entry is ready, see awaitReady.
 func (sc *scenario) ready([]string) (string, error) { return "", sc.awaitReady() }
 
-// awaitReady waits until every live entry is connected to every target, and is registered, so
-// that it may dispatch requests that must not run twice.
+// awaitReady waits until every live entry is connected to every target and is registered. Only a
+// registered entry may dispatch requests that must not run twice.
 func (sc *scenario) awaitReady() error {
 	wantLinked := fmt.Sprintf("heatherrail_targets_linked %d", len(sc.description.Standins.Targets))
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
