--- a/bench/expert.go
+++ b/bench/expert.go
@@ -41,12 +41,12 @@
 }
 
 const (
-	kindNone      = "none"
-	kindRecompute = "recompute"
-	kindPlan      = "plan"
+	kindNone      = "none"      // keeps the initial map
+	kindRecompute = "recompute" // computes a new map every period, whatever it moves
+	kindPlan      = "plan"      // uses the planner
 
 	loadHalfLifeSeconds = 60.0
-	gainLifeSeconds     = 1800.0
+	gainLifeSeconds     = 1800.0 // time until the drift of the loads has used up the gain of a plan
 
 	// Plans that took longer than remeasureThreshold are computed again, since on a busy
 	// machine the longest times include waiting for a core.
@@ -62,15 +62,15 @@
 	CostPolicy = expert.CostWeights{Skew: 0.6, Move: 1}
 )
 
-// curveMovePrices are the weights of moved bytes (CostWeights.Move) along the curve of skew
-// against bytes.
+// curveMovePrices are the prices of a moved gigabyte (CostWeights.Move) along the curve of skew
+// against bytes moved.
 var curveMovePrices = []float64{0.03, 0.1, 1, 4, 10, 30}
 
 // curveShape is the group size of the curve.
 var curveShape = ExpertShapes[1]
 
-// newPolicyRuns returns the policies under test. With curve, it adds one with a load
-// trend and those along the curve.
+// newPolicyRuns returns the policies under test. If curve is true, these include a policy that
+// extrapolates the load trend, and one policy for each price in curveMovePrices.
 func newPolicyRuns(curve bool) []*policyRun {
 	list := []*policyRun{
 		{name: "none", kind: kindNone},
@@ -127,8 +127,8 @@
 	return bounds
 }
 
-// runPeriod records the skew of the current map and plans the next one. lost means that the
-// load reports of the period do not arrive, so that no plan is made.
+// runPeriod records the skew of the current map and plans the next one. If lost is true, the load
+// reports of the period do not arrive and no plan is made.
 func (c *policyRun) runPeriod(now float64, trace *ExpertTrace, loads []float64, lost bool) {
 	speeds := trace.Speeds()
 	if c.next != nil {
@@ -273,8 +273,7 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// plannerMemoryKB returns the heap that the owner of a group needs for it: planner, map and
-// loads.
+// plannerMemoryKB returns the heap in KiB that the owner of a group needs for planner, map and loads.
 func plannerMemoryKB(s expert.Shape) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/bench/experttrace.go
+++ b/bench/experttrace.go
@@ -29,7 +29,7 @@
 	minZipfExponent    = 0.4 // of the layer with the most even popularity
 	maxZipfExponent    = 0.8
 	maxDailyAmplitude  = 0.35 // of the natural logarithm of a load
-	popularityChanges  = 3    // number in a trace
+	popularityChanges  = 3    // number in a trace, as from changes of the menu
 	swappedExpertShare = 0.15 // share of the experts in a layer that swap popularities at a change
 	burstProbability   = 0.01 // per period and layer
 	burstFactor        = 2.5
--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -28,7 +28,7 @@
 // Intervals and shares used by entries.
 const (
 	reportInterval = 100 * time.Millisecond // between load reports of the leader
-	pollInterval   = 184 * time.Millisecond // between load queries of an entry, as with 46 entries
+	pollInterval   = 184 * time.Millisecond // between load queries of an entry, if there are 46 entries
 	// firstEventShare is the share of the first-event timeout that is reserved for the
 	// engine; the rest is the maximum time in the queue.
 	firstEventShare = 0.25
@@ -143,8 +143,8 @@
 	e.sim.group.enqueue(e.sim.rankOf[t.ID], j)
 }
 
-// applyReport records the queue counts for the next load report, and applies the latest load
-// report to the tracker.
+// applyReport is one load query of the entry. The query sends the queue counts to the leader, and the
+// answer is the latest load report, which the tracker applies.
 func (e *entry) applyReport() {
 	e.reportedCounts = e.queue.QueueCounts(e.sim.clock.now)
 	if e.sim.lastReport.state.ReportedAt.IsZero() {
--- a/bench/group/figures.go
+++ b/bench/group/figures.go
@@ -17,12 +17,12 @@
 	PassMS            float64 // mean time of a pass
 }
 
-// Worth returns the value of the answers to callers, relative to that of all requests within
+// Worth returns the value of the answers to callers. It is 1 if all requests are complete and within
 // their objectives.
 func (f *Figures) Worth() float64 { return f.MetObjectives + lateWorth*f.Late }
 
 // lateWorth is the value of a complete stream that missed an objective, relative to one within
-// them. Source: the users' requirements sheet.
+// them. Source: the users' sheet.
 const lateWorth = 0.49
 
 func (sim *simulation) figures() Figures {
--- a/bench/group/group_test.go
+++ b/bench/group/group_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against goodput collapse when twice the supported load arrives while demand shifts.
-// Without the queue, passes are too long and nearly all streams are late or abandoned.
+// Under overload and demand shifts, long passes make nearly all streams late or abandoned if there
+// is no queue. With it, on-time streams fall short of those at full load only by late rejections.
 func TestTheAdmissionQueueKeepsTheSupportedLoadOnTimeUnderOverload(t *testing.T) {
 	for s := range Shapes {
 		g := NewWithT(t)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against a loss of worth with 46 entries near capacity, whose load reports are up to
-// 0.3 s old. The bound is relative to one entry with current loads.
+// Guards against a loss of worth near capacity with 46 entries, whose load reports are up to 0.3 s
+// old. The oracle is one entry that knows the current loads.
 func TestManyEntriesComeCloseToTheOracle(t *testing.T) {
 	g := NewWithT(t)
 	shape := &Shapes[1]
--- a/bench/group/pattern.go
+++ b/bench/group/pattern.go
@@ -11,7 +11,7 @@
 	BurstFactor   float64       // factor on Load in one second of every four; 0: none
 	// Frozen is the span in which the leader sends no load reports and no new map.
 	Frozen Span
-	// Outage is the span in which entries dispatch nothing to the group, and requests wait.
+	// Outage is the span in which entries with an admission queue dispatch nothing to the group.
 	Outage Span
 	// Slow is the span in which the rank slowRankIndex is slower by the factor Slowdown.
 	Slow     Span
@@ -33,9 +33,9 @@
 // balancedImbalance is the imbalance of a map that suits the current demand.
 const balancedImbalance = 1.15
 
-// Map steps after a demand shift: with the current leader, and with an earlier one that read
-// the counts of a quarter of the ranks only and sent each map to all ranks itself. Source: the
-// log of the leader on a deployment of 63 ranks.
+// Map steps after a demand shift. fastMapSteps are those of the current leader. slowMapSteps are
+// those of an earlier leader, which read the counts of only a quarter of the ranks and sent each map
+// to all ranks itself. Source: the leader's log on a deployment of 63 ranks.
 var (
 	fastMapSteps = []MapStep{{150 * time.Millisecond, 2.8, false}, {290 * time.Millisecond, 2.8, true}, {400 * time.Millisecond, 1.5, false}, {540 * time.Millisecond, 1.5, true}}
 	slowMapSteps = []MapStep{{250 * time.Millisecond, 2.8, false}, {550 * time.Millisecond, 2.8, true}, {750 * time.Millisecond, 1.6, false}, {1070 * time.Millisecond, 1.6, true}}
--- a/bench/group/simulation.go
+++ b/bench/group/simulation.go
@@ -113,14 +113,14 @@
 	promptTokens, outputTokens := sim.shape.drawSizes(sim.rng)
 	j := &job{arrived: sim.clock.now, prompt: promptTokens, prefillLeft: promptTokens, decodeLeft: outputTokens, onEnd: func() {}}
 	sim.jobs = append(sim.jobs, j)
-	sim.clock.after(sim.shape.FirstEventTimeout, func() { sim.abandonIfLate(j) })
+	sim.clock.after(sim.shape.FirstEventTimeout, func() { sim.abandonOnTimeout(j) })
 	sim.entries[sim.rng.IntN(len(sim.entries))].place(j)
 	rate := sim.pattern.loadAt(sinceStart) * sim.shape.capacity()
 	sim.clock.after(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), sim.arrive)
 }
 
-// abandonIfLate ends a request whose caller has had no event by the first-event timeout.
-func (sim *simulation) abandonIfLate(j *job) {
+// abandonOnTimeout ends a request whose caller has had no event by the first-event timeout.
+func (sim *simulation) abandonOnTimeout(j *job) {
 	if j.outcome != pending || !j.firstEvent.IsZero() {
 		return
 	}
@@ -129,8 +129,7 @@
 	j.onEnd()
 }
 
-// reportLoads is the periodic load report of the leader. It sends nothing while the leader is
-// frozen.
+// reportLoads makes the periodic load report of the leader. It makes none while the leader is frozen.
 func (sim *simulation) reportLoads() {
 	now := sim.clock.now
 	t := now.Sub(sim.group.startedAt)
@@ -160,7 +159,7 @@
 	return n
 }
 
-// schedulePolls applies the latest report at an entry, and again every pollInterval.
+// schedulePolls runs a load query of an entry now, and again every pollInterval.
 func (sim *simulation) schedulePolls(e *entry) {
 	e.applyReport()
 	sim.clock.after(pollInterval, func() { sim.schedulePolls(e) })
--- a/bench/place/bench.go
+++ b/bench/place/bench.go
@@ -16,9 +16,9 @@
 	benchQueueLimit     = 256
 	benchReportDelay    = time.Second
 	benchDuration       = 60 * time.Second
-	warmUpTime          = 10 * time.Second // requests that arrive in this time are not counted
-	unreachableDeadline = time.Hour
-	deadline            = 10 * time.Second
+	warmUpTime          = 10 * time.Second // requests that arrive before are not counted
+	unreachableDeadline = time.Hour        // for benchmarks without deadlines
+	deadline            = 10 * time.Second // for overload and teams
 )
 
 // overloadFactors are the loads of benchOverload, relative to the capacity.
--- a/bench/place/engine.go
+++ b/bench/place/engine.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// admit offers a request that has arrived at the agent to the target queue. If it is not
-// admitted, the duration is the wait that the queue expected.
+// admit offers a request that has arrived at the agent to the target queue. It also returns the wait
+// for the first token that the queue expected.
 func (e *engine) admit(r *request, cached float64, bounds route.AdmissionBounds) (route.Admission, time.Duration) {
 	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.promptTokens)-cached), Decode: e.sim.expectedDecode()}}
 	j.Team, j.Weight, j.Priority = r.team, r.weight, r.priority
@@ -125,7 +125,7 @@
 	e.sim.after(time.Duration(float64(stepTime)/e.speed), func() { e.finishStep(emitting) })
 }
 
-// finishStep records the tokens of a step and finishes the requests that have all theirs.
+// finishStep records the tokens of a step and finishes the requests whose output is complete.
 func (e *engine) finishStep(emitting []*sequence) {
 	e.isStepping = false
 	for _, s := range emitting {
@@ -187,9 +187,9 @@
 	}
 }
 
-// exactWait returns the exact time in seconds until the first token of a request, for the
-// oracle.
-func (e *engine) exactWait(r *request) float64 {
+// oracleWait returns the seconds until the first token of a request, computed from the exact state
+// of the engine and the true output lengths, which only the oracle knows.
+func (e *engine) oracleWait(r *request) float64 {
 	promptTokens := r.promptTokens - e.peekCachedBlocks(r.blocks)*blockTokens
 	decodeLeft := 0
 	for _, s := range e.running {
@@ -203,14 +203,14 @@
 	steps := float64(promptTokens)/prefillTokensPerStep + 1
 	wait := steps*decodeStep.Seconds() + float64(promptTokens)*stepTimePerPromptToken.Seconds()
 	if excess := len(e.running) + len(e.waiting) + 1 - engineSlots; excess > 0 {
-		wait += e.exactSlotWait(excess, decodeStep)
+		wait += e.oracleSlotWait(excess, decodeStep)
 	}
 	return wait / e.speed
 }
 
-// exactSlotWait returns the time in seconds until the given number of running or waiting
-// requests has ended, from their true lengths.
-func (e *engine) exactSlotWait(excess int, decode time.Duration) float64 {
+// oracleSlotWait returns the seconds until excess running or waiting requests have ended, from the
+// mean of their true remaining lengths. It assumes that steps use 0.3 of their prefill budget.
+func (e *engine) oracleSlotWait(excess int, decode time.Duration) float64 {
 	decodeLeft := 0
 	for _, s := range e.running {
 		decodeLeft += s.decodeLeft
--- a/bench/place/entry.go
+++ b/bench/place/entry.go
@@ -26,7 +26,7 @@
 	views      []*targetView
 	cache      *route.CacheIndex
 	rng        *rand.Rand
-	nextEngine int // latest engine of round robin
+	lastEngine int // latest engine in round-robin order
 	decision   route.Decision
 	means      route.LoadMeans
 }
@@ -42,7 +42,7 @@
 		dataCentre: index % sim.dataCentres,
 		cache:      route.NewCacheIndex(indexBlocks),
 		rng:        rand.New(rand.NewPCG(sim.opts.seed, uint64(100+index))),
-		nextEngine: index,
+		lastEngine: index,
 	}
 	for i, e := range sim.engines {
 		en.views = append(en.views, &targetView{target: route.Target{
@@ -173,8 +173,8 @@
 // maxAttempts limits the attempts at a request.
 const maxAttempts = 4
 
-// handleRejection handles a rejection by the agent, where the request did not run. The entry
-// places the request again, up to maxAttempts.
+// handleRejection handles a rejection by the agent, where the request did not run. The entry places
+// the request again, until it has had maxAttempts attempts.
 func (en *entry) handleRejection(v *targetView, r *request, c choice, report route.LoadReport, reportedAt time.Duration) {
 	en.releaseRequest(r)
 	en.applyReport(c.engine, report, reportedAt)
@@ -213,6 +213,6 @@
 // choice is the engine that a policy chooses for a request; engine is -1 if there is none.
 type choice struct {
 	engine  int
-	cached  float64
-	maxWait time.Duration
+	cached  float64       // prompt tokens that the entry expects in the prefix cache
+	maxWait time.Duration // longest wait for the first token at which the agent may admit; 0: no limit
 }
--- a/bench/place/place_test.go
+++ b/bench/place/place_test.go
@@ -9,8 +9,8 @@
 // sharedSuite is shared by the tests so that the capacity is measured once.
 var sharedSuite = &suite{seed: 3, capacities: make(map[string]float64)}
 
-// Guards against late first tokens at 0.9 of capacity with half of the load reports lost and
-// the others a second old. The bound, 0.7, is looser than the 0.6 aimed at with all reports.
+// Guards against late first tokens at 0.9 of capacity with half of the load reports lost and the
+// others a second old. p99 is at most 0.7 of least-outstanding; the goal with all reports is 0.6.
 func TestFirstTokensBeatLeastOutstandingWithLostAndStaleReports(t *testing.T) {
 	g := NewWithT(t)
 	b := sharedSuite
@@ -25,8 +25,8 @@
 	g.Expect(figuresOf(run(o).endedRequests)).To(Equal(got), "the same seed gives the same run")
 }
 
-// Guards against a team at ten times its share that takes capacity from a small team. Only
-// requests of the large team may be rejected.
+// Guards against a team at ten times its share that takes capacity from a small team. Less than 1 %
+// of the small team's requests may be rejected.
 func TestSmallTeamsAreServedWhileALargeTeamExceedsItsShare(t *testing.T) {
 	g := NewWithT(t)
 	b := sharedSuite
--- a/bench/place/policy.go
+++ b/bench/place/policy.go
@@ -26,17 +26,17 @@
 }
 
 func roundRobin(en *entry, _ *request) choice {
-	en.nextEngine = (en.nextEngine + 1) % len(en.views)
-	return choice{engine: en.nextEngine}
+	en.lastEngine = (en.lastEngine + 1) % len(en.views)
+	return choice{engine: en.lastEngine}
 }
 
 // leastOutstanding chooses the engine with the fewest requests of the same entry. Ties are
 // broken in round-robin order.
 func leastOutstanding(en *entry, _ *request) choice {
-	en.nextEngine = (en.nextEngine + 1) % len(en.views)
-	best := en.nextEngine
+	en.lastEngine = (en.lastEngine + 1) % len(en.views)
+	best := en.lastEngine
 	for i := range en.views {
-		engine := (en.nextEngine + i) % len(en.views)
+		engine := (en.lastEngine + i) % len(en.views)
 		if en.views[engine].target.Own.Requests < en.views[best].target.Own.Requests {
 			best = engine
 		}
@@ -53,11 +53,12 @@
 	return choice{engine: a}
 }
 
-// oracle chooses the engine with the shortest wait, from the current state of all engines.
+// oracle chooses the engine with the shortest wait, from the exact state of all engines without
+// delay.
 func oracle(en *entry, r *request) choice {
 	best, bestWait := -1, 0.0
 	for i, e := range en.sim.engines {
-		if wait := e.exactWait(r); best < 0 || wait < bestWait {
+		if wait := e.oracleWait(r); best < 0 || wait < bestWait {
 			best, bestWait = i, wait
 		}
 	}
--- a/bench/place/simulation.go
+++ b/bench/place/simulation.go
@@ -14,7 +14,7 @@
 	engines         int
 	entries         int
 	dataCentres     int
-	queueLimit      int           // waiting requests that an engine's target queue holds
+	queueLimit      int           // capacity of each target queue, in waiting requests
 	reportDelay     time.Duration // delay of load reports and cache events
 	reportLossShare float64       // share of load reports that are lost
 	slowEngine      bool          // engine 0 runs at half speed
--- a/bench/place/workload.go
+++ b/bench/place/workload.go
@@ -89,7 +89,7 @@
 	return r
 }
 
-// familyDriftInterval is the time in which the popularity ranking moves by one family.
+// familyDriftInterval is the time in which the popularity ranking of the families shifts by one.
 const familyDriftInterval = 500 * time.Millisecond
 
 // prefix gives the request a prompt of one of the prefix families. The popular families change
@@ -106,7 +106,8 @@
 	r.blocks = route.BlockHashes(r.team, text[:sharedPrefixTokens*4], nil)
 }
 
-// drawTokens draws a log-normally distributed number of tokens, between 8 and 20 times the mean.
+// drawTokens draws a log-normally distributed number of tokens, at least 8 and at most 20 times the
+// mean. With tail, the distribution is wider.
 func drawTokens(rng *rand.Rand, mean float64, tail bool) int {
 	sigma := 0.4
 	if tail {
