--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -231,9 +231,13 @@
 
 // promises implements the command "promises": it compares all requests so far with the executions at
 // the targets, and prints the number of violations:
+//
 //   - doubled: requests that must not run twice, and ran more than once
 //   - lost: requests that must not run twice, were answered completely, and never ran
 //   - lied: requests that were reported as not run, and ran
+//
+// It also prints the number of requests in progress at targets (active) and of crashes that requests
+// caused (crashes).
 func (sc *scenario) promises([]string) (string, error) {
 	resp, err := http.Get("http://" + sc.description.Standins.Control + "/targets")
 	if err != nil {
