--- a/bench/expert.go
+++ b/bench/expert.go
@@ -42,7 +42,7 @@
 
 const (
 	kindNone      = "none"      // keeps the initial map
-	kindRecompute = "recompute" // computes a new map every period, whatever it moves
+	kindRecompute = "recompute" // computes a new map every period, without regard to the current one
 	kindPlan      = "plan"      // uses the planner
 
 	loadHalfLifeSeconds = 60.0
@@ -157,7 +157,8 @@
 	}
 }
 
-// observe records the reported loads, and each rank's tokens and seconds before the barrier.
+// observe passes the reported loads to the load estimator, and the tokens of each rank with its
+// seconds before the barrier to the speed estimator.
 func (c *policyRun) observe(now float64, report, loads, speeds []float64) {
 	c.loadEstimate.Observe(now, report)
 	tokens := rankTokens(c.current, loads)
--- a/bench/group/group_test.go
+++ b/bench/group/group_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Under overload and demand shifts, long passes make nearly all streams late or abandoned if there
-// is no queue. With it, on-time streams fall short of those at full load only by late rejections.
+// Under overload and demand shifts, long passes make nearly all streams late or abandoned if there is
+// no queue. With it, only rejections after a wait lower on-time streams below those at full load.
 func TestTheAdmissionQueueKeepsTheSupportedLoadOnTimeUnderOverload(t *testing.T) {
 	for s := range Shapes {
 		g := NewWithT(t)
--- a/bench/place/bench.go
+++ b/bench/place/bench.go
@@ -16,7 +16,7 @@
 	benchQueueLimit     = 256
 	benchReportDelay    = time.Second
 	benchDuration       = 60 * time.Second
-	warmUpTime          = 10 * time.Second // requests that arrive before are not counted
+	warmUpTime          = 10 * time.Second // requests that arrive in this time are not counted
 	unreachableDeadline = time.Hour        // for benchmarks without deadlines
 	deadline            = 10 * time.Second // for overload and teams
 )
