--- a/placing/admissionqueue.go
+++ b/placing/admissionqueue.go
@@ -27,13 +27,14 @@
 	gaps        gapMean
 }
 
-// Waiter is a request in the queue.
+// Waiter is a request in an AdmissionQueue.
 type Waiter struct {
 	request *Request
 	granted chan *serving.Target
 }
 
-// Granted receives the target for the request, or nil if all targets report a rate limit.
+// Granted returns the channel on which the request gets its target, or nil if all targets report a
+// rate limit.
 func (w *Waiter) Granted() <-chan *serving.Target { return w.granted }
 
 // Enqueue adds a request to the queue. If the request would wait longer than its MaxWait, it is not
@@ -101,8 +102,9 @@
 	return true
 }
 
-// grant hands out targets to waiting requests until place returns nil. canAdmitLate reports whether
-// a request that can no longer be on time may be admitted.
+// grant admits waiting requests in turn, each to the target that place returns for the request. It
+// stops when place returns nil or no request may be admitted. canAdmitLate reports whether a
+// request that can no longer be on time may be admitted.
 func (q *AdmissionQueue) grant(now time.Time, canAdmitLate func() bool, place func(r *Request) *serving.Target) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// releaseAll releases all requests without a target.
+// releaseAll ends the wait of all queued requests without granting them targets.
 func (q *AdmissionQueue) releaseAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -134,10 +136,10 @@
 	q.waiting = nil
 }
 
-// nextIndex returns the index of the request to admit next, -1 if none may be admitted. Among the
-// requests of the highest waiting priority it is the oldest one that can still have its first event
-// on time, then the oldest late one. If late requests may not be admitted, it is the first on-time
-// request of any priority.
+// nextIndex returns the index of the request to admit next, or -1 if no request may be admitted.
+// The next request is the oldest one of the highest waiting priority that can still have its first
+// event on time, or else the oldest late one of that priority. If late requests may not be
+// admitted, the next request is the first on-time request of any priority.
 //
 // A late response is worth the same however late it is, while admitting late requests first would
 // make the requests behind them late too.
--- a/placing/cold.go
+++ b/placing/cold.go
@@ -7,11 +7,12 @@
 )
 
 // coldPermits are the permits of a cold target: a target that has started recently and takes only a
-// few requests a second from all entries together. The permit owner keeps them.
+// few requests a second from all entries together. Only the permit owner, the entry that issues the
+// permits of the target, keeps this state.
 //
-// They guard against overload after a restart: while the other targets are full, each entry sees
-// the returning target idle and sends its queued requests there before any load report shows the
-// sum.
+// Permits for cold targets prevent overload after a restart: while the other targets are full, each
+// entry sees the returning target idle and sends its queued requests there before any load report
+// shows the sum of these requests.
 type coldPermits struct {
 	permits  permits
 	lastUsed time.Time
@@ -39,8 +40,9 @@
 	return cold
 }
 
-// issue grants or denies the next permit of a cold target at a rate in requests a second. Unlike for
-// other permits there is no take-over delay, see takeOverRateShare.
+// issue grants or denies the next permit of a cold target at a rate in requests a second. A new
+// permit owner does not wait for takeOverDelay but issues at takeOverRateShare of the rate during
+// that time.
 func (c *coldPermits) issue(rate float64, q PermitQuery, now time.Time) Permit {
 	if c.permits.issuingSince.IsZero() {
 		c.permits.issuingSince = now
--- a/placing/failurereport.go
+++ b/placing/failurereport.go
@@ -36,11 +36,11 @@
 
 // failureReports are the failure reports of this entry and of others.
 //
-// They guard against a target of a plain service that repeatedly breaks every connection for a
-// second, while many entries share a few targets and each entry uses this target only every few
-// seconds. An entry that relied on its own observations alone would fail a request each time, and
-// most requests that may not be retried and go there would be lost. With shared reports, failures
-// at two entries are enough for all entries to stop sending there.
+// Shared reports guard against a target of a plain service that repeatedly breaks every connection
+// for a second, while many entries share a few targets and each entry uses this target only every
+// few seconds. An entry that relied on its own observations alone would fail a request each time,
+// and most of the requests sent there that may not be retried would be lost. With shared reports,
+// failures at two entries are enough for all entries to stop sending there.
 type failureReports struct {
 	entry   string
 	reports map[reportKey]FailureReport
@@ -103,7 +103,7 @@
 	return false
 }
 
-// merge takes in a report of another entry and reports whether it holds something new.
+// merge adds a failure report of another entry and returns true if the report holds a new event.
 func (f *failureReports) merge(r FailureReport, now time.Time) bool {
 	if r.Entry == f.entry || now.Sub(r.latestEvent()) >= failureReportTTL {
 		return false
@@ -173,8 +173,8 @@
 	return max(float64(brokenEntries)/ejectionQuorum, min(float64(timeoutEntries)/ejectionQuorum, float64(timeouts)/maxTimeouts))
 }
 
-// shouldPropagate reports whether other entries must be notified at once of an event that changed a
-// target's failure score from before to after. They must be if the event may lead to an ejection
+// shouldPropagate reports whether an event that changed a target's failure score from before to
+// after must be sent to the other entries at once. This is so if the event may lead to an ejection
 // that was not due before. All other events go with the next regular message, because sending each
 // failure and success at once would use more bandwidth between data centres than the requests do.
 func shouldPropagate(before, after float64) bool {
@@ -190,8 +190,8 @@
 // RecordBrokenConnection records that a target of a plain service broke a connection, and ejects
 // the target at once.
 //
-// Do not call it for ranks of a group. They are ejected for consecutive failures only, because ranks
-// fail together, and ejecting some of them would put all streams on the others.
+// Do not call it for ranks of a group. Ranks are ejected for consecutive failures only: they fail
+// together, and ejecting some of them would put all streams on the others.
 func (tr *Tracker) RecordBrokenConnection(t *serving.Target, now time.Time) EjectionDecision {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -249,7 +249,7 @@
 	return list[:min(len(list), maxFailureReports)]
 }
 
-// MergeFailureReports takes in reports that another entry has made or passed on. It returns the
+// MergeFailureReports adds failure reports that another entry has made or passed on. It returns the
 // targets that are ejected as a consequence, and whether other entries must be notified at once.
 func (tr *Tracker) MergeFailureReports(list []FailureReport, now time.Time) (ejected []serving.Run, propagate bool) {
 	tr.mu.Lock()
--- a/placing/finish.go
+++ b/placing/finish.go
@@ -10,7 +10,7 @@
 type gapMean struct {
 	mean     time.Duration
 	latest   time.Time // time of the latest gap
-	slowRank bool      // the group has a slow rank, by the latest load report
+	slowRank bool      // a group of the service has a slow rank, by the latest load reports
 }
 
 // Parameters of the mean gap.
@@ -20,8 +20,8 @@
 	gapSmoothing = 32
 	// gapTTL is the time without any gap after which the mean no longer counts.
 	gapTTL = time.Second
-	// honouredWaitShare is the share of its remaining time up to which a caller honours a
-	// Retry-After. Source: the platform's statement.
+	// honouredWaitShare is the longest Retry-After that a caller honours, as a share of the time
+	// left until its deadline. Source: the platform's statement.
 	honouredWaitShare = 1.0 / 3
 )
 
@@ -36,10 +36,11 @@
 // canFinish reports whether a stream that starts now ends before its deadline at the current mean
 // gap.
 //
-// It guards against streams that run for nothing: while a rank is many times slower than usual for
-// seconds, the passes of all ranks are as slow. A long stream then outlasts its caller's deadline
-// and occupies a slot that shorter streams could use. Passes that are slow for other reasons recover
-// within half a second, once the expert map has been rebalanced, so only a slow rank counts.
+// It guards against streams that cannot end in time: while a rank is many times slower than usual
+// for seconds, the passes of all ranks are as slow. A long stream then outlasts its caller's
+// deadline and occupies a slot that shorter streams could use. Passes that are slow for other
+// reasons recover within half a second, once the expert map has been rebalanced, so only a slow
+// rank counts.
 func (m *gapMean) canFinish(r *Request, now time.Time) bool {
 	if ablate.Off(ablate.CannotFinish) || !m.slowRank || r.ExpectedEvents == 0 || r.Deadline.IsZero() || now.Sub(m.latest) > gapTTL {
 		return true
@@ -60,7 +61,8 @@
 	return time.Duration(float64(r.Deadline.Sub(now)) * honouredWaitShare), false
 }
 
-// setSlowRank records whether a group of the service has a rank at slowRankThreshold or above.
+// setSlowRank records whether a group of the service has a rank with a slowdown of
+// slowRankThreshold or more.
 func (q *AdmissionQueue) setSlowRank(hasSlowRank bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -21,7 +21,7 @@
 // groupTracker is the state that an entry keeps of a group.
 type groupTracker struct {
 	GroupState
-	targets  int // number of its targets
+	targets  int // number of targets in the group
 	breaker  breaker
 	shortage engineShortage
 	headroom headroomShare
@@ -33,7 +33,8 @@
 	assumedOthers float64
 }
 
-// groupTTL is how long a group is kept after its last load report and its last size.
+// groupTTL is how long the state of a group is kept after its latest load report and the latest
+// report of its size.
 const groupTTL = time.Minute
 
 // group returns the state of a group and creates it if needed. The lock must be held.
@@ -84,7 +85,7 @@
 type groupPool struct {
 	TargetPool
 	key        groupKey
-	maxStreams float64 // mean number of streams that a target may run
+	maxStreams float64 // streams that a target may run, as a mean over the targets of the group
 }
 
 // groupPools divides a target pool by the groups of its targets.
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -28,8 +28,8 @@
 // reportInterval is the maximum time between two load reports.
 const reportInterval = 200 * time.Millisecond
 
-// updateShare computes the share after a new report, and then adds to it for requests that have
-// arrived since. The lock must be held.
+// updateShare computes this entry's share of a group's headroom after each load report. Between
+// reports it adds to the share for requests that have arrived since. The lock must be held.
 func (tr *Tracker) updateShare(p *groupPool, d demand, now time.Time) {
 	state := tr.group(p.key)
 	if now.Sub(state.ReportedAt) >= ReportTTL {
@@ -58,7 +58,7 @@
 // coveredShare returns the share of a demand that the headroom covers.
 func coveredShare(headroom, demand float64) float64 { return min(max(headroom/max(demand, 1), 0), 1) }
 
-// roundRandomly returns v rounded to one of its neighbouring whole numbers at random, with mean v.
+// roundRandomly rounds v up or down to a whole number at random, so that the mean result is v.
 func (tr *Tracker) roundRandomly(v float64) int { return int(v + tr.rng.Float64()) }
 
 // canAdmit reports whether one more request may be sent to the group. The lock must be held.
@@ -75,7 +75,7 @@
 	return s.onTimeRatio >= 1 || s.onTimeLeft > 0
 }
 
-// takeSlot deducts one admitted request.
+// takeSlot deducts one admitted request from the share.
 func (s *headroomShare) takeSlot(late bool) {
 	if late {
 		s.lateLeft--
@@ -100,7 +100,7 @@
 	return hasHeadroom && tr.lateShareOf(pools[0].Service.Name).canAdmit(capacity)
 }
 
-// returnSlot returns the slot of a request of this entry that has ended.
+// returnSlot adds one slot to the share for a request of this entry that has ended.
 func (s *headroomShare) returnSlot() {
 	s.onTimeLeft++
 	s.lateLeft++
--- a/placing/late.go
+++ b/placing/late.go
@@ -6,8 +6,8 @@
 	"github.com/heatherrail/heatherrail/internal/ablate"
 )
 
-// lateShare limits how much of this entry's part of a group may be used by streams that are already
-// late.
+// lateShare limits how much of this entry's share of a service's slots is used by streams that are
+// already late.
 //
 // It guards against a self-sustaining delay after an outage: the group returns with all slots free,
 // and every queued request is late. If all were sent at once, they would fill the group for two
@@ -17,7 +17,7 @@
 type lateShare struct {
 	running      int // late streams of this entry
 	arrivals     arrivalRate
-	meanDuration time.Duration // of the streams that have ended
+	meanDuration time.Duration // mean duration of ended streams
 }
 
 // durationSmoothing is the inverse weight of one duration in the mean.
@@ -41,8 +41,8 @@
 	r.placedAt = time.Time{}
 }
 
-// canAdmit reports whether one more late stream may start, if capacity is the number of streams in
-// this entry's part of the group.
+// canAdmit reports whether one more late stream may start. capacity is this entry's share of the
+// streams that the groups of the service can run.
 func (l *lateShare) canAdmit(capacity float64) bool {
 	if ablate.Off(ablate.LateShare) {
 		return true
@@ -51,7 +51,7 @@
 	return float64(l.running) < capacity-onTimeStreams
 }
 
-// lateShareOf returns the share of late streams of a service and creates it if needed. The lock
+// lateShareOf returns the limit on late streams for a service and creates it if needed. The lock
 // must be held.
 func (tr *Tracker) lateShareOf(service string) *lateShare {
 	l := tr.lateShares[service]
@@ -75,7 +75,7 @@
 	arrivalDecay          = 0.75 // weight of the previous mean at each update, so that the rate follows within a second
 )
 
-// update takes the total number of requests that have arrived so far.
+// update computes the rate from the total number of requests that have arrived so far.
 func (a *arrivalRate) update(total int, now time.Time) {
 	if a.updatedAt.IsZero() {
 		a.total, a.updatedAt = total, now
--- a/placing/limit.go
+++ b/placing/limit.go
@@ -15,8 +15,8 @@
 	// copySlowdown is the factor on pass time while ranks copy experts, which they do after each
 	// shift of demand. Source: the platform's statement.
 	copySlowdown = 1.15
-	// maxPlannedImbalance caps the recent peak imbalance that the limit allows for. A higher cap
-	// would admit fewer streams than the usual load of a group needs.
+	// maxPlannedImbalance caps the recent peak imbalance from which the stream limit is computed. A
+	// higher cap would admit fewer streams than the usual load of a group needs.
 	maxPlannedImbalance = 3.5
 	// initialImbalance is the imbalance of the expert map that engines start with. That map deals
 	// out experts in turn, so the busiest rank holds several experts with a multiple of the mean
@@ -24,8 +24,8 @@
 	initialImbalance = 3.5
 	// defaultImbalance is assumed while no imbalance of the group is known.
 	defaultImbalance = 2.5
-	// minStreams is the smallest limit. If the objective allows fewer streams, it counts as
-	// unreachable and all slots may be used.
+	// minStreams is the smallest stream limit of a target. If the event-gap objective allows fewer
+	// streams, the objective counts as unreachable and all slots may be used.
 	minStreams = 3
 )
 
@@ -33,9 +33,9 @@
 // objective. A pass has a fixed part, which lasts as long as the slowest rank needs, and a part for
 // each stream, most of which is spent on the busiest expert.
 //
-// It guards against late streams when demand shifts, which happens every few seconds: until the
-// expert map has been rebalanced, passes take two to three times as long, and with all slots in use
-// every stream would be late.
+// The limit guards against late streams when demand shifts, which happens every few seconds: until
+// the expert map has been rebalanced, passes take two to three times as long, and with all slots in
+// use every stream would be late.
 //
 // If no number of streams keeps passes short enough, all streams are late in any case. The limit is
 // then the number of slots, because only throughput can still be saved.
@@ -48,9 +48,9 @@
 
 // streamLimitAmong is streamLimit for a group of which only a share of the targets accept requests.
 //
-// It covers an evacuated data centre whose engines still run their experts' part of each pass. The
-// other targets may run more streams each: the experts' work depends on the streams of the whole
-// group, and only the rest depends on the streams of one rank.
+// The targets of an evacuated data centre get no requests, but their engines still run their
+// experts' part of each pass. The other targets may run more streams each: the experts' work
+// depends on the streams of the whole group, and only the rest depends on the streams of one rank.
 func streamLimitAmong(model *serving.EngineModel, gapObjective time.Duration, imbalance, slowdown, accepting float64) float64 {
 	slots := float64(model.Slots)
 	if gapObjective <= 0 || model.StepTimePerStream <= 0 || ablate.Off(ablate.Limit) {
@@ -67,8 +67,8 @@
 }
 
 // prefillPerStep returns the time in nanoseconds that the prompt of a stream adds to each decode
-// step, if the prefill is spread evenly over the steps of the response as under steady load. It is
-// a seventh of the cost of decoding.
+// step, if the prefill is spread evenly over the steps of the response as under steady load. This
+// time is a seventh of the cost of decoding.
 func prefillPerStep(model *serving.EngineModel) float64 {
 	if model.PrefillRate <= 0 || model.MeanOutputTokens <= 0 {
 		return 0
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -17,15 +17,16 @@
 // Permit is the response to a PermitQuery.
 type Permit struct {
 	Granted    bool
-	Wait       time.Duration // until the permit is valid; if denied, until one may be available
-	RetryAfter time.Duration // for a caller that is refused
+	Wait       time.Duration // time until the permit is valid; if denied, until a permit may be available
+	RetryAfter time.Duration // for a caller whose request is refused
 }
 
 // permits spaces out the requests that all entries together send to a target.
 //
-// One entry, the permit owner of the target, issues its permits, and the other entries ask the owner
-// for each request. An even share of the rate for each entry would not work: if there are more
-// entries than the rate allows requests in a few seconds, one request from each already exceeds it.
+// One entry, the permit owner of the target, issues its permits, and the other entries ask the
+// owner for each request. An even share of the rate for each entry would not work: if the entries
+// outnumber the requests that the rate allows in a few seconds, a single request from each entry
+// already exceeds the rate.
 type permits struct {
 	issuingSince time.Time // when this entry became the permit owner; zero: another entry is the owner
 	lastValid    time.Time // when the latest permit becomes valid
@@ -40,7 +41,8 @@
 	// maxPermitInterval is the longest time between two permits. A target with a rate limit near
 	// zero still gets a request now and then, since otherwise it could never report a higher limit.
 	maxPermitInterval = 30 * time.Second
-	// maxRetrySpread is the time over which the returns of refused callers are spread.
+	// maxRetrySpread is the longest time over which the Retry-After times of refused callers are
+	// spread.
 	maxRetrySpread = 5 * time.Second
 )
 
@@ -73,8 +75,8 @@
 	return permit
 }
 
-// nextRetry returns when the next refused caller should return. Each caller gets the time of another
-// permit, because otherwise all callers would return for the same permit.
+// nextRetry returns when the next refused caller should return. Each refused caller gets the time
+// of a different permit, because otherwise all callers would return for the same permit.
 func (p *permits) nextRetry(validAt time.Time, interval time.Duration) time.Time {
 	p.lastRetry = later(p.lastRetry.Add(interval), validAt)
 	if p.lastRetry.Sub(validAt) > maxRetrySpread {
@@ -83,9 +85,9 @@
 	return p.lastRetry
 }
 
-// IssuePermit grants or denies a permit at the permit owner of a target. liveShare is the share of
-// the entries that this entry sees alive: after a network partition each side grants only that
-// share of the rate.
+// IssuePermit grants or denies a permit for a target whose permit owner is this entry. liveShare is
+// the share of the entries that this entry sees alive: after a network partition each side grants
+// only that share of the rate.
 func (tr *Tracker) IssuePermit(run serving.Run, liveShare float64, q PermitQuery, now time.Time) Permit {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/place.go
+++ b/placing/place.go
@@ -16,14 +16,14 @@
 	// slowdownCostThreshold. All ranks of a group wait for a slow rank, so it gets requests last.
 	slowdownCost          = 10.0
 	slowdownCostThreshold = 1.3
-	// slowRankThreshold is the slowdown from which a rank counts as slow and gets no requests. Each
-	// of its streams and each of its prompts would prolong the passes of all ranks by that many
-	// times as much as on another rank.
+	// slowRankThreshold is the slowdown from which a rank counts as slow and gets no requests. A
+	// stream or prompt on a slow rank prolongs the passes of all ranks by that many times as much
+	// as on another rank.
 	slowRankThreshold = 2.0
 )
 
-// withoutSlowRanks leaves out targets with a slowdown of slowRankThreshold or more, as long as these
-// are at most half of the targets.
+// withoutSlowRanks returns the targets with a slowdown below slowRankThreshold, or all targets if
+// these are fewer than half.
 //
 // It guards against one rank of a full group that takes many times as long as usual: streams on
 // that rank prolong all passes so much that no stream can end on time. The fixed part of a pass on
@@ -66,7 +66,8 @@
 	return best
 }
 
-// hasSlowRank reports whether any group has a rank at slowRankThreshold or above.
+// hasSlowRank reports whether any group has a rank with a slowdown of slowRankThreshold or more, by
+// current load reports.
 func (tr *Tracker) hasSlowRank(pools []groupPool, now time.Time) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -123,11 +124,12 @@
 	// get no preference. An entry with idle connections to more than two samples of targets is busy
 	// enough to have a connection to most targets that it samples.
 	maxIdleConnTargets = 2 * sampleSize
-	// dialCost only breaks ties between targets with equally many requests.
+	// dialCost is the placement cost of opening a connection. It only breaks ties between targets
+	// with equally many requests.
 	dialCost = 0.25
 )
 
-// sampleTargets returns a random sample of the targets. It reorders targets.
+// sampleTargets returns a random sample of the targets. It reorders the slice that it is given.
 func (tr *Tracker) sampleTargets(targets []*serving.Target, count int) []*serving.Target {
 	count = min(count, len(targets))
 	for i := range count {
@@ -137,8 +139,8 @@
 	return slices.Clone(targets[:count])
 }
 
-// withIdleConn returns the targets to which this entry has an open and idle connection, if these are
-// few among many targets.
+// withIdleConn returns the targets to which this entry has an open and idle connection. It returns
+// nil if these are many, or if there are few targets in all.
 //
 // It guards against a new connection for each request: with many entries that each have a request
 // now and then, and many targets, this entry has hardly ever used a random target recently. So
--- a/placing/ratelimit.go
+++ b/placing/ratelimit.go
@@ -13,7 +13,7 @@
 // its responses.
 type RateLimit struct {
 	Run  serving.Run
-	Rate float64 // requests a second; Unlimited: it reports no limit any more
+	Rate float64 // requests a second; Unlimited: the target reports no limit any more
 }
 
 // Unlimited is the rate of a target that reports no limit.
@@ -38,7 +38,7 @@
 	minRateChange = 0.1
 )
 
-// rateLimits are the rate limits of targets, by run, and the permits that follow from them.
+// rateLimits holds the rate limits of targets and the state of their permits, by run.
 type rateLimits struct {
 	byRun    map[serving.Run]*rateLimit
 	cold     map[serving.Run]*coldPermits // cold targets of which this entry is the permit owner
@@ -47,7 +47,7 @@
 
 type rateLimit struct {
 	rate       float64
-	reportedAt time.Time // latest time at which the target is taken to have reported the rate
+	reportedAt time.Time // time at which the target is assumed to have last reported the rate
 	learntAt   time.Time // when this entry learnt of the latest change
 	permits    permits
 }
@@ -56,7 +56,7 @@
 type permitBackoff struct {
 	until        time.Time // time before which no permit is available
 	ownerRetryAt time.Time // time before which the permit owner is not asked, because it did not respond
-	cold         bool      // true: the target is cold; false: it has a rate limit, with which the backoff ends
+	cold         bool      // true: the target is cold; false: the target has a rate limit, and the backoff ends when the limit is removed
 }
 
 func newRateLimits() rateLimits {
@@ -78,7 +78,7 @@
 // isLimited reports whether a target has a rate limit.
 func (l *rateLimits) isLimited(run serving.Run) bool { return l.rate(run) != Unlimited }
 
-// isBlocked reports whether this entry gets no permit of a target now.
+// isBlocked reports whether this entry sends nothing to a target now for lack of a permit.
 func (l *rateLimits) isBlocked(run serving.Run, now time.Time) bool {
 	backoff := l.backoffs[run]
 	return now.Before(backoff.until) && (backoff.cold || l.isLimited(run))
@@ -90,12 +90,12 @@
 	return l.isLimited(run) || l.isBlocked(run, now)
 }
 
-// update takes in a reported rate limit.
+// update applies a rate limit that a target has reported.
 //
 // Responses may arrive out of order, and gossip arrives late. A lower rate counts if it may be
-// newer than the known rate; a higher rate, or none, counts only if it is certainly newer. A limit
-// that is kept too long costs some capacity, while a limit that is dropped too early overloads the
-// target.
+// newer than the known rate; a higher rate, or the removal of the limit, counts only if it is
+// certainly newer. A limit that is kept too long costs some capacity, while a limit that is dropped
+// too early overloads the target.
 func (l *rateLimits) update(reported RateLimit, bounds TimeBounds, now time.Time) (u RateLimitUpdate) {
 	known := l.byRun[reported.Run]
 	if known == nil {
@@ -125,7 +125,7 @@
 	return u
 }
 
-// isLower reports whether a rate allows less than another.
+// isLower reports whether rate a allows fewer requests than rate b.
 func isLower(a, b float64) bool {
 	return a != Unlimited && (b == Unlimited || a < b)
 }
@@ -148,7 +148,7 @@
 	}
 }
 
-// RecordRateLimit takes in a rate limit that a target reported.
+// RecordRateLimit applies a rate limit that a target reported.
 func (tr *Tracker) RecordRateLimit(reported RateLimit, bounds TimeBounds, now time.Time) RateLimitUpdate {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -166,7 +166,8 @@
 	return Unlimited, time.Time{}
 }
 
-// ReportedRateLimit is a rate limit with its time, as propagated to other entries.
+// ReportedRateLimit is a rate limit with the time at which the target reported it, as propagated to
+// other entries.
 type ReportedRateLimit struct {
 	RateLimit
 	ReportedAt time.Time
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -25,7 +25,7 @@
 type GroupState struct {
 	Name          string
 	Complete      bool        // all ranks are present and the group runs passes
-	Imbalance     float64     // time of the ranks for their experts, as a multiple of that with even loads
+	Imbalance     float64     // time that the ranks spend on their experts, as a multiple of the time with even loads
 	PeakImbalance float64     // recent peak of Imbalance
 	MaxSlowdown   float64     // slowdown of the slowest rank
 	MeanRequests  int         // mean requests per target, running and waiting
@@ -41,8 +41,8 @@
 	ownAtReport int // requests of this entry that were running at the time of the report
 }
 
-// ApplyLoadReport takes in a report on a group of a service and on its targets. loads is by target
-// address.
+// ApplyLoadReport applies a load report on a group of a service and on its targets. loads maps the
+// address of each target to its load.
 func (tr *Tracker) ApplyLoadReport(service string, targets []*serving.Target, loads map[string]RankLoad, state GroupState) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -76,10 +76,10 @@
 // assumeOtherLoad estimates the requests of other entries at each target while there are no
 // reports. The estimate is that each other entry has as many requests as this one.
 //
-// It guards against a stalled leader agent, which sends the reports of its group. Each entry would
-// see only its own requests and fill all targets by itself, and requests that wait inside the
-// engines would be late or abandoned by their callers. Entries get about the same share of the
-// callers, so the estimates add up to about the real load.
+// The estimate is needed while the leader agent of a group, which sends the load reports of the
+// group, is stalled. Without it each entry would see only its own requests and fill all targets by
+// itself, and requests that wait inside the engines would be late or abandoned by their callers.
+// Entries get about the same share of the callers, so the estimates add up to about the real load.
 //
 // The lock must be held.
 func (tr *Tracker) assumeOtherLoad(p *groupPool, now time.Time) {
@@ -99,9 +99,9 @@
 // TargetSnapshot is what the tracker knows of a target.
 type TargetSnapshot struct {
 	Requests    int           // requests at the target
-	ReportAge   time.Duration // age of the report behind these figures
-	Imbalance   float64       // of its group
-	MaxSlowdown float64       // slowdown of the slowest rank of its group
+	ReportAge   time.Duration // age of the latest load report of the target's group
+	Imbalance   float64       // imbalance of the target's group
+	MaxSlowdown float64       // slowdown of the slowest rank in the target's group
 	RateLimit   float64       // reported by the target, in requests a second; Unlimited: none
 }
 
--- a/placing/request.go
+++ b/placing/request.go
@@ -25,8 +25,8 @@
 	// nor as an admission.
 	Requeued bool
 
-	placedAt   time.Time // when it was granted a target
-	placedLate bool      // it was already late at placedAt
+	placedAt   time.Time // when the request was granted a target
+	placedLate bool      // the request was already late at placedAt
 }
 
 // Size is the work that a request requires of a model engine.
--- a/placing/shortage.go
+++ b/placing/shortage.go
@@ -26,7 +26,7 @@
 
 func (s *engineShortage) setSize(ranks int, now time.Time) { s.ranks, s.sizeSetAt = ranks, now }
 
-// update takes the current number of targets of the group.
+// update starts or ends the shortage, by the current number of targets of the group.
 func (s *engineShortage) update(targets int, now time.Time) {
 	switch {
 	case targets >= s.ranks || now.Sub(s.sizeSetAt) > sizeTTL:
--- a/placing/tracker.go
+++ b/placing/tracker.go
@@ -28,9 +28,9 @@
 // TargetState is the tracked state of one target.
 type TargetState struct {
 	target              *serving.Target
-	running             int     // requests of this entry
+	running             int     // requests that this entry runs at the target
 	pendingPromptTokens float64 // prompt tokens of this entry's requests that have no response yet
-	replaced            bool    // another target has taken over its address
+	replaced            bool    // another target has taken over the address of this one
 	reported            reportedLoad
 	group               string // group of which the target is a rank, by the latest report; "": unknown
 }
@@ -75,7 +75,8 @@
 	return tr.targetState(t)
 }
 
-// StartAttempt records the start of an attempt.
+// StartAttempt records the start of an attempt at a target. s is the work that the request
+// requires.
 func (tr *Tracker) StartAttempt(t *serving.Target, s Size) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -96,7 +97,8 @@
 	ts.pendingPromptTokens -= s.PromptTokens
 }
 
-// EndAttempt records the end of an attempt of a request.
+// EndAttempt records the end of an attempt and returns its slot to the headroom of the target's
+// group.
 func (tr *Tracker) EndAttempt(ts *TargetState, r *Request, now time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
