--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -6,8 +6,8 @@
 )
 
 // retryBudget limits the retries of one service over all entries together, within every window.
-// Each entry counts only its own requests and retries and uses an even share of the slack, so
-// entries need no coordination.
+// Each entry counts only its own requests and retries and uses an even share of the slack
+// (RetryBudget.Slack), so entries need no coordination.
 type retryBudget struct {
 	bounds    RetryBudget
 	startedAt time.Time
@@ -20,16 +20,16 @@
 }
 
 type budgetSlot struct {
-	number   int64 // index of the slot, counted from startedAt
+	number   int64 // index of the time slot, counted from startedAt
 	requests float64
 	retries  float64
 }
 
 const (
-	budgetSlotCount      = 24 // 20 cover a window; the rest ensure that no sum covers less
+	budgetSlotCount      = 24 // 20 slots cover a window; with the rest, the sum over all slots never covers less than a window
 	budgetSlotsPerWindow = 20.0
-	// budgetUtilization is the share of the budget that is used. It leaves a margin because
-	// entries come and go, and the entries' counts of each other may be outdated.
+	// budgetUtilization is the share of the budget that is used. It leaves a margin because entries
+	// come and go, and an entry's count of the other entries may be outdated.
 	budgetUtilization = 0.8
 )
 
--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -16,7 +16,7 @@
 	membership *members.Membership
 
 	mu              sync.Mutex
-	peerTopics      map[string][]peers.TopicState // by entry, as of its latest probe or ack
+	peerTopics      map[string][]peers.TopicState // topic states of each peer, as of its latest probe or ack
 	requestedTopics uint8                         // bit set of the topics in open requests to peers
 }
 
@@ -47,7 +47,8 @@
 // run runs the membership protocol until ctx ends.
 func (c *cluster) run(ctx context.Context) { c.membership.Run(ctx) }
 
-// LocalState implements members.Piggyback.
+// LocalState implements members.Piggyback. It returns whether this entry accepts requests, and
+// whether it reaches the store.
 func (c *cluster) LocalState() (ready, store bool) {
 	return c.g.Ready(), c.g.state.isStoreReachable()
 }
@@ -58,7 +59,7 @@
 	return p
 }
 
-// recordEntry adds an entry by its record in the store.
+// recordEntry adds an entry to the membership from its record in the store.
 func (c *cluster) recordEntry(p peers.Presence) { c.membership.AddFromRecord(p) }
 
 // notify propagates this entry's updates to other entries at once.
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -24,7 +24,7 @@
 	queueTime time.Duration
 }
 
-// attempt is a request attempt at one target that has sent a response header.
+// attempt is an attempt of a request whose target has sent a response header.
 type attempt struct {
 	target            *serving.Target
 	targetState       *placing.TargetState
@@ -49,8 +49,8 @@
 	}
 }
 
-// maxSends limits the attempts of a request that certainly did not run, as each of them costs a
-// round trip.
+// maxSends is how often a request that certainly did not run may be sent. The number is limited
+// because each attempt costs a round trip.
 const maxSends = 4
 
 // nextResponse sends the request to a target, and to other targets after failures that permit a
@@ -144,8 +144,8 @@
 func (d *dispatch) awaitAdmission(ctx context.Context, queue *placing.AdmissionQueue) (*serving.Target, *result.Error) {
 	isDown, downFor := d.g.tracker.IsServiceDown(d.r.service.Name, time.Now())
 	queue.SetServiceDown(isDown)
-	// While engines are missing, one request at a time is queued to notice when they are back. The
-	// others are refused.
+	// While engines are missing, one request at a time is queued to notice when the engines are
+	// back. Other requests are refused.
 	if downFor > 0 && queue.HasWaiting() {
 		e := result.New(result.NoTarget, "all groups of service %s have lacked engines for %d ms", d.r.service.Name, downFor.Milliseconds())
 		e.RetryAfter = placing.ShortageRetryAfter(downFor)
@@ -273,7 +273,7 @@
 	return a, nil
 }
 
-// handleSendError records an attempt without a response and returns its result.
+// handleSendError records an attempt that got no response and returns the error for the request.
 func (d *dispatch) handleSendError(ctx context.Context, target *serving.Target, err error) *result.Error {
 	var sendErr *upstream.SendError
 	mayHaveRun := !errors.As(err, &sendErr) || sendErr.MayHaveRun
@@ -333,15 +333,15 @@
 	return nil
 }
 
-// hasAlternative reports whether another target can take the request now. If there is none, the
-// target's own error response is passed to the caller.
+// hasAlternative reports whether another target can take the request now. If no other target can,
+// the target's own error response is passed to the caller.
 func (d *dispatch) hasAlternative() bool {
 	targets := d.g.tracker.AllowedTargets(d.targets(), &placing.Request{AvoidRateLimited: true})
 	return d.g.tracker.Place(targets, d.wasTried, time.Now()) != nil
 }
 
-// endAttempt records the end of an attempt and admits queued requests into the headroom that it
-// leaves.
+// endAttempt records the end of an attempt and admits queued requests into the headroom that the
+// attempt leaves.
 func (g *Gateway) endAttempt(state *placing.TargetState, r *request) {
 	g.tracker.EndAttempt(state, &r.placement, time.Now())
 	g.admitIfQueued(r.service.Name)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,7 +45,7 @@
 
 // Limits on caller connections and requests.
 const (
-	maxHeaderBytes   = 32 << 10 // above any limit in a configuration, which is checked separately
+	maxHeaderBytes   = 32 << 10 // limit of the HTTP server; above any limit in a configuration, which is checked separately
 	maxBodyBytes     = 16 << 20
 	maxCallerConns   = 3000
 	headerTimeout    = 10 * time.Second
@@ -109,8 +109,8 @@
 	g.tasks.Go(g.runMaintenance)
 }
 
-// runMaintenance periodically expires targets, closes connections, starts load followers and
-// admits queued requests.
+// runMaintenance periodically removes expired targets, closes idle connections before their targets
+// do, starts load followers and admits queued requests.
 func (g *Gateway) runMaintenance() {
 	followed := make(map[string]bool)
 	for g.ctx.Err() == nil {
@@ -156,7 +156,8 @@
 	}()
 }
 
-// callerIdleTimeout is longer than any configuration lets callers keep idle connections.
+// callerIdleTimeout is how long the HTTP server keeps an idle caller connection. It exceeds the
+// time that any configuration allows.
 const callerIdleTimeout = time.Minute
 
 // discardLogger drops the log output of fasthttp, as the gateway counts and answers each caller
@@ -256,7 +257,8 @@
 	return e
 }
 
-// leavingRetryAfter is short, as another entry can take the request at once.
+// leavingRetryAfter is the Retry-After that a stopping entry gives. It is short, as another entry
+// can take the request at once.
 const leavingRetryAfter = 20 * time.Millisecond
 
 func (g *Gateway) watchCaller(c *fasthttp.RequestCtx, cancelCause context.CancelCauseFunc) func() {
@@ -269,8 +271,8 @@
 
 // Shares of the shutdown grace.
 const (
-	acceptShare          = 0.4  // new requests are accepted until then
-	exitReserveShare     = 0.05 // left at the end for the exit of the process
+	acceptShare          = 0.4  // share of the grace during which new requests are accepted
+	exitReserveShare     = 0.05 // share at the end of the grace that is left for the process to exit
 	shutdownPollInterval = 100 * time.Millisecond
 )
 
--- a/gateway/heartbeat.go
+++ b/gateway/heartbeat.go
@@ -9,7 +9,7 @@
 
 // PrepareProbe implements members.Piggyback. It adds the state of this entry's topic replicas,
 // failure reports and rate limits to a probe, and requests topics of which the peer has later
-// records. done ends these requests.
+// records. The caller calls done at the end of the probe, which also ends these requests.
 func (c *cluster) PrepareProbe(name string, probe *peers.Heartbeat) (done func()) {
 	probe.Topics = c.topicStates()
 	probe.RequestedTopics = c.requestTopics(name)
@@ -52,7 +52,8 @@
 	c.requestedTopics &^= topics
 }
 
-// topicStates returns up to which offset this entry has each topic, and how old the replica is.
+// topicStates returns, for each topic, the offset up to which this entry has the records and the
+// age of its replica.
 func (c *cluster) topicStates() []peers.TopicState {
 	now := time.Now()
 	replica := c.g.state
@@ -68,8 +69,8 @@
 	return states
 }
 
-// ceilMS converts to milliseconds, rounded up. Rounding down would make the age up to 1 ms too
-// low with each entry that passes it on.
+// ceilMS converts an age to milliseconds, rounded up. Rounding down would understate the age by up
+// to 1 ms at each entry that passes it on.
 func ceilMS(age time.Duration) uint32 {
 	return uint32((age + time.Millisecond - 1) / time.Millisecond)
 }
@@ -87,8 +88,9 @@
 }
 
 // HandleAck implements members.Piggyback. The age of the peer's data counts from the time when the
-// probe was sent, so its freshness is never overstated, however many entries pass it on. Data in a
-// probe has no such bound: the probe may have been delivered late if this process was paused.
+// probe was sent, so the freshness of the data is never overstated, however many entries pass it
+// on. Data in a probe has no such bound: the probe may have been delivered late if this process was
+// paused.
 func (c *cluster) HandleAck(ack *peers.Heartbeat, sent time.Time) {
 	c.recordPeerTopics(ack)
 	changed := c.applyFailureReports(ack.FailureReports)
@@ -108,8 +110,8 @@
 	}
 }
 
-// completeAsOf returns the latest time at which a peer's topic was surely complete, given when the
-// probe was sent.
+// completeAsOf returns the latest time at which a peer's replica of a topic was surely complete.
+// sent is when the probe that the peer acknowledged was sent.
 func completeAsOf(state *peers.TopicState, sent time.Time) time.Time {
 	return sent.Add(-time.Duration(state.AgeMS) * time.Millisecond)
 }
@@ -181,6 +183,7 @@
 	return time.Duration(state.AgeMS) * time.Millisecond
 }
 
-// minFreshnessGain is well above the network delay between two entries, and a small part of the
-// interval between two reads of a topic.
+// minFreshnessGain is how much fresher a peer's replica must be to count as an update. It is well
+// above the network delay between two entries, and a small part of the interval between two reads
+// of a topic.
 const minFreshnessGain = 300 * time.Millisecond
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -20,14 +20,14 @@
 	group      string // "": the reader is searching for a group without a reader
 	client     *peers.Client
 	engineAddr string   // engine whose agent was picked last
-	rosterID   uint64   // identifies engines
+	rosterID   uint64   // identifies the list in engines
 	engines    []string // engine addresses of the group, in the order of the loads in reports
 	anyAgent   bool     // every agent has the loads, not only the leader
 }
 
 // Intervals between polls. In a large group every agent has the loads. In a small group all entries
-// poll the leader, which has a small part of a core; the interval per entry limits the polls of all
-// entries to 250 a second.
+// poll the leader agent, which may use only a small part of a CPU core; the interval per entry
+// limits the polls of all entries to 250 a second.
 const (
 	loadsInterval         = 120 * time.Millisecond
 	loadsIntervalPerEntry = 4 * time.Millisecond
@@ -43,8 +43,8 @@
 	return max(loadsInterval, time.Duration(r.g.cluster.liveCount())*loadsIntervalPerEntry)
 }
 
-// poll requests the loads once and applies them. It returns false if the next poll is to wait for
-// loadsRetryDelay, and true also if only the leader's address has been learnt.
+// poll requests the loads once and applies them. It returns true if it has received the loads or
+// only the leader's address, and false if the next poll is to wait for loadsRetryDelay.
 func (r *loadReader) poll(ctx context.Context) bool {
 	if r.client == nil && !r.connectAgent() {
 		return false
@@ -107,7 +107,8 @@
 	r.client = nil
 }
 
-// connectAgent picks an agent at random. An agent without the loads names the leader to poll.
+// connectAgent picks an agent at random to poll. An agent without the loads responds with the
+// address of the leader, which is polled next.
 func (r *loadReader) connectAgent() bool {
 	snap := r.g.state.snapshot()
 	if snap == nil {
@@ -145,7 +146,7 @@
 		r.rosterID, r.engines = loads.Roster, loads.Engines
 	}
 	if len(r.engines) != len(loads.Running) || len(r.engines) != len(loads.Waiting) {
-		r.rosterID = 0 // the loads belong to another roster; request its engines with the next poll
+		r.rosterID = 0 // the loads belong to another list of engines, which the next poll requests
 		return
 	}
 	now := time.Now()
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -16,7 +16,7 @@
 
 // HeaderNames are the names of the headers that callers and targets use.
 type HeaderNames struct {
-	RequestID   string // of one attempt of a caller; echoed by targets
+	RequestID   string // identifies one attempt of a caller; echoed by targets
 	Deadline    string // remaining time in milliseconds
 	Key         string // API key of the caller's team; never forwarded
 	Team        string // team name, sent to the target
@@ -50,12 +50,12 @@
 	// DecodeTarget decodes a record of serving.TopicTargets.
 	DecodeTarget func(id string, value []byte) (serving.Target, error)
 
-	DrainTimeout            time.Duration // within it a leaving target stops getting new requests
-	ConfigApplyTimeout      time.Duration // within it an accepted configuration is in force
+	DrainTimeout            time.Duration // time within which a leaving target must stop getting new requests
+	ConfigApplyTimeout      time.Duration // time within which an accepted configuration must be in force
 	TargetHeartbeatInterval time.Duration // interval between two records of a live target
-	ShutdownGrace           time.Duration // from the order to stop until the process ends
+	ShutdownGrace           time.Duration // time from the order to stop until the process must end
 	MaxDirectoryTTL         time.Duration // upper limit of the TTL of directory answers
-	MaxDirectoryAddresses   int           // per directory answer; 0: no limit
+	MaxDirectoryAddresses   int           // maximum number of addresses in a directory answer; 0: no limit
 	RetryBudget             RetryBudget
 	AgentPort               string                                  // port of the lockstep agents
 	Dial                    func(address string) members.PeerClient // returns a client for another entry; nil: TCP
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -19,7 +19,8 @@
 	// maxPermitRequests is the number of permits that may be denied to a request before it avoids
 	// targets that report a rate limit.
 	maxPermitRequests = 2
-	// permitTimeout is many times the network delay between two entries of a region.
+	// permitTimeout limits the wait for the answer of a permit owner. It is many times the network
+	// delay between two entries of a region.
 	permitTimeout = 100 * time.Millisecond
 	// permitOwnerRetryDelay is how long this entry sends nothing to a target whose permit owner
 	// did not answer.
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -16,9 +16,9 @@
 // maxBufferedBytes limits a response that is buffered completely before delivery.
 const maxBufferedBytes = 16 << 20
 
-// servePlain delivers the complete response of a target. The response is buffered first. If it
-// breaks off, the request can thus be retried at another target, and callers never get a partial
-// response.
+// servePlain delivers the complete response of a target. The response is buffered first. If the
+// target's connection breaks in the middle, the request can thus be retried at another target, and
+// callers never get a partial response.
 func (g *Gateway) servePlain(ctx context.Context, c *fasthttp.RequestCtx, d *dispatch) (*attempt, *result.Error) {
 	for {
 		a, e := d.nextResponse(ctx, "")
--- a/gateway/ratelimit.go
+++ b/gateway/ratelimit.go
@@ -11,8 +11,8 @@
 )
 
 // recordRateLimit records the rate limit that a target reports in a response, or that the target
-// reports none. Only a sealed success proves the latter: another process at the target's address
-// may omit the header.
+// reports none. Only a success with a seal proves that the target reports none: another process at
+// the target's address may omit the header.
 func (g *Gateway) recordRateLimit(a *attempt) {
 	names := &g.opts.Headers
 	header := &a.resp.Header
@@ -73,10 +73,10 @@
 	return peers.Rate{Target: rate.Run.ID, StartedAtMS: rate.Run.StartedAtMS, PerSecond: rate.Rate, AgeMS: ageMS(rate.ReportedAt, now)}
 }
 
-// applyRateMessages merges rate limits from another entry. For rate limits in an ack, sent is when
-// the probe was sent. For rate limits in a probe it is zero: the probe may have been delivered late
-// if this process was paused. propagate means that other entries should be notified at once,
-// orderUnknown that the sender should be probed to learn which value is newer.
+// applyRateMessages merges rate limits from another entry. For rate limits in an ack, sent is the
+// time when the probe was sent. For rate limits in a probe, sent is zero: the probe may have been
+// delivered late if this process was paused. propagate means that other entries should be notified
+// at once. orderUnknown means that the sender should be probed to learn which value is newer.
 func (c *cluster) applyRateMessages(messages []peers.Rate, sent time.Time) (propagate, orderUnknown bool) {
 	now := time.Now()
 	for i := range messages {
--- a/gateway/reader.go
+++ b/gateway/reader.go
@@ -12,13 +12,13 @@
 // Times of reads from the store. Most are shares of time limits that the platform sets; the rest of
 // each limit is left for the read itself, a failed read, and the propagation to peers.
 const (
-	targetsLeadShare    = 0.35 // of the time within which a leaving target must stop getting requests
-	targetsFollowShare  = 0.5  // the same, for entries that are usually notified by a peer
-	configWaitShare     = 0.45 // of the time within which a configuration must be in force
+	targetsLeadShare    = 0.35 // share of the time within which a leaving target must stop getting requests
+	targetsFollowShare  = 0.5  // share of the same time, for entries that are usually notified by a peer
+	configWaitShare     = 0.45 // share of the time within which a configuration must be in force
 	configFollowShare   = 0.6
 	entriesReadInterval = 10 * time.Second
-	// takeoverSpreadShare: if the entries that should read fail, the others take over one after
-	// the other, spread over this share of the limit.
+	// takeoverSpreadShare is the share of the time limit over which the other entries take over
+	// one after the other, if the entries that should read the store fail.
 	takeoverSpreadShare = 0.25
 	minReadDelay        = 100 * time.Millisecond
 	maxReadDelay        = 500 * time.Millisecond
@@ -29,7 +29,7 @@
 type readSchedule struct {
 	topic          serving.Topic
 	leadAge        time.Duration // age of the replica at which the first entry reads
-	followAge      time.Duration // age at which the next entry reads
+	followAge      time.Duration // age of the replica at which the next entry reads
 	takeoverSpread time.Duration // additional age for the last entry
 	pollWait       time.Duration // how long a read of the first entry waits in the store for changes
 }
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -47,8 +47,8 @@
 // Entries that start together have usually found each other by then.
 const firstAloneReadAge = 500 * time.Millisecond
 
-// aloneReadAge returns the age at which an entry without known peers reads the entry records
-// again; ok is false if it knows peers.
+// aloneReadAge returns the age of the replica at which an entry without known peers reads the entry
+// records again; ok is false if the entry knows peers.
 //
 // When a few entries start at the same moment, each may read the entry records before the others
 // have written theirs. Until the next read each entry would announce only itself to callers and
@@ -82,7 +82,7 @@
 	}
 }
 
-// untilNext returns the time until the first of two times that has not passed.
+// untilNext returns the time until first or, if first has passed, until last.
 func untilNext(first, last time.Time) time.Duration {
 	if wait := time.Until(first); wait > 0 {
 		return wait
@@ -96,7 +96,8 @@
 	return loaded && g.cluster.liveCount() == 1
 }
 
-// startupPollInterval is a small fraction of startupSpread.
+// startupPollInterval is how often a starting entry checks whether a topic or the first snapshot
+// has arrived. It is a small fraction of startupSpread.
 const startupPollInterval = 20 * time.Millisecond
 
 // awaitSnapshot returns the current snapshot. During startup it waits briefly for the first one:
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/upstream"
 )
 
-// request is a caller's request. It is handled under the same snapshot from start to end.
+// request is a caller's request. It is handled under one configuration snapshot from start to end.
 type request struct {
 	id              string
 	arrived         time.Time
@@ -27,7 +27,7 @@
 	priority        int
 	placement       placing.Request // input for placement
 	upstreamRequest upstream.Request
-	resumeAfter     string // last event that the caller already has
+	resumeAfter     string // id of the last event that the caller already has
 }
 
 // hopByHopHeaders concern a single connection and are not forwarded.
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// parseSize parses the token counts of a request. Length hints are right at the median and often
-// far off. Where a request states no count, the model's mean is used.
+// parseSize parses the token counts of a request. Length hints are right at the median, but a
+// single hint is often far off. Where a request states no count, the model's mean is used.
 func parseSize(tokens, hint string, model *serving.EngineModel) placing.Size {
 	var size placing.Size
 	if model == nil {
@@ -170,7 +170,8 @@
 	return headers
 }
 
-// requestForAttempt returns the request to a target with the headers of this attempt.
+// requestForAttempt returns the request to send to a target, with the headers that differ per
+// attempt.
 func (r *request) requestForAttempt(names *HeaderNames, target *serving.Target, now time.Time, resumeAfter string) *upstream.Request {
 	req := r.upstreamRequest
 	req.Fields = append(make([]upstream.Field, 0, len(r.upstreamRequest.Fields)+3), r.upstreamRequest.Fields...)
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -41,7 +41,7 @@
 	onEntryRecord  func(p peers.Presence)    // called for each record of an entry
 }
 
-// outageHeartbeats defines an outage of the store: no entry has read the targets for so many
+// outageHeartbeats defines an outage of the store: no entry has read the targets for this many
 // heartbeat intervals of targets. Target records lapse after three intervals without a heartbeat,
 // and the first of these may have passed just before the outage, so no record lapses in a shorter
 // outage.
@@ -292,7 +292,8 @@
 	return true
 }
 
-// expireTargets drops targets that have not come back after an outage.
+// expireTargets drops targets that have not written their records again after an outage of the
+// store.
 func (s *replicaState) expireTargets() {
 	s.mu.Lock()
 	s.applyRecords(serving.TopicTargets, nil)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -142,7 +142,7 @@
 	lateAnswer = "answer"
 )
 
-// lateness returns what made the stream late.
+// lateness returns the cause of a late stream, notLate if the stream was on time.
 func (b *streamBody) lateness() string {
 	route := b.dispatch.r.route
 	switch {
