--- a/serving/config.go
+++ b/serving/config.go
@@ -46,12 +46,12 @@
 	Prefix            string // begins and ends with a slash
 	Kind              Kind
 	Timeout           time.Duration // from a request's arrival to its deadline, unless the caller sets an earlier one
-	LatencyObjective  time.Duration // a response, or the first event of a stream, is on time within it
+	LatencyObjective  time.Duration // time from arrival within which a response, or the first event of a stream, is on time
 	EventGapObjective time.Duration // longest gap between two events of a stream that is on time
 	FirstEventTimeout time.Duration // callers disconnect if the first event takes longer
 	Priority          int           // 0 is the most urgent
 	ServiceWeights    []ServiceWeight
-	MaxAttempts       int // most targets that one request may be sent to
+	MaxAttempts       int // maximum number of attempts of a request, not counting those that certainly did not run
 	Public            bool
 	Resumable         bool // a broken stream may continue at another target
 }
--- a/serving/replica.go
+++ b/serving/replica.go
@@ -52,7 +52,7 @@
 type Replica struct {
 	equivalent func(key string, old, new []byte) bool
 	records    map[string]Record
-	nextOffset uint64 // all records before it are known
+	nextOffset uint64 // all records before this offset are known
 	// removalsKnownFrom is the offset from which on all removals are known: a snapshot does
 	// not contain the removals from before it was read.
 	removalsKnownFrom uint64
@@ -65,15 +65,15 @@
 	Records []Record
 	// FromOffset is the offset before which the receiver must know all records; 0 if Full.
 	FromOffset uint64
-	NextOffset uint64 // the receiver knows all records before it once the update is applied
+	NextOffset uint64 // offset before which the receiver knows all records once the update is applied
 	// Full means that Records holds the newest records of all existing keys.
 	Full bool
 }
 
-// NewReplica returns an empty replica. equivalent reports whether two records of a key have
-// the same meaning, like the records that a target writes only as heartbeats. A record that is
-// equivalent to the known one is not a change and is not sent to peers. If equivalent is nil,
-// every record is a change.
+// NewReplica returns an empty replica. equivalent reports whether two records of a key
+// have the same meaning, as with records that a target writes only as heartbeats. A
+// record that is equivalent to the known one is not a change and is not sent to peers.
+// If equivalent is nil, every record is a change.
 func NewReplica(equivalent func(key string, old, new []byte) bool) *Replica {
 	return &Replica{equivalent: equivalent, records: make(map[string]Record)}
 }
@@ -96,7 +96,7 @@
 // NextOffset returns the offset before which all records are known.
 func (r *Replica) NextOffset() uint64 { return r.nextOffset }
 
-// Apply merges the records before an offset and returns those that are changes.
+// Apply merges records read up to an offset and returns those that are changes.
 func (r *Replica) Apply(records []Record, nextOffset uint64) []Record {
 	var changes []Record
 	for _, rec := range records {
@@ -121,9 +121,9 @@
 	return r.equivalent != nil && len(known.Value) > 0 && len(rec.Value) > 0 && r.equivalent(rec.Key, known.Value, rec.Value)
 }
 
-// ApplySnapshot merges the newest records of all keys as of an offset. A key that is not among
-// them, and whose record is older than that offset, is removed. The result is the list of
-// changes, including removals.
+// ApplySnapshot merges a snapshot: the newest records of all keys as of an offset. A
+// key that is missing from the snapshot is removed if its known record is older than
+// that offset. The result is the list of changes, including removals.
 func (r *Replica) ApplySnapshot(records []Record, end uint64) []Record {
 	seen := make(map[string]bool, len(records))
 	for _, rec := range records {
--- a/serving/targets.go
+++ b/serving/targets.go
@@ -9,7 +9,7 @@
 type Target struct {
 	ID            string
 	StartedAtMS   int64  // start of this run in Unix milliseconds; 0: unknown
-	Sequence      uint64 // numbers the records of one run
+	Sequence      uint64 // number of this record among the records of one run
 	Service       string
 	Address       string
 	DataCentre    string
@@ -17,7 +17,7 @@
 	Slots         int
 	Leaving       bool
 	ColdRemaining time.Duration // remaining cold time (see IsCold) when the record was written
-	ColdUntil     time.Time     // latest end of the cold time
+	ColdUntil     time.Time     // latest time at which the cold time may end
 	// Evacuated means that an operator has ordered the data centre of the target to be
 	// evacuated.
 	Evacuated bool
@@ -78,8 +78,8 @@
 	return &TargetSet{byID: make(map[string]*Target), offsets: make(map[string]uint64), lapsed: make(map[string]time.Time)}
 }
 
-// Put adds or replaces a target by its record at an offset and reports whether the target has
-// changed.
+// Put adds or replaces a target from its record at an offset. It reports whether the
+// target has changed.
 func (s *TargetSet) Put(t Target, offset uint64) bool {
 	known := s.byID[t.ID]
 	if known != nil && !t.isAtLeastAsNewAs(known) {
@@ -94,8 +94,8 @@
 	return true
 }
 
-// Remove removes a target and reports whether the set has changed. If expireAt is later than
-// now, the target stays until then.
+// Remove removes a target and reports whether the set has changed. If expireAt is later
+// than now, the target stays in the set until expireAt.
 func (s *TargetSet) Remove(id string, now, expireAt time.Time) bool {
 	if s.byID[id] == nil {
 		return false
