--- a/upstream/response.go
+++ b/upstream/response.go
@@ -128,8 +128,8 @@
 	return n, err
 }
 
-// Close returns the connection to the pool if the response was read to its end and nothing
-// follows it.
+// Close returns the connection to the pool if the response was read to its end and no
+// further data follows. Otherwise it closes the connection.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -175,7 +175,8 @@
 	return append(b, "\r\n"...)
 }
 
-// maxSkippedResponses limits the responses to other requests that are skipped.
+// maxSkippedResponses limits how many responses to earlier requests are skipped before
+// the response to the current one.
 const maxSkippedResponses = 2
 
 var errOtherRequest = errors.New("response belongs to another request")
