--- a/callers/conn.go
+++ b/callers/conn.go
@@ -50,7 +50,7 @@
 		if l.addConn(addr) {
 			return &Conn{Conn: nc, onClose: func() { l.removeConn(addr) }}, nil
 		}
-		_ = nc.Close() // no lingering close as in Conn.Close, which would need a goroutine
+		_ = nc.Close() // closed at once: a lingering close as in Conn.Close would need a goroutine
 		l.onReject(nc.RemoteAddr())
 	}
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-// Conn is a caller's connection. While a request runs, one byte is read ahead and kept for the
-// server's next read.
+// Conn is a caller's connection. While a request runs, one byte is read ahead to detect
+// a disconnect, and is kept for the server's next read.
 type Conn struct {
 	net.Conn
 	onClose   func()
@@ -92,7 +92,7 @@
 	hasReadAhead bool
 	readErr      error
 
-	// The fields below are used only by the goroutine that writes the response.
+	// corked and pending are used only by the goroutine that writes the response.
 	corked  bool
 	pending *[]byte // data that is not yet written; nil if there is none
 }
@@ -102,8 +102,9 @@
 
 var pendingPool = sync.Pool{New: func() any { b := make([]byte, 0, maxPendingBytes); return &b }}
 
-// Cork makes Write collect data until Flush. The HTTP library flushes after each piece of a
-// body, which would cost one system call each although more data is already available.
+// Cork makes Write collect data until Flush. The HTTP library flushes after each piece
+// of a body, and without Cork each flush would cost a system call although more data is
+// already available.
 func (c *Conn) Cork() { c.corked = true }
 
 // Uncork stops collecting data and flushes.
