--- a/route/cacheindex.go
+++ b/route/cacheindex.go
@@ -7,8 +7,9 @@
 
 // CacheIndex is an entry's estimate of which prompt blocks the engines have cached: a
 // bit mask of targets for each block. Cache events arrive late and some are lost, so
-// matches are discounted by a confidence for each target. Memory is fixed: a full set
-// evicts its blocks in turn, and an evicted block only costs a match.
+// matches are discounted by a confidence for each target. Memory is fixed: each block
+// has its place in one cacheSet. A full set evicts its blocks in turn, and an evicted
+// block only costs a match.
 type CacheIndex struct {
 	sets       []cacheSet
 	confidence [IndexTargets]float64
@@ -18,10 +19,11 @@
 // IndexTargets is the number of targets that one index can hold.
 const IndexTargets = 64
 
-// cacheWays is the number of blocks in a set.
+// cacheWays is the number of blocks in a cacheSet.
 const cacheWays = 8
 
-// cacheSet holds blocks that map to the same set by their hash.
+// cacheSet holds the cached blocks whose hashes select this set, with a mask of targets
+// for each.
 type cacheSet struct {
 	keys   [cacheWays]uint64
 	masks  [cacheWays]uint64
@@ -32,7 +34,7 @@
 // each batch that follows without a gap.
 const (
 	gapFactor     = 0.5
-	recoveryStep  = 0.05 // part of the missing confidence regained with a batch
+	recoveryStep  = 0.05 // part of the missing confidence that one batch restores
 	minConfidence = 0.05
 )
 
--- a/route/cost.go
+++ b/route/cost.go
@@ -8,11 +8,12 @@
 	Decode float64 // tokens to generate
 }
 
-// PromptTokenWeight is the cost of a prompt token in generated tokens. It is below 1
-// because engines compute many prompt tokens in a step.
+// PromptTokenWeight is the cost of a prompt token, as a multiple of the cost of a
+// generated token. It is below 1 because engines compute many prompt tokens in a step.
 const PromptTokenWeight = 0.1
 
-// DecodeEquivalent returns the cost in generated tokens, for shares and rate limits.
+// DecodeEquivalent returns the cost as a number of generated tokens, the unit of shares
+// and rate limits.
 func (c Cost) DecodeEquivalent() float64 { return c.Prompt*PromptTokenWeight + c.Decode }
 
 // PlainCost is the cost of a request to a plain service.
--- a/route/fairqueue.go
+++ b/route/fairqueue.go
@@ -19,21 +19,22 @@
 	lastOrder   uint64
 }
 
-// fairCreditTokens bounds how far a team may fall behind its share. Without this credit a
-// team within its share would wait after each of its long answers as if it were over its
-// share. With it a team that was idle goes first for at most this many tokens.
+// fairCreditTokens bounds how many tokens a team's received service may fall behind its
+// share. Without this credit a team within its share would wait after each of its long
+// answers as if it were over its share. With the credit a team that was idle goes first
+// for at most this many tokens.
 const fairCreditTokens = 4000.0
 
 // teamQueue holds the queued requests and the share of one team.
 type teamQueue struct {
 	name       string
-	startTag   float64 // virtual time at which the next request of the team is due
+	startTag   float64 // virtual time at which the next request of the team is due to start
 	items      itemHeap
 	heapIndex  int     // in FairQueue.waiting, -1 if the team has no queued requests
 	queuedCost float64 // in tokens
 	weight     float64
 
-	windowStart time.Duration // start of the window of servedCost
+	windowStart time.Duration // start of the window in which servedCost is counted
 	servedCost  float64
 	costRate    float64 // tokens a second served while the team has queued requests; 0: unknown
 }
@@ -160,8 +161,9 @@
 	return true
 }
 
-// Charge corrects the service that a team has received once the true cost of a request is
-// known. extra is the difference to the estimated cost in tokens and may be negative.
+// Charge corrects the cost that is counted for a team once the true cost of a request
+// is known. extra is the true cost minus the estimated cost in tokens and may be
+// negative.
 func (q *FairQueue) Charge(team string, weight, extra float64) {
 	if t := q.teams[team]; t != nil || extra > 0 {
 		t = q.team(team)
@@ -194,7 +196,8 @@
 	return sum / speed
 }
 
-// costAhead returns the cost of the team's queued requests of a priority or higher.
+// costAhead returns the cost of the team's queued requests that have at least the given
+// priority.
 func (t *teamQueue) costAhead(priority int8) float64 {
 	sum := 0.0
 	for _, it := range t.items {
--- a/route/home.go
+++ b/route/home.go
@@ -8,13 +8,13 @@
 	return team + "\x00" + service + "\x00" + key
 }
 
-// KeyHash returns the hash by which processes name a DedupKey to each other. A hash
-// collision can make the outcome of a request look uncertain, but never makes a request
-// run twice.
+// KeyHash returns the hash that stands for a DedupKey in messages between processes. A
+// hash collision can make the outcome of a request look uncertain, but never makes a
+// request run twice.
 func KeyHash(dedupKey string) uint64 { return xxhash.Sum64String(dedupKey) }
 
-// Fingerprint returns a hash that identifies a request of a caller over repeats, which
-// have new request ids.
+// Fingerprint returns a hash that stays the same when a caller repeats a request under
+// a new request id.
 func Fingerprint(team, service string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/route/limit.go
+++ b/route/limit.go
@@ -27,8 +27,8 @@
 	minDemandChange      = 0.02             // part of the limit; a smaller change is not propagated at once
 	demandRefreshPeriods = 2                // periods after which an unchanged demand is propagated again
 	minDemand            = 0.01             // requests a second; less counts as none
-	minShare             = 0.02             // part of the total demand for a member without demand, so that its first request is not refused
-	nonMemberShare       = 0.04             // part of a limit for all entries together that are not members
+	minShare             = 0.02             // part of the total demand that counts for a member without demand, so that its first request is not refused
+	nonMemberShare       = 0.04             // part of a limit that all entries which are not members share
 	burstPeriod          = DemandPeriod     // a full bucket holds the tokens of this time
 )
 
@@ -51,8 +51,8 @@
 	b.filledAt = now
 }
 
-// waitFor returns the time until the bucket holds enough tokens for a request; zero: it does
-// already.
+// waitFor returns the time until the bucket holds enough tokens for a request; zero if
+// it holds enough now.
 func (b *tokenBucket) waitFor(need, rate float64) time.Duration {
 	need = min(need, max(1, rate*burstPeriod.Seconds()))
 	if b.level >= need {
@@ -64,7 +64,8 @@
 	return seconds((need - b.level) / rate)
 }
 
-// nonMemberRetryAfter is the retry delay where the rate is zero and no wait would suffice.
+// nonMemberRetryAfter is the retry delay for a rate of zero, at which no wait would
+// suffice.
 const nonMemberRetryAfter = 5 * time.Second
 
 // TeamLimiter enforces one entry's share of a team's limits. Times are durations since an
@@ -72,7 +73,7 @@
 type TeamLimiter struct {
 	requests, tokens       tokenBucket
 	inFlight               int
-	requestsInPeriod       float64                 // in this period, refused ones included
+	requestsInPeriod       float64                 // requests in this period, refused ones included
 	smoothedDemand         float64                 // requests a second
 	propagatedDemand       float64                 // requests a second, as last propagated to the other members
 	periodsSincePropagated int                     // periods since the last propagation
--- a/route/place.go
+++ b/route/place.go
@@ -42,7 +42,7 @@
 
 // Request holds the properties of a request that placement uses.
 type Request struct {
-	DataCentre string          // of the entry
+	DataCentre string          // data centre of the entry
 	Avoid      map[string]bool // targets that failed this request
 	Cost       Cost
 	Blocks     []uint64 // chained hashes of the prompt's blocks, see BlockHashes
@@ -107,8 +107,9 @@
 	Scorer      Scorer
 	NearSamples int // targets sampled in the entry's data centre
 	FarSamples  int // targets sampled elsewhere
-	// WaitSlack is how much longer than at an idle target the first token may take before
-	// the agent sends the request back to be placed again; zero: no bound.
+	// WaitSlack is how much longer the first token may take than at an idle target;
+	// zero: no bound. If it would take longer, the agent sends the request back to be
+	// placed again.
 	WaitSlack time.Duration
 }
 
@@ -132,11 +133,11 @@
 	DefaultWaitSlack        = 30 * time.Millisecond
 )
 
-// MaxWait returns the wait for the first token up to which the agent of a candidate accepts
-// the request; zero: no bound. The agent knows the load of its target exactly, the entry
-// only from an older report. A request that the agent sends back has not run and costs one
-// round trip. Without this bound, entries that read the same old reports would overload the
-// same targets.
+// MaxWait returns the longest wait for the first token at which the agent of a
+// candidate still accepts the request; zero: no bound. The agent knows the load of its
+// target exactly, the entry only from an older report. A request that the agent sends
+// back has not run and costs one round trip. Without this bound, entries that read the
+// same old reports would overload the same targets.
 func (p *Placer) MaxWait(r *Request, c *Candidate) time.Duration {
 	if p.WaitSlack <= 0 {
 		return 0
@@ -144,7 +145,8 @@
 	return seconds(ownWaitSeconds(r, &c.Target)) + p.WaitSlack
 }
 
-// maxCached bounds the candidates that are added for their cached prompt.
+// maxCached bounds how many candidates are added because they probably have the prompt
+// cached.
 const maxCached = 2
 
 // Pick stores the placement decision for a request in d.
--- a/route/quarantine.go
+++ b/route/quarantine.go
@@ -28,24 +28,24 @@
 	crashes  []crashRecord
 }
 
-// suspect is the state of one request by its fingerprint.
+// suspect is the state of one request that was running on a target that crashed.
 type suspect struct {
 	rejected  bool
 	expiresAt time.Time
 }
 
 type crashRecord struct {
-	id       uint64 // of the crash report
+	id       uint64 // id of the crash report
 	at       time.Time
-	suspects []uint64 // fingerprints
+	suspects []uint64 // fingerprints of the requests that ran on the target
 }
 
 const (
-	suspectTTL          = time.Minute      // after the latest crash
-	rejectTTL           = 5 * time.Minute  // after the crash that identified the request
-	unrelatedWindow     = 30 * time.Second // before and after a crash
-	crashTTL            = 10 * time.Minute // longer than agents repeat a crash report
-	minUnrelatedCrashes = 3                // crashes at which the suspect was not running
+	suspectTTL          = time.Minute      // time that a request stays a suspect after its latest crash
+	rejectTTL           = 5 * time.Minute  // time that a request is rejected after the crash that identified it
+	unrelatedWindow     = 30 * time.Second // time before and after a crash in which other crashes count
+	crashTTL            = 10 * time.Minute // time that a crash is remembered; longer than agents repeat its report
+	minUnrelatedCrashes = 3                // a suspect is not rejected after this many crashes at which it was not running
 	maxSuspects         = 4096
 )
 
@@ -87,9 +87,9 @@
 	return b
 }
 
-// hasUnrelatedCrashes reports whether other targets crashed around the same time without
-// the suspect. Then its second crash proves nothing, and rejecting the request would only
-// add to the outage.
+// hasUnrelatedCrashes reports whether other targets crashed around the same time
+// without running the suspect. Then the suspect's second crash proves nothing, and
+// rejecting the request would only add to the outage.
 func (q *Quarantine) hasUnrelatedCrashes(fingerprint uint64, at time.Time) bool {
 	unrelated := 0
 	for _, c := range q.crashes {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Check returns the action for a request and the time until which it holds.
+// Check returns the action for a request and the time until which this action holds.
 func (q *Quarantine) Check(fingerprint uint64, now time.Time) (QuarantineAction, time.Time) {
 	s := q.suspects[fingerprint]
 	switch {
--- a/route/random.go
+++ b/route/random.go
@@ -19,8 +19,8 @@
 	return int(hi)
 }
 
-// coprime returns a stride that is coprime to n, so that steps of it visit each of n
-// positions once.
+// coprime returns a stride that is coprime to n, so that n steps of this length visit
+// each of n positions once.
 func (r *random) coprime(n int) int {
 	if n <= 2 {
 		return 1
--- a/route/rejections.go
+++ b/route/rejections.go
@@ -11,15 +11,17 @@
 	waits   [maxSendBacks]time.Duration
 }
 
-// A request is sent back at most maxSendBacks times: normalSendBacks times by targets whose
-// load is higher than estimated, and once more by a target that is no better than the best
-// of those. Then the request goes to the best of these targets, which must accept it.
+// A request is sent back at most maxSendBacks times: normalSendBacks times by targets
+// whose load is higher than estimated, and once more by a target whose wait
+// is longer than the shortest one so far. Then the request goes to the target with the
+// shortest wait, which must accept it.
 const (
 	maxSendBacks    = 3
 	normalSendBacks = 2
 )
 
-// Add records that a target sent the request back, and the wait that it expected.
+// Add records that a target sent the request back, and the wait that the target
+// expected.
 func (h *RejectionHistory) Add(target string, wait time.Duration) {
 	if h.n < maxSendBacks {
 		h.targets[h.n], h.waits[h.n] = target, wait
@@ -52,8 +54,8 @@
 	return target, ok
 }
 
-// MaxWait returns the wait up to which the next target accepts the request. firstMaxWait is
-// the wait that the first attempt accepts; zero: no bound.
+// MaxWait returns the longest wait at which the next target accepts the request.
+// firstMaxWait is the longest wait that the first attempt accepts; zero: no bound.
 func (h *RejectionHistory) MaxWait(firstMaxWait time.Duration) time.Duration {
 	if h.n < normalSendBacks || firstMaxWait == 0 {
 		return firstMaxWait
--- a/route/retry.go
+++ b/route/retry.go
@@ -11,7 +11,7 @@
 // whole gets little more load than its callers send. The zero value is the budget of a
 // service without traffic so far.
 type RetryBudget struct {
-	tokens float64 // saved retries; at least -maxOverdraft
+	tokens float64 // retries saved for later; at least -maxOverdraft
 }
 
 const (
@@ -61,10 +61,11 @@
 	RetryFree               // the attempt cost its target nothing; retry elsewhere at once
 )
 
-// RetryRuleFor returns the rule for a failed attempt with a result code. A non-repeatable
-// request is retried only if it is certain that the attempt did not run, or at the same
-// home after a lost connection: the home has the key in its deduplication table, so the
-// retry joins the first run and can't become a second one.
+// RetryRuleFor returns the rule for a failed attempt with a result code. A
+// non-repeatable request is retried only if it is certain that the attempt did not run,
+// or at the same home (the one target that may run it) after a lost connection: the
+// home has the key in its deduplication table, so the retry joins the first run and
+// can't become a second one.
 func RetryRuleFor(code result.Code, repeatable bool) RetryRule {
 	switch code {
 	case result.TargetLeaving:
--- a/route/speed.go
+++ b/route/speed.go
@@ -8,9 +8,9 @@
 	tokensPerSlotSec float64 // decode speed for each busy slot
 	meanAnswerTokens float64
 	window           time.Duration // length of the current window so far
-	windowTokens     float64       // generated in the current window
+	windowTokens     float64       // tokens generated in the current window
 	slotSeconds      float64       // busy slots times seconds in the current window
-	lastAt           time.Duration // of the latest RecordRunning
+	lastAt           time.Duration // time of the latest call of RecordRunning
 }
 
 // lineFit fits a base and a slope to observations with exponentially decaying weights.
--- a/route/subset.go
+++ b/route/subset.go
@@ -22,10 +22,10 @@
 	EntriesFar         = 4
 )
 
-// UsesTarget reports whether the entry self uses a target of a fleet of the given size. Each
-// target selects its entries by rendezvous hashing, so every target is used by the same
-// number of entries, and an entry that joins or leaves changes the subsets of only the
-// targets that it gains or loses.
+// UsesTarget reports whether the entry self uses a target of a fleet of the given size.
+// Each target selects its entries by rendezvous hashing, so every target is used by the
+// same number of entries, and an entry that joins or leaves changes the selection of
+// only the targets that it gains or loses.
 func UsesTarget(self Node, entries []Node, target, dataCentre string, fleet int) bool {
 	if fleet <= MaxFullMeshTargets {
 		return true
--- a/route/targetqueue.go
+++ b/route/targetqueue.go
@@ -35,10 +35,10 @@
 	work *Work // work of the entry that sent the request
 
 	startedAt         time.Duration // start in the engine
-	promptTokensAhead float64       // prompt tokens in the engine at the start, its own included
-	prefilled         bool          // prompt computed
+	promptTokensAhead float64       // prompt tokens in the engine when the job started, the job's own included
+	prefilled         bool          // the prompt has been computed
 	generatedTokens   float64
-	remainingDecode   float64 // its part of TargetQueue.decodeTokens
+	remainingDecode   float64 // the job's part of TargetQueue.decodeTokens
 }
 
 // Admission is the result of TargetQueue.Offer.
@@ -54,8 +54,8 @@
 
 // AdmissionBounds are the time limits of a request; zero means no limit.
 type AdmissionBounds struct {
-	TimeLeft time.Duration // until the deadline
-	MaxWait  time.Duration // for the first token
+	TimeLeft time.Duration // time until the deadline
+	MaxWait  time.Duration // maximum wait for the first token
 }
 
 // NewTargetQueue returns a queue with room for maxQueued requests, for an engine that
@@ -217,8 +217,8 @@
 // engine.
 const (
 	slotsPerReserved    = 8     // one slot in this many is reserved
-	promptWindowSeconds = 0.015 // prefill time of the prompts in the engine
-	minPromptTokens     = 1024  // prompt tokens in the engine that are always allowed
+	promptWindowSeconds = 0.015 // prefill time of the prompts in the engine from which only underserved teams start jobs
+	minPromptTokens     = 1024  // prompt tokens in the engine that never hold back a team
 )
 
 // canStart reports whether the engine has room for the next queued job.
--- a/route/wait.go
+++ b/route/wait.go
@@ -4,9 +4,9 @@
 // penalties.
 type WaitScorer struct {
 	RemotePenaltySec float64 // for a target in another data centre
-	// LoadPenaltySec is the penalty for a full engine. It falls in proportion to the
-	// occupied slots, because among targets without a queue the target with fewer requests
-	// generates faster.
+	// LoadPenaltySec is the penalty for a full engine. A partly occupied engine gets
+	// the occupied part of it, because among targets without a queue the target with
+	// fewer requests generates faster.
 	LoadPenaltySec float64
 }
 
@@ -60,8 +60,8 @@
 	firstTokenBaseSec, prefillPerSec, tokensPerSec float64 // over the targets that have reported speeds
 }
 
-// RecordSpeeds moves the mean speeds towards the speeds that a target has reported. n is the
-// number of targets.
+// RecordSpeeds moves the mean speeds towards the speeds that a target has reported. n
+// is the number of targets of the service.
 func (m *LoadMeans) RecordSpeeds(t *Target, n int) {
 	if t.PrefillPerSec <= 0 || t.TokensPerSec <= 0 {
 		return
@@ -86,7 +86,7 @@
 }
 
 // RecordLoad moves the mean loads towards the loads of a new report. n is the number of
-// targets.
+// targets of the service.
 func (m *LoadMeans) RecordLoad(own, others Work, n int) {
 	step := 1 / float64(2*max(1, n))
 	m.Own.moveToward(own, step)
