--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -25,7 +25,7 @@
 	engines   map[string][]string    // engine addresses by group
 	readers   map[string]*loadReader // by group
 	searching bool                   // a reader is looking for a group
-	noGroupAt map[string]time.Time   // by engine address: when a search there last failed
+	noGroupAt map[string]time.Time   // when a search for a group last failed, by engine address
 }
 
 const (
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Gateway is a running entry.
+// Gateway is a running entry, the load balancer process that callers connect to.
 type Gateway struct {
 	opts            Options
 	ctx             context.Context
@@ -35,7 +35,7 @@
 	peerServer      *peers.Server
 	inFlight        atomic.Int64
 	stopping        atomic.Bool
-	refuseAfter     atomic.Pointer[time.Time] // new requests are refused from then on; nil: not stopping
+	refuseAfter     atomic.Pointer[time.Time] // time from which new requests are refused; nil: the gateway is not stopping
 	started         time.Time
 
 	mu           sync.Mutex
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -32,7 +32,7 @@
 	loadsInterval         = 120 * time.Millisecond
 	loadsIntervalPerEntry = 4 * time.Millisecond
 	loadsTimeout          = 300 * time.Millisecond
-	loadsRetryDelay       = 400 * time.Millisecond // after a failed poll
+	loadsRetryDelay       = 400 * time.Millisecond // pause after a failed poll
 )
 
 // pollInterval returns the pause until the next poll.
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -17,16 +17,16 @@
 // HeaderNames are the names of the headers that callers and targets use.
 type HeaderNames struct {
 	RequestID   string // identifies one attempt of a caller; echoed by targets
-	Deadline    string // remaining time in milliseconds
+	Deadline    string // time left until the caller's deadline, in milliseconds
 	Key         string // API key of the caller's team; never forwarded
 	Team        string // team name, sent to the target
 	Instance    string // id of the target run that may handle the request
 	NotRun      string // in a response: the target did not run the request
 	FaultAt     string // in a response: the target that caused the failure
 	RateLimit   string // in a response: requests per second that the target accepts from all entries together
-	Seal        string // in a response: proof that it comes from the target itself
+	Seal        string // in a response: proof that the response comes from the target itself
 	ResumeAfter string // id of the last event that the caller of a stream has
-	Priority    string // 0 is the most urgent
+	Priority    string // priority of the request; 0 is the most urgent
 	Tokens      string // prompt tokens and maximum output tokens, separated by a comma
 	LengthHint  string // the caller's estimate of the output tokens
 }
@@ -66,7 +66,7 @@
 
 // RetryBudget limits the retries of a service over all entries together.
 type RetryBudget struct {
-	Ratio  float64 // retries per request
-	Slack  float64 // additional retries per window
+	Ratio  float64 // retries allowed per request
+	Slack  float64 // additional retries allowed per window
 	Window time.Duration
 }
--- a/gateway/ratelimit.go
+++ b/gateway/ratelimit.go
@@ -56,7 +56,7 @@
 // Limits on the number of rate limits in one message.
 const (
 	maxGossipRates    = 16
-	maxFullStateRates = 2048 // to an entry that asks for the full state
+	maxFullStateRates = 2048 // limit of a message to an entry that asks for the full state
 )
 
 // rateMessages returns the known rate limits of at most limit targets, for other entries.
--- a/gateway/reader.go
+++ b/gateway/reader.go
@@ -30,7 +30,7 @@
 	topic          serving.Topic
 	leadAge        time.Duration // age of the replica at which the first entry reads
 	followAge      time.Duration // age of the replica at which the next entry reads
-	takeoverSpread time.Duration // additional age for the last entry
+	takeoverSpread time.Duration // additional age at which the last entry reads
 	pollWait       time.Duration // how long a read of the first entry waits in the store for changes
 }
 
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -20,7 +20,7 @@
 	id              string
 	arrived         time.Time
 	deadline        time.Time // earlier of the caller's deadline and the route's
-	callerDeadline  time.Time // from the caller's header, or the route's timeout
+	callerDeadline  time.Time // deadline by the caller's header, or else by the route's timeout
 	route           *serving.Route
 	service         *serving.Service
 	team            *serving.Team // nil on a public route
@@ -134,7 +134,7 @@
 		Method:            string(header.Method()),
 		URI:               string(header.RequestURI()),
 		Host:              string(header.Host()),
-		Body:              bytes.Clone(ctx.Request.Body()), // fasthttp reuses its buffer
+		Body:              bytes.Clone(ctx.Request.Body()), // copied because fasthttp reuses the buffer of the body
 		SendContentLength: len(header.Peek(fasthttp.HeaderContentLength)) > 0 || len(header.Peek(fasthttp.HeaderTransferEncoding)) > 0,
 		EchoHeader:        names.RequestID,
 		EchoValue:         r.id,
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -35,7 +35,7 @@
 	config         *serving.Index
 	targets        *serving.TargetSet
 	evacuated      map[string]bool           // data centres whose targets get no requests
-	outageEndedAt  time.Time                 // end of the last outage of the store for all entries
+	outageEndedAt  time.Time                 // end of the last outage in which no entry reached the store
 	storeFailing   bool                      // this entry's last call to the store failed
 	entryPresences map[string]peers.Presence // by entry name, from the records in the store
 	onEntryRecord  func(p peers.Presence)    // called for each record of an entry
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -21,15 +21,15 @@
 	ctx          context.Context
 	dispatch     *dispatch
 	current      *attempt // running attempt; nil after the last one has failed
-	headAttempt  *attempt // attempt that sent the first event; the response gets its header
+	headAttempt  *attempt // attempt that received the first event; the caller gets the header of its response
 	scanner      eventScanner
 	pending      []byte // complete events not yet delivered
 	pendingRead  int    // bytes of pending already delivered
-	endErr       error  // io.EOF after a complete stream
+	endErr       error  // error that ended the stream; io.EOF after a complete stream
 	failure      *result.Error
 	firstEventAt time.Time
 	lastEventAt  time.Time
-	longestPause time.Duration // between two events
+	longestPause time.Duration // longest pause between two events of the stream
 	onDone       func(b *streamBody)
 }
 
--- a/placing/failurereport.go
+++ b/placing/failurereport.go
@@ -157,7 +157,7 @@
 func (f *failureReports) failureScore(run serving.Run, now time.Time) float64 {
 	lastSuccess := f.lastSuccess(run)
 	isCurrent := func(at time.Time) bool { return at.After(lastSuccess) && now.Sub(at) < failureReportTTL }
-	brokenEntries, timeoutEntries, timeouts := 0, 0, 0 // the first two count entries
+	brokenEntries, timeoutEntries, timeouts := 0, 0, 0 // brokenEntries and timeoutEntries count entries
 	for key, r := range f.reports {
 		if key.run != run {
 			continue
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -171,10 +171,12 @@
 // blocks reports whether the breaker lets no request through now.
 func (b *breaker) blocks(now time.Time) bool { return b.open && now.Before(b.nextProbe) }
 
-// recordProbe records that a request was let through.
+// recordProbe records that a request was sent to the group. The request is the probe if the breaker
+// is open.
 func (b *breaker) recordProbe(now time.Time) { b.nextProbe = now.Add(probeTimeout) }
 
-// RecordGroupRefusal records that a target refused a request because its group is down.
+// RecordGroupRefusal records that a target refused a request because its group is down, and opens
+// the breaker of the group.
 func (tr *Tracker) RecordGroupRefusal(t *serving.Target, now time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -184,15 +186,16 @@
 	tr.group(tr.groupKeyOf(t, now)).breaker = breaker{open: true, nextProbe: now.Add(probeInterval)}
 }
 
-// RecordGroupResponse records that the group of a target runs requests.
+// RecordGroupResponse records that the group of a target runs requests, and closes the breaker of
+// the group.
 func (tr *Tracker) RecordGroupResponse(t *serving.Target, now time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.group(tr.groupKeyOf(t, now)).breaker.open = false
 }
 
-// IsServiceDown reports whether no group of a service runs requests. shortage is how long all of its
-// groups have lacked engines; 0 if at least one group lacks none.
+// IsServiceDown reports whether no group of a service runs requests. shortage is how long all of
+// its groups have lacked engines; 0 if at least one group has all its engines.
 func (tr *Tracker) IsServiceDown(service string, now time.Time) (down bool, shortage time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -20,7 +20,7 @@
 	known       bool
 	onTimeRatio float64 // probability that an on-time request is admitted; 1: there is headroom for all of them
 	onTimeLeft  int     // on-time requests that may still be admitted
-	enqueued    int     // total requests added to the queue when onTimeLeft was computed
+	enqueued    int     // total number of requests added to the queue when onTimeLeft was last computed
 	lateRatio   float64 // probability that a late request is admitted
 	lateLeft    int     // late requests that may still be admitted
 }
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -28,7 +28,7 @@
 // outnumber the requests that the rate allows in a few seconds, a single request from each entry
 // already exceeds the rate.
 type permits struct {
-	issuingSince time.Time // when this entry became the permit owner; zero: another entry is the owner
+	issuingSince time.Time // when this entry became the permit owner; zero: another entry is the permit owner
 	lastValid    time.Time // when the latest permit becomes valid
 	lastRetry    time.Time // latest time that was given to a refused caller as its Retry-After
 }
--- a/placing/place.go
+++ b/placing/place.go
@@ -10,8 +10,8 @@
 
 // Placement costs, in units of one request running at a target.
 const (
-	remoteCost      = 0.1    // target in another data centre; only breaks ties
-	promptTokenCost = 0.0015 // per prompt token that is still to be prefilled
+	remoteCost      = 0.1    // cost of a target in another data centre; only breaks ties
+	promptTokenCost = 0.0015 // cost of each prompt token that is still to be prefilled
 	// slowdownCost is the cost of each unit of slowdown above 1, once the slowdown exceeds
 	// slowdownCostThreshold. All ranks of a group wait for a slow rank, so it gets requests last.
 	slowdownCost          = 10.0
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -18,7 +18,7 @@
 // QueueCounts counts requests in admission queues.
 type QueueCounts struct {
 	OnTime int // requests that can still have their first event on time
-	Late   int // requests that can't
+	Late   int // requests that cannot
 }
 
 // GroupState is the reported state of a group.
@@ -29,7 +29,7 @@
 	PeakImbalance float64     // recent peak of Imbalance
 	MaxSlowdown   float64     // slowdown of the slowest rank
 	MeanRequests  int         // mean requests per target, running and waiting
-	TotalRequests int         // requests at all targets
+	TotalRequests int         // requests at all targets of the group
 	Queued        QueueCounts // requests in the queues of all entries
 	ReportedAt    time.Time
 }
@@ -102,7 +102,7 @@
 	ReportAge   time.Duration // age of the latest load report of the target's group
 	Imbalance   float64       // imbalance of the target's group
 	MaxSlowdown float64       // slowdown of the slowest rank in the target's group
-	RateLimit   float64       // reported by the target, in requests a second; Unlimited: none
+	RateLimit   float64       // rate limit that the target reports, in requests a second; Unlimited: none
 }
 
 // Snapshot returns what is known of a target.
--- a/placing/request.go
+++ b/placing/request.go
@@ -13,8 +13,8 @@
 type Request struct {
 	Arrived          time.Time
 	Priority         int           // 0 is the most urgent
-	LatencyObjective time.Duration // objective for the first event; 0: none
-	MaxWait          time.Duration // maximum time in the admission queue
+	LatencyObjective time.Duration // objective for the time from arrival to the first event; 0: none
+	MaxWait          time.Duration // maximum time that the request may spend in the admission queue
 	Size             Size
 	ExpectedEvents   float64   // estimated number of events in the response; 0: unknown
 	Deadline         time.Time // when the caller gives up; zero: never
--- a/placing/shortage.go
+++ b/placing/shortage.go
@@ -9,7 +9,7 @@
 type engineShortage struct {
 	ranks     int       // number of ranks of the group
 	sizeSetAt time.Time // when ranks was last set
-	startedAt time.Time // when the targets became fewer than the ranks; zero: they are enough
+	startedAt time.Time // when the targets became fewer than the ranks; zero: there are enough targets
 }
 
 // Parameters of engine shortages.
--- a/route/cacheindex.go
+++ b/route/cacheindex.go
@@ -27,7 +27,7 @@
 type cacheSet struct {
 	keys   [cacheWays]uint64
 	masks  [cacheWays]uint64
-	victim uint8 // way that is evicted next
+	victim uint8 // index of the block that is evicted next
 }
 
 // Confidence in a target is halved by each gap in its event batches, and recovers with
--- a/route/eject.go
+++ b/route/eject.go
@@ -13,16 +13,16 @@
 
 type targetHealth struct {
 	consecutiveFailures int
-	ejections           int // reset by a success later than rampUp after the last ejection
+	ejections           int // number of ejections; reset by a success later than rampUp after the last one
 	ejectedUntil        time.Time
 }
 
 const (
-	failuresToEject = 5               // consecutive failures
+	failuresToEject = 5               // consecutive failures after which a target is ejected
 	minEjection     = 2 * time.Second // duration of the first ejection
 	maxEjection     = time.Minute
 	rampUp          = 10 * time.Second // time in which a target returns to its full share
-	minRampShare    = 0.1              // share of its requests that a target gets right after its ejection
+	minRampShare    = 0.1              // share of its usual requests that a target gets right after its ejection has ended
 )
 
 // NewEjector returns an Ejector without any recorded results.
--- a/route/fairqueue.go
+++ b/route/fairqueue.go
@@ -7,9 +7,9 @@
 
 // FairQueue orders queued requests: between teams by weighted shares of cost
 // (start-time fair queueing), and strictly by priority within a team. Other teams use
-// the share that a team leaves idle; the team regains at most fairCreditTokens of it.
-// State is kept only for teams that have queued requests or are ahead of their share.
-// Times are durations since an arbitrary origin.
+// the share that a team leaves idle; the idle team can regain at most fairCreditTokens
+// of that share. State is kept only for teams that have queued requests or are ahead of
+// their share. Times are durations since an arbitrary origin.
 type FairQueue struct {
 	teams       map[string]*teamQueue
 	waiting     teamHeap // teams with queued requests
@@ -30,8 +30,8 @@
 	name       string
 	startTag   float64 // virtual time at which the next request of the team is due to start
 	items      itemHeap
-	heapIndex  int     // in FairQueue.waiting, -1 if the team has no queued requests
-	queuedCost float64 // in tokens
+	heapIndex  int     // index in FairQueue.waiting, -1 if the team has no queued requests
+	queuedCost float64 // cost of the queued requests in tokens
 	weight     float64
 
 	windowStart time.Duration // start of the window in which servedCost is counted
@@ -67,7 +67,7 @@
 	Value     any
 
 	order uint64
-	index int // in its team's heap, -1 if not queued
+	index int // index in the heap of the team, -1 if the request is not queued
 }
 
 // NewFairQueue returns an empty queue.
--- a/route/limit.go
+++ b/route/limit.go
@@ -24,7 +24,7 @@
 const (
 	demandWeight         = 0.5              // weight of the latest period in the smoothed demand
 	demandTTL            = 4 * DemandPeriod // after this time without a report the demand of a member counts as none
-	minDemandChange      = 0.02             // part of the limit; a smaller change is not propagated at once
+	minDemandChange      = 0.02             // part of the limit; a smaller change of demand is not propagated at once
 	demandRefreshPeriods = 2                // periods after which an unchanged demand is propagated again
 	minDemand            = 0.01             // requests a second; less counts as none
 	minShare             = 0.02             // part of the total demand that counts for a member without demand, so that its first request is not refused
@@ -77,7 +77,7 @@
 	smoothedDemand         float64                 // requests a second
 	propagatedDemand       float64                 // requests a second, as last propagated to the other members
 	periodsSincePropagated int                     // periods since the last propagation
-	limits                 Limits                  // as of the latest request
+	limits                 Limits                  // limits of the team as of the latest request
 	memberDemands          map[string]memberDemand // by name of the member
 	lastRequestAt          time.Duration
 }
--- a/route/place.go
+++ b/route/place.go
@@ -17,12 +17,12 @@
 	Reachable  bool // the agent is connected and has sent a load report
 	Leaving    bool
 	EngineUp   bool
-	Ejected    bool // by outlier detection
+	Ejected    bool // the target is ejected by outlier detection
 
 	Slots             int     // requests that the engine decodes concurrently; 0: unknown
 	TokensPerSec      float64 // decode speed of the full engine; 0: unknown
 	FirstTokenBaseSec float64 // part of the time to a first token that does not depend on prompts
-	PrefillPerSec     float64 // prefill speed in prompt tokens; 0: unknown
+	PrefillPerSec     float64 // prefill speed in prompt tokens a second; 0: unknown
 
 	// Others is the work of other entries by the latest load report (see
 	// LoadMeans.DiscountStale). Own is this entry's work by its own count. Because the two
@@ -35,7 +35,7 @@
 
 // Work is a part of a target's load.
 type Work struct {
-	Requests float64 // in the engine or queued at its agent
+	Requests float64 // requests in the engine or queued at its agent
 	Prompt   float64 // uncached prompt tokens not yet computed
 	Decode   float64 // tokens still to generate
 }
@@ -76,9 +76,9 @@
 
 // Candidate is one target that a decision has scored.
 type Candidate struct {
-	Index  int // in the TargetPool
+	Index  int // index of the target in the TargetPool
 	Target Target
-	Score  float64 // seconds
+	Score  float64 // score of the target in seconds; lower is better
 }
 
 // Decision is the result of Placer.Pick with all candidates. The caller may reuse it, so
@@ -126,7 +126,7 @@
 
 // Defaults of a placer; docs/design/0008-placement.md has the figures.
 const (
-	DefaultRemotePenaltySec = 0.002 // round trip between data centres
+	DefaultRemotePenaltySec = 0.002 // time of a round trip between data centres
 	DefaultLoadPenaltySec   = 0.2
 	DefaultNearSamples      = 1
 	DefaultFarSamples       = 1
--- a/route/quarantine.go
+++ b/route/quarantine.go
@@ -11,8 +11,8 @@
 // Decisions about a request.
 const (
 	QuarantineAllow    QuarantineAction = iota
-	QuarantineRunAlone                  // suspected: may only run alone on a target
-	QuarantineReject                    // crashed a target while it ran alone
+	QuarantineRunAlone                  // the request is a suspect and may only run alone on a target
+	QuarantineReject                    // the request crashed a target while it ran alone there
 )
 
 // Quarantine records the requests that ran on targets which crashed. It is not safe for
--- a/route/rejections.go
+++ b/route/rejections.go
@@ -12,9 +12,9 @@
 }
 
 // A request is sent back at most maxSendBacks times: normalSendBacks times by targets
-// whose load is higher than estimated, and once more by a target whose wait
-// is longer than the shortest one so far. Then the request goes to the target with the
-// shortest wait, which must accept it.
+// whose load is higher than estimated, and once more by a target whose wait is longer
+// than the shortest one so far. Then the request goes to the target with the shortest
+// wait, which must accept it.
 const (
 	maxSendBacks    = 3
 	normalSendBacks = 2
--- a/route/speed.go
+++ b/route/speed.go
@@ -4,8 +4,8 @@
 
 // SpeedEstimator estimates the speed of an engine from the progress that its agent observes.
 type SpeedEstimator struct {
-	firstToken       lineFit // seconds to the first token by prompt tokens up to it
-	tokensPerSlotSec float64 // decode speed for each busy slot
+	firstToken       lineFit // seconds to the first token, by the prompt tokens computed before it
+	tokensPerSlotSec float64 // decode speed in tokens a second for each busy slot
 	meanAnswerTokens float64
 	window           time.Duration // length of the current window so far
 	windowTokens     float64       // tokens generated in the current window
@@ -21,7 +21,7 @@
 // all observations are similar, such a fit can return any base, and a target that looks
 // slow by chance would get no requests that could correct the estimate.
 type lineFit struct {
-	base   float64 // close to the shortest time observed
+	base   float64 // base of the fit, close to the shortest time observed
 	xx, xy float64 // decaying sums of x*x and of x*(y-base)
 }
 
@@ -45,12 +45,12 @@
 }
 
 const (
-	lineDecay = 0.98  // averages over about 50 requests
+	lineDecay = 0.98  // weight of the earlier observations; it averages over about 50 requests
 	baseRise  = 0.002 // part of the difference by which the base rises towards a longer time
 )
 
 const (
-	speedWeight = 0.1 // weight of a new observation
+	speedWeight = 0.1 // weight of a new observation of a speed or length in its mean
 	speedWindow = time.Second
 )
 
--- a/route/targetqueue.go
+++ b/route/targetqueue.go
@@ -16,10 +16,10 @@
 	decodeTokens       float64 // tokens still to generate, queued requests included
 	enginePromptTokens float64 // prompt tokens in the engine, not yet computed
 	speed              SpeedEstimator
-	unrecordedTokens   float64          // generated since the last call of recordRunning
+	unrecordedTokens   float64          // tokens generated since the last call of recordRunning
 	started            int              // jobs started so far
-	prefilling         []*Job           // in the engine, prompt not yet computed, in start order
-	workByEntry        map[string]*Work // by entry, queued requests included
+	prefilling         []*Job           // jobs in the engine whose prompt is not yet computed, in start order
+	workByEntry        map[string]*Work // outstanding work by entry, queued requests included
 }
 
 // Job is one request in a TargetQueue.
@@ -28,13 +28,13 @@
 	Cost     Cost
 	Peer     string // entry that sent the request
 	UserData any    // not used by the queue
-	Expired  bool   // removed from the queue because its deadline can't be met any more
+	Expired  bool   // the job was removed from the queue because its deadline can't be met any more
 
-	deadline time.Duration // in the time base of now; 0: none
+	deadline time.Duration // deadline of the job, in the time base of now; 0: none
 
 	work *Work // work of the entry that sent the request
 
-	startedAt         time.Duration // start in the engine
+	startedAt         time.Duration // time when the job started in the engine
 	promptTokensAhead float64       // prompt tokens in the engine when the job started, the job's own included
 	prefilled         bool          // the prompt has been computed
 	generatedTokens   float64
--- a/route/wait.go
+++ b/route/wait.go
@@ -3,7 +3,7 @@
 // WaitScorer scores a target by the estimated time to the first token in seconds, plus
 // penalties.
 type WaitScorer struct {
-	RemotePenaltySec float64 // for a target in another data centre
+	RemotePenaltySec float64 // penalty for a target in another data centre
 	// LoadPenaltySec is the penalty for a full engine. A partly occupied engine gets
 	// the occupied part of it, because among targets without a queue the target with
 	// fewer requests generates faster.
@@ -14,8 +14,8 @@
 // speeds have been measured with the first requests.
 const (
 	defaultSlots         = 64.0
-	defaultTokensPerSec  = 2000.0 // decode speed of a full engine
-	defaultPrefillPerSec = 8000.0 // prefill speed
+	defaultTokensPerSec  = 2000.0 // decode speed of a full engine in tokens a second
+	defaultPrefillPerSec = 8000.0 // prefill speed in prompt tokens a second
 )
 
 // Score implements Scorer.
@@ -57,7 +57,7 @@
 type LoadMeans struct {
 	Own, Others Work
 
-	firstTokenBaseSec, prefillPerSec, tokensPerSec float64 // over the targets that have reported speeds
+	firstTokenBaseSec, prefillPerSec, tokensPerSec float64 // mean speeds of the targets that have reported speeds
 }
 
 // RecordSpeeds moves the mean speeds towards the speeds that a target has reported. n
--- a/serving/config.go
+++ b/serving/config.go
@@ -100,9 +100,9 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int          // connections of one target, over all callers
+	MaxConns   int          // connections that one target accepts, over all callers
 	ColdRate   float64      // requests a second that one cold target takes from all entries together; 0: no limit
-	Engine     *EngineModel // nil for a plain service
+	Engine     *EngineModel // cost model of the engines; nil for a plain service
 }
 
 // Team is a group of callers.
@@ -110,7 +110,7 @@
 	Name              string
 	Keys              []string
 	Priority          int
-	OverridesPriority bool // Priority replaces the route's
+	OverridesPriority bool // the team's Priority replaces the route's
 }
 
 // Limits are the limits on a caller's request and its connection.
@@ -133,7 +133,7 @@
 // Index looks up the routes, teams and services of one configuration. It is immutable.
 type Index struct {
 	Config
-	byHost    map[string][]*Route // longest prefix first
+	byHost    map[string][]*Route // routes of each host, longest prefix first
 	byKey     map[string]*Team
 	byService map[string]*Service
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -22,7 +22,7 @@
 // Request is one request, sent unchanged.
 type Request struct {
 	Method            string
-	URI               string // as sent by the caller
+	URI               string // URI as sent by the caller
 	Host              string
 	Fields            []Field
 	Body              []byte
@@ -50,7 +50,7 @@
 const (
 	dialTimeout     = 600 * time.Millisecond // a few times the longest delay between data centres
 	readBufferBytes = 4 << 10
-	defaultIdleTime = 4 * time.Second        // for targets that send no Keep-Alive timeout
+	defaultIdleTime = 4 * time.Second        // idle time for targets that send no Keep-Alive timeout
 	idleTimeMargin  = 500 * time.Millisecond // margin before the timeout that the target announces
 	maxIdleConns    = 64
 )
@@ -59,7 +59,7 @@
 type Pool struct {
 	addr   string
 	mu     sync.Mutex
-	idle   []*conn // most recently used last
+	idle   []*conn // idle connections, most recently used last
 	closed bool
 	dials  int64
 }
@@ -216,10 +216,10 @@
 	return r, nil
 }
 
-// acquire returns a usable connection and whether it was opened just now. An idle connection
-// is checked first. On a connection that the target has closed, the request would seem to have
-// been sent. On one with unrequested data from the target, the request would get a response that
-// is not its own.
+// acquire returns a usable connection and whether it was opened just now. An idle connection is
+// checked before use: on a connection that the target has closed, the request would seem to have
+// been sent. On a connection with unrequested data from the target, the request would get a
+// response that is not its own.
 func (p *Pool) acquire(ctx context.Context) (c *conn, opened bool, err error) {
 	for {
 		c := p.popIdle()
