--- a/gateway/options.go
+++ b/gateway/options.go
@@ -16,17 +16,17 @@
 
 // HeaderNames are the names of the headers that callers and targets use.
 type HeaderNames struct {
-	RequestID   string // of one attempt of a caller; echoed by targets
-	Deadline    string // remaining time in milliseconds
+	RequestID   string // identifies one attempt of a caller; echoed by targets
+	Deadline    string // time left until the caller's deadline, in milliseconds
 	Key         string // API key of the caller's team; never forwarded
 	Team        string // team name, sent to the target
 	Instance    string // id of the target run that may handle the request
 	NotRun      string // in a response: the target did not run the request
 	FaultAt     string // in a response: the target that caused the failure
 	RateLimit   string // in a response: requests per second that the target accepts from all entries together
-	Seal        string // in a response: proof that it comes from the target itself
+	Seal        string // in a response: proof that the response comes from the target itself
 	ResumeAfter string // id of the last event that the caller of a stream has
-	Priority    string // 0 is the most urgent
+	Priority    string // priority of the request; 0 is the most urgent
 	Tokens      string // prompt tokens and maximum output tokens, separated by a comma
 	LengthHint  string // the caller's estimate of the output tokens
 }
@@ -50,12 +50,12 @@
 	// DecodeTarget decodes a record of serving.TopicTargets.
 	DecodeTarget func(id string, value []byte) (serving.Target, error)
 
-	DrainTimeout            time.Duration // within it a leaving target stops getting new requests
-	ConfigApplyTimeout      time.Duration // within it an accepted configuration is in force
+	DrainTimeout            time.Duration // time within which a leaving target must stop getting new requests
+	ConfigApplyTimeout      time.Duration // time within which an accepted configuration must be in force
 	TargetHeartbeatInterval time.Duration // interval between two records of a live target
-	ShutdownGrace           time.Duration // from the order to stop until the process ends
+	ShutdownGrace           time.Duration // time from the order to stop until the process must end
 	MaxDirectoryTTL         time.Duration // upper limit of the TTL of directory answers
-	MaxDirectoryAddresses   int           // per directory answer; 0: no limit
+	MaxDirectoryAddresses   int           // maximum number of addresses in a directory answer; 0: no limit
 	RetryBudget             RetryBudget
 	AgentPort               string                                  // port of the lockstep agents
 	Dial                    func(address string) members.PeerClient // returns a client for another entry; nil: TCP
@@ -66,7 +66,7 @@
 
 // RetryBudget limits the retries of a service over all entries together.
 type RetryBudget struct {
-	Ratio  float64 // retries per request
-	Slack  float64 // additional retries per window
+	Ratio  float64 // retries allowed per request
+	Slack  float64 // additional retries allowed per window
 	Window time.Duration
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -15,19 +15,19 @@
 	"github.com/heatherrail/heatherrail/upstream"
 )
 
-// request is a caller's request. It is handled under the same snapshot from start to end.
+// request is a caller's request. It is handled under one configuration snapshot from start to end.
 type request struct {
 	id              string
 	arrived         time.Time
 	deadline        time.Time // earlier of the caller's deadline and the route's
-	callerDeadline  time.Time // from the caller's header, or the route's timeout
+	callerDeadline  time.Time // deadline by the caller's header, or else by the route's timeout
 	route           *serving.Route
 	service         *serving.Service
 	team            *serving.Team // nil on a public route
 	priority        int
 	placement       placing.Request // input for placement
 	upstreamRequest upstream.Request
-	resumeAfter     string // last event that the caller already has
+	resumeAfter     string // id of the last event that the caller already has
 }
 
 // hopByHopHeaders concern a single connection and are not forwarded.
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// parseSize parses the token counts of a request. Length hints are right at the median and often
-// far off. Where a request states no count, the model's mean is used.
+// parseSize parses the token counts of a request. Length hints are right at the median, but a
+// single hint is often far off. Where a request states no count, the model's mean is used.
 func parseSize(tokens, hint string, model *serving.EngineModel) placing.Size {
 	var size placing.Size
 	if model == nil {
@@ -134,7 +134,7 @@
 		Method:            string(header.Method()),
 		URI:               string(header.RequestURI()),
 		Host:              string(header.Host()),
-		Body:              bytes.Clone(ctx.Request.Body()), // fasthttp reuses its buffer
+		Body:              bytes.Clone(ctx.Request.Body()), // copied because fasthttp reuses the buffer of the body
 		SendContentLength: len(header.Peek(fasthttp.HeaderContentLength)) > 0 || len(header.Peek(fasthttp.HeaderTransferEncoding)) > 0,
 		EchoHeader:        names.RequestID,
 		EchoValue:         r.id,
@@ -170,7 +170,8 @@
 	return headers
 }
 
-// requestForAttempt returns the request to a target with the headers of this attempt.
+// requestForAttempt returns the request to send to a target, with the headers that differ per
+// attempt.
 func (r *request) requestForAttempt(names *HeaderNames, target *serving.Target, now time.Time, resumeAfter string) *upstream.Request {
 	req := r.upstreamRequest
 	req.Fields = append(make([]upstream.Field, 0, len(r.upstreamRequest.Fields)+3), r.upstreamRequest.Fields...)
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -21,7 +21,7 @@
 // groupTracker is the state that an entry keeps of a group.
 type groupTracker struct {
 	GroupState
-	targets  int // number of its targets
+	targets  int // number of targets in the group
 	breaker  breaker
 	shortage engineShortage
 	headroom headroomShare
@@ -33,7 +33,8 @@
 	assumedOthers float64
 }
 
-// groupTTL is how long a group is kept after its last load report and its last size.
+// groupTTL is how long the state of a group is kept after its latest load report and the latest
+// report of its size.
 const groupTTL = time.Minute
 
 // group returns the state of a group and creates it if needed. The lock must be held.
@@ -84,7 +85,7 @@
 type groupPool struct {
 	TargetPool
 	key        groupKey
-	maxStreams float64 // mean number of streams that a target may run
+	maxStreams float64 // streams that a target may run, as a mean over the targets of the group
 }
 
 // groupPools divides a target pool by the groups of its targets.
@@ -170,10 +171,12 @@
 // blocks reports whether the breaker lets no request through now.
 func (b *breaker) blocks(now time.Time) bool { return b.open && now.Before(b.nextProbe) }
 
-// recordProbe records that a request was let through.
+// recordProbe records that a request was sent to the group. The request is the probe if the breaker
+// is open.
 func (b *breaker) recordProbe(now time.Time) { b.nextProbe = now.Add(probeTimeout) }
 
-// RecordGroupRefusal records that a target refused a request because its group is down.
+// RecordGroupRefusal records that a target refused a request because its group is down, and opens
+// the breaker of the group.
 func (tr *Tracker) RecordGroupRefusal(t *serving.Target, now time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -183,15 +186,16 @@
 	tr.group(tr.groupKeyOf(t, now)).breaker = breaker{open: true, nextProbe: now.Add(probeInterval)}
 }
 
-// RecordGroupResponse records that the group of a target runs requests.
+// RecordGroupResponse records that the group of a target runs requests, and closes the breaker of
+// the group.
 func (tr *Tracker) RecordGroupResponse(t *serving.Target, now time.Time) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.group(tr.groupKeyOf(t, now)).breaker.open = false
 }
 
-// IsServiceDown reports whether no group of a service runs requests. shortage is how long all of its
-// groups have lacked engines; 0 if at least one group lacks none.
+// IsServiceDown reports whether no group of a service runs requests. shortage is how long all of
+// its groups have lacked engines; 0 if at least one group has all its engines.
 func (tr *Tracker) IsServiceDown(service string, now time.Time) (down bool, shortage time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placing/shortage.go
+++ b/placing/shortage.go
@@ -9,7 +9,7 @@
 type engineShortage struct {
 	ranks     int       // number of ranks of the group
 	sizeSetAt time.Time // when ranks was last set
-	startedAt time.Time // when the targets became fewer than the ranks; zero: they are enough
+	startedAt time.Time // when the targets became fewer than the ranks; zero: there are enough targets
 }
 
 // Parameters of engine shortages.
@@ -26,7 +26,7 @@
 
 func (s *engineShortage) setSize(ranks int, now time.Time) { s.ranks, s.sizeSetAt = ranks, now }
 
-// update takes the current number of targets of the group.
+// update starts or ends the shortage, by the current number of targets of the group.
 func (s *engineShortage) update(targets int, now time.Time) {
 	switch {
 	case targets >= s.ranks || now.Sub(s.sizeSetAt) > sizeTTL:
--- a/route/place.go
+++ b/route/place.go
@@ -17,12 +17,12 @@
 	Reachable  bool // the agent is connected and has sent a load report
 	Leaving    bool
 	EngineUp   bool
-	Ejected    bool // by outlier detection
+	Ejected    bool // the target is ejected by outlier detection
 
 	Slots             int     // requests that the engine decodes concurrently; 0: unknown
 	TokensPerSec      float64 // decode speed of the full engine; 0: unknown
 	FirstTokenBaseSec float64 // part of the time to a first token that does not depend on prompts
-	PrefillPerSec     float64 // prefill speed in prompt tokens; 0: unknown
+	PrefillPerSec     float64 // prefill speed in prompt tokens a second; 0: unknown
 
 	// Others is the work of other entries by the latest load report (see
 	// LoadMeans.DiscountStale). Own is this entry's work by its own count. Because the two
@@ -35,14 +35,14 @@
 
 // Work is a part of a target's load.
 type Work struct {
-	Requests float64 // in the engine or queued at its agent
+	Requests float64 // requests in the engine or queued at its agent
 	Prompt   float64 // uncached prompt tokens not yet computed
 	Decode   float64 // tokens still to generate
 }
 
 // Request holds the properties of a request that placement uses.
 type Request struct {
-	DataCentre string          // of the entry
+	DataCentre string          // data centre of the entry
 	Avoid      map[string]bool // targets that failed this request
 	Cost       Cost
 	Blocks     []uint64 // chained hashes of the prompt's blocks, see BlockHashes
@@ -76,9 +76,9 @@
 
 // Candidate is one target that a decision has scored.
 type Candidate struct {
-	Index  int // in the TargetPool
+	Index  int // index of the target in the TargetPool
 	Target Target
-	Score  float64 // seconds
+	Score  float64 // score of the target in seconds; lower is better
 }
 
 // Decision is the result of Placer.Pick with all candidates. The caller may reuse it, so
@@ -107,8 +107,9 @@
 	Scorer      Scorer
 	NearSamples int // targets sampled in the entry's data centre
 	FarSamples  int // targets sampled elsewhere
-	// WaitSlack is how much longer than at an idle target the first token may take before
-	// the agent sends the request back to be placed again; zero: no bound.
+	// WaitSlack is how much longer the first token may take than at an idle target;
+	// zero: no bound. If it would take longer, the agent sends the request back to be
+	// placed again.
 	WaitSlack time.Duration
 }
 
@@ -125,18 +126,18 @@
 
 // Defaults of a placer; docs/design/0008-placement.md has the figures.
 const (
-	DefaultRemotePenaltySec = 0.002 // round trip between data centres
+	DefaultRemotePenaltySec = 0.002 // time of a round trip between data centres
 	DefaultLoadPenaltySec   = 0.2
 	DefaultNearSamples      = 1
 	DefaultFarSamples       = 1
 	DefaultWaitSlack        = 30 * time.Millisecond
 )
 
-// MaxWait returns the wait for the first token up to which the agent of a candidate accepts
-// the request; zero: no bound. The agent knows the load of its target exactly, the entry
-// only from an older report. A request that the agent sends back has not run and costs one
-// round trip. Without this bound, entries that read the same old reports would overload the
-// same targets.
+// MaxWait returns the longest wait for the first token at which the agent of a
+// candidate still accepts the request; zero: no bound. The agent knows the load of its
+// target exactly, the entry only from an older report. A request that the agent sends
+// back has not run and costs one round trip. Without this bound, entries that read the
+// same old reports would overload the same targets.
 func (p *Placer) MaxWait(r *Request, c *Candidate) time.Duration {
 	if p.WaitSlack <= 0 {
 		return 0
@@ -144,7 +145,8 @@
 	return seconds(ownWaitSeconds(r, &c.Target)) + p.WaitSlack
 }
 
-// maxCached bounds the candidates that are added for their cached prompt.
+// maxCached bounds how many candidates are added because they probably have the prompt
+// cached.
 const maxCached = 2
 
 // Pick stores the placement decision for a request in d.
--- a/serving/config.go
+++ b/serving/config.go
@@ -46,12 +46,12 @@
 	Prefix            string // begins and ends with a slash
 	Kind              Kind
 	Timeout           time.Duration // from a request's arrival to its deadline, unless the caller sets an earlier one
-	LatencyObjective  time.Duration // a response, or the first event of a stream, is on time within it
+	LatencyObjective  time.Duration // time from arrival within which a response, or the first event of a stream, is on time
 	EventGapObjective time.Duration // longest gap between two events of a stream that is on time
 	FirstEventTimeout time.Duration // callers disconnect if the first event takes longer
 	Priority          int           // 0 is the most urgent
 	ServiceWeights    []ServiceWeight
-	MaxAttempts       int // most targets that one request may be sent to
+	MaxAttempts       int // maximum number of attempts of a request, not counting those that certainly did not run
 	Public            bool
 	Resumable         bool // a broken stream may continue at another target
 }
@@ -100,9 +100,9 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int          // connections of one target, over all callers
+	MaxConns   int          // connections that one target accepts, over all callers
 	ColdRate   float64      // requests a second that one cold target takes from all entries together; 0: no limit
-	Engine     *EngineModel // nil for a plain service
+	Engine     *EngineModel // cost model of the engines; nil for a plain service
 }
 
 // Team is a group of callers.
@@ -110,7 +110,7 @@
 	Name              string
 	Keys              []string
 	Priority          int
-	OverridesPriority bool // Priority replaces the route's
+	OverridesPriority bool // the team's Priority replaces the route's
 }
 
 // Limits are the limits on a caller's request and its connection.
@@ -133,7 +133,7 @@
 // Index looks up the routes, teams and services of one configuration. It is immutable.
 type Index struct {
 	Config
-	byHost    map[string][]*Route // longest prefix first
+	byHost    map[string][]*Route // routes of each host, longest prefix first
 	byKey     map[string]*Team
 	byService map[string]*Service
 }
