--- a/lockstep/agent.go
+++ b/lockstep/agent.go
@@ -28,8 +28,8 @@
 	State(ctx context.Context) (peers.RankState, error)
 	// ExpertCounts returns how often each expert was selected.
 	ExpertCounts(ctx context.Context) (ExpertCounts, error)
-	// RankExperts returns the experts of this rank in the map in use, by set, and the map's
-	// version.
+	// RankExperts returns the experts of the engine's rank in the map in use, by layer set, and the
+	// map's version.
 	RankExperts(ctx context.Context) ([][]uint16, uint64, error)
 	// Order sends an order. After an error the order may still take effect, at once or
 	// seconds later.
@@ -48,7 +48,7 @@
 // ExpertCounts are the expert selection counts of one engine.
 type ExpertCounts struct {
 	Run    EngineRun
-	Counts []uint64 // selections since the engine started, by set and expert
+	Counts []uint64 // selections since the engine started, by layer set and expert
 }
 
 // PeerClient is the client of another agent. *peers.Client implements it.
@@ -59,14 +59,14 @@
 	Close()
 }
 
-// DialPeer is the usual Options.Dial.
+// DialPeer returns a client of the agent at an address. It is the usual value of Options.Dial.
 func DialPeer(address string) PeerClient { return peers.NewClient(address) }
 
 // Options configure an agent.
 type Options struct {
 	VM         string // name of the agent's VM
 	Engine     Engine // engine on the agent's VM
-	EngineAddr string // address of that engine
+	EngineAddr string // address of the engine on the agent's VM
 	Service    string // service that the engine belongs to
 	PeerAddr   string // address that other agents and entries connect to
 	PeerPort   string // port that every agent listens on
@@ -81,7 +81,7 @@
 	Metrics      *metrics.Set
 }
 
-// Agent is a running agent.
+// Agent is the running agent of one model engine.
 type Agent struct {
 	opts   Options
 	ctx    context.Context
@@ -90,17 +90,17 @@
 	server *peers.Server
 
 	mu                sync.Mutex
-	lastCounts        ExpertCounts // as of the previous read
-	engineStartedAtMS int64        // from the engine's latest report
-	groupName         string       // from the engine's latest report
-	groupRanks        int          // ranks of that group
+	lastCounts        ExpertCounts // expert counts at the previous read
+	engineStartedAtMS int64        // engine start in the engine's latest report, Unix milliseconds
+	groupName         string       // group in the engine's latest report
+	groupRanks        int          // number of ranks of the engine's group
 	leaderAddr        string       // peer address of the leader's agent
 	groupLoads        groupLoads
 	entryQueues       entryQueues
 	proxyArm          peers.ProxyArm
 
 	armToken   chan struct{} // semaphore, held while an arm order or a fence is processed: the two never overlap
-	fence      fence         // guarded by armToken
+	fence      fence         // passes that this agent must not arm for; guarded by armToken
 	mapHistory mapHistory
 	// remoteEngines are clients of leaders' engines that this agent arms as the proxy, by address.
 	remoteEngines map[string]Engine
@@ -146,19 +146,20 @@
 
 // Intervals of the agent's loop.
 const (
-	// roundInterval is the leader's interval. Demand changes within seconds, and a round takes
-	// each agent a few tenths of a millisecond.
+	// roundInterval is the interval between the leader's rounds. Demand changes within seconds, and
+	// a round takes each agent a few tenths of a millisecond.
 	roundInterval = 60 * time.Millisecond
 	// watchInterval is how often a follower checks its own rank.
 	watchInterval = 500 * time.Millisecond
-	// holderInterval is the same at the holder, the rank that holds the group during a switch. It
-	// is shorter because a hold that is not released stalls the whole group.
+	// holderInterval is how often the agent of the holder, the rank that holds the group during a
+	// switch, checks its rank. It is shorter because a hold that is not released stalls the whole
+	// group.
 	holderInterval = 60 * time.Millisecond
-	// heldInterval is the same at the holder while the group is held.
+	// heldInterval is how often the holder's agent checks its rank while the group is held.
 	heldInterval = 20 * time.Millisecond
 )
 
-// run leads the group while this agent's engine is rank 0, and otherwise watches it.
+// run leads the group while this agent's engine is rank 0, and otherwise watches the group.
 func (a *Agent) run() {
 	l := newLeader(a)
 	w := newWatcher(a)
--- a/lockstep/agentclient.go
+++ b/lockstep/agentclient.go
@@ -19,14 +19,15 @@
 	backoff  time.Duration // no request for this long after failedAt
 }
 
-// Backoff after an agent has failed to answer. It starts short: most agents answer again at once,
-// and the counts of an agent's rank are missing while the agent is skipped.
+// Bounds of the backoff after an agent has failed to answer. The backoff starts short: most agents
+// answer again at once, and the expert counts of an agent's rank are missing while the agent is
+// skipped.
 const (
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 1600 * time.Millisecond
 )
 
-// inBackoff reports whether the agent is skipped for now.
+// inBackoff reports whether requests to the agent are skipped for now, after a failure.
 func (c *agentClient) inBackoff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lockstep/changes.go
+++ b/lockstep/changes.go
@@ -30,7 +30,8 @@
 
 // packChanges encodes each change as varints: set, rank, number of experts, experts. After a shift
 // in demand the lists of most ranks change, and every agent relays them to several others while
-// passes are slow. Encoded so, a change takes half the bytes of a separate message.
+// passes are slow. Encoded so, a change takes half the bytes that it would take as a separate
+// message.
 func packChanges(changes []listChange) []byte {
 	var packed []byte
 	for _, c := range changes {
--- a/lockstep/collect.go
+++ b/lockstep/collect.go
@@ -56,7 +56,7 @@
 	if len(q.Subtree) == 0 {
 		state := a.collect(q)
 		if q.LimitMS > 0 && len(state.Bands) > 0 {
-			// Coarse counts are precise enough: they are summed with those of many ranks.
+			// Coarse counts are precise enough: they are summed with the counts of many ranks.
 			state.Bands, state.Coarse = expert.PackCoarse(state.Bands), true
 		}
 		return state
@@ -98,8 +98,8 @@
 	return sum
 }
 
-// newSelections returns how often each expert was selected since the previous call. It returns
-// nil if that is unknown or nothing was selected.
+// newSelections returns how often each expert was selected since the previous call. It returns nil
+// if the counts are unknown or no expert was selected.
 func (a *Agent) newSelections() []float64 {
 	current, err := a.opts.Engine.ExpertCounts(a.ctx)
 	if err != nil {
@@ -153,8 +153,8 @@
 	return d
 }
 
-// addQueueCounts adds to s the counts of requests that are queued at the entries. It covers the
-// entries that query this agent or an agent of its subtree for loads.
+// addQueueCounts adds to s the number of requests that are queued at the entries that query this
+// agent, or an agent of its subtree, for loads.
 func (a *Agent) addQueueCounts(s *peers.RankState) {
 	onTime, late := a.queueCounts()
 	s.QueuedOnTime, s.QueuedLate = uint32(onTime), uint32(late)
--- a/lockstep/entryqueues.go
+++ b/lockstep/entryqueues.go
@@ -3,7 +3,7 @@
 import "time"
 
 // entryQueues holds the latest queue counts of the entries that query this agent for loads. Entries
-// divide the headroom of a group by these counts.
+// use these counts to divide the headroom of a group among themselves.
 type entryQueues struct {
 	byEntry map[string]queueReport
 }
@@ -14,7 +14,8 @@
 	reportedAt   time.Time
 }
 
-// queueReportTTL is several times the interval at which an entry queries for loads.
+// queueReportTTL is how long an entry's counts are used: several times the interval at which an
+// entry queries for loads.
 const queueReportTTL = time.Second
 
 // record sets the queue counts of an entry.
--- a/lockstep/group.go
+++ b/lockstep/group.go
@@ -16,14 +16,14 @@
 // group's ranks are a part.
 type group struct {
 	a                    *Agent
-	members              map[string]*member // by engine address
+	members              map[string]*member // engines of the service by address
 	nextRead             time.Time          // earliest time of the next read of the store
-	readsWhileIncomplete int                // reads since all ranks were last seen
+	readsWhileIncomplete int                // reads of the store since all ranks were last seen
 	model                *serving.EngineModel
-	eventGapObjective    time.Duration // between events of the service's streams
-	ranksMissing         bool          // as of the latest collect
-	lastSearch           time.Time     // when members of other groups were last asked
-	failedSearches       int           // consecutive such searches while ranks were missing
+	eventGapObjective    time.Duration // longest gap between two events of a stream of the service that is on time
+	ranksMissing         bool          // the latest collect did not find all ranks
+	lastSearch           time.Time     // when members of other groups were last asked whether they have joined this one
+	failedSearches       int           // consecutive searches that did not find all ranks
 }
 
 func newGroup(a *Agent) *group { return &group{a: a, members: make(map[string]*member)} }
@@ -33,8 +33,8 @@
 // may wait for more forever. The first reads follow each other quickly, and a failed read is
 // repeated soon.
 //
-// Otherwise an agent that starts while the store is down, or while other engines are still
-// registering, would lead its group only seconds after the last engine has registered. Until
+// With slow first reads, an agent that starts while the store is down, or while other engines are
+// still registering, would lead its group only seconds after the last engine has registered. Until
 // then all streams run on the initial map, on which a pass takes two to three times as long.
 func (g *group) refresh() {
 	now := time.Now()
@@ -60,7 +60,7 @@
 const (
 	minReadInterval    = 250 * time.Millisecond
 	maxReadInterval    = 3 * time.Second
-	failedReadInterval = 250 * time.Millisecond // a few calls a second, by one agent of a group
+	failedReadInterval = 250 * time.Millisecond // short: it causes only a few calls a second, by one agent of a group
 	// maxReadDoublings doublings of minReadInterval exceed maxReadInterval.
 	maxReadDoublings = 4
 )
@@ -153,7 +153,7 @@
 	return g.collectUsing(name, q, (*member).collect)
 }
 
-// collectUsing is collect with another way of asking one member.
+// collectUsing is collect with a function that asks one member for its state.
 func (g *group) collectUsing(name string, q *peers.Collect, ask collectFunc) (ranks []rank, complete bool) {
 	members := g.candidates(name, time.Now())
 	states := make([]peers.RankState, len(members))
@@ -201,10 +201,10 @@
 	return min(minSearchInterval<<min(g.failedSearches, 8), maxSearchInterval)
 }
 
-// candidates returns the members to ask for a group, in order. Members known to belong to
-// another group are left out except in a periodic search. A service may have many groups, and if
-// each leader asked all engines in every round, the load on each agent would grow with the number
-// of groups.
+// candidates returns the members to ask for their state, in the order of sortedMembers. Members
+// known to belong to another group are left out except in a periodic search. A service may have
+// many groups, and if each leader asked all engines in every round, the load on each agent would
+// grow with the number of groups.
 func (g *group) candidates(name string, now time.Time) []*member {
 	members := g.sortedMembers()
 	if now.Sub(g.lastSearch) >= g.searchDelay() {
@@ -262,7 +262,7 @@
 	wait.Wait()
 }
 
-// isComplete reports whether ranks are all ranks of one epoch of a complete group.
+// isComplete reports whether ranks holds every rank of a complete group, all in the same epoch.
 func isComplete(ranks []rank) bool {
 	for i := range ranks {
 		s, first := &ranks[i].state, &ranks[0].state
--- a/lockstep/leader.go
+++ b/lockstep/leader.go
@@ -14,9 +14,9 @@
 	a                 *Agent
 	group             *group
 	epoch             uint64
-	engineStartedAtMS int64           // of rank 0's engine
-	version           uint64          // of layouts
-	layouts           []expert.Layout // in use as far as known, by layer set
+	engineStartedAtMS int64           // start of rank 0's engine, Unix milliseconds
+	version           uint64          // map version of layouts
+	layouts           []expert.Layout // map in use as far as known, by layer set
 	demand            *demand
 	pending           *pendingMap
 	armed             *armedMap
@@ -31,20 +31,20 @@
 	hold          holdTracker
 	roundTime     time.Duration // duration of the latest round
 
-	sentRoster     uint64 // roster of the loads that the agents received last
-	enginesUnknown bool   // some agent lacks the engine list of its loads
+	sentRoster     uint64 // Loads.Roster (hash of the engine list) that the agents received last
+	enginesUnknown bool   // some agent has loads but not the list of engines that they belong to
 }
 
 // passMeter measures how long passes take.
 type passMeter struct {
 	step     uint64
 	lastAt   time.Time
-	mean     time.Duration // decaying mean
+	mean     time.Duration // decaying mean of the pass time
 	loggedAt time.Time
 }
 
-// passHalfLife smooths the pass time. Between two observations one or two passes begin, so the pass
-// times of single observations alternate by a factor of two.
+// passHalfLife is the half-life of the mean pass time. Between two observations one or two passes
+// begin, so the pass times of single observations alternate by a factor of two.
 const passHalfLife = 150 * time.Millisecond
 
 // loadLogInterval is the interval between log lines on the group's load.
@@ -119,10 +119,11 @@
 }
 
 // holderRank returns the rank whose engine holds the group during a switch. It is not the leader's
-// rank 0, unless there is no other.
+// rank 0, unless the group has only one rank.
 func holderRank(ranks int) int { return min(1, ranks-1) }
 
-// reset starts over after the group has formed anew. The engines then use the initial map.
+// reset discards what is known of the maps, after the group has formed again. The engines then use
+// the initial map.
 func (l *leader) reset(ranks []rank) {
 	l.epoch, l.engineStartedAtMS = ranks[0].state.Epoch, ranks[0].state.StartedAtMS
 	l.pending, l.armed = nil, nil
@@ -183,18 +184,18 @@
 		"imbalance", logging.Round2(imbalance(l.layouts, l.demand.loads(), slowdowns(ranks), l.group.model)), "version", l.version, "round_ms", l.roundTime.Milliseconds())
 }
 
-// syncMap sets l.layouts to the map in use, and reports whether it succeeded. After a restart of this
-// agent the map in use may be unknown; then it is read from the ranks.
+// syncMap sets l.layouts to the map in use, and reports whether it succeeded. After a restart of
+// this agent the map in use may be unknown; syncMap then reads the map from the ranks.
 func (l *leader) syncMap(ranks []rank) bool {
 	inUse := ranks[0].state.Map
 	for i := range ranks {
 		if ranks[i].state.Map != inUse {
-			return false // some reports are from before a switch
+			return false // some ranks reported before a switch, the others after it
 		}
 	}
 	if next := l.armed; next != nil {
 		if inUse != next.version && ranks[0].state.Step < next.step {
-			return false // the pass that switches has not begun
+			return false // the pass that starts with the armed map has not begun
 		}
 		l.armed = nil
 		if inUse == next.version {
@@ -210,7 +211,7 @@
 // restoreMap sets l.layouts to a map that this leader planned earlier.
 //
 // A switch may succeed unnoticed by its leader, because a response was lost or another agent
-// completed the switch. The leader would then plan from the previous map.
+// completed the switch. Without this lookup the leader would then plan from the previous map.
 func (l *leader) restoreMap(version uint64) bool {
 	at := slices.IndexFunc(l.recentMaps, func(p pendingMap) bool { return p.version == version })
 	if at < 0 {
@@ -291,7 +292,8 @@
 	return factors
 }
 
-// urgency returns the mean pass time divided by the event-gap objective; 1 without an objective.
+// urgency returns the mean pass time divided by the event-gap objective, the longest gap between
+// two events of a stream that is on time; 1 without an objective.
 func (l *leader) urgency() float64 {
 	if l.group.eventGapObjective == 0 {
 		return 1
@@ -299,8 +301,8 @@
 	return float64(l.passTime.mean) / float64(l.group.eventGapObjective)
 }
 
-// imbalancePeak is the recent peak of the imbalance, which decays. Demand that has shifted once
-// is likely to shift again.
+// imbalancePeak holds the imbalance of the map in use and its recent peak, which decays over time.
+// Demand that has shifted once is likely to shift again.
 type imbalancePeak struct {
 	current, peak float64
 	updatedAt     time.Time
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -9,7 +9,8 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// Entries place requests by the loads of a group's ranks, for which they query the agents.
+// Entries, the processes that take requests from callers, place requests by the loads of a group's
+// ranks. They query the agents for these loads.
 //
 // If all entries of a large fleet queried the leader, which has a fraction of a core, each entry
 // could do so only twice a second. It would place requests by stale loads, and requests would queue
@@ -17,14 +18,14 @@
 // to all agents of a large group, an entry may query any of them, and the entries' queue counts
 // return to the leader with the responses.
 
-// groupLoads are the loads that an agent reports to entries.
+// groupLoads are the loads of a group's ranks that an agent reports to entries.
 type groupLoads struct {
 	loads    peers.Loads
 	asOf     time.Time
 	isLeader bool // this agent leads the group
 }
 
-// publishLoads sets the loads that this agent reports while it leads.
+// publishLoads sets the loads that this agent reports to entries while it leads the group.
 func (a *Agent) publishLoads(loads peers.Loads) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,7 +51,8 @@
 	a.groupLoads = next
 }
 
-// enginesUnknown reports whether the agent lacks the engine list of its loads.
+// enginesUnknown reports whether the agent has loads but not the list of engines that they belong
+// to.
 func (a *Agent) enginesUnknown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +90,7 @@
 	return &loads, nil
 }
 
-// buildLoads returns the loads of the ranks for the entries.
+// buildLoads returns the loads of the group's ranks in the message that entries get.
 func (l *leader) buildLoads(ranks []rank, own peers.RankState) peers.Loads {
 	loads := peers.Loads{
 		Known:         true,
@@ -118,8 +120,8 @@
 	return loads
 }
 
-// loadsToSend returns the loads that go with the Collect messages of a round. It returns none for a
-// small group, as entries query its leader and get fresher loads.
+// loadsToSend returns the loads that the leader sends to the agents in the Collect messages of a
+// round. It returns none for a small group: entries query its leader and get fresher loads.
 func (l *leader) loadsToSend(ranks int) peers.Loads {
 	if ranks <= maxDirectRanks {
 		return peers.Loads{}
--- a/lockstep/maps.go
+++ b/lockstep/maps.go
@@ -19,10 +19,11 @@
 // mapEntry is one map of a mapHistory.
 type mapEntry struct {
 	version uint64
-	sets    [][][]uint16 // experts by set and rank
+	sets    [][][]uint16 // experts by layer set and rank
 }
 
-// maxRecentMaps covers the map in use, the one that replaces it, and two that were abandoned.
+// maxRecentMaps is the number of maps that an agent remembers: the map in use, the map that
+// replaces it, and two that were abandoned.
 const maxRecentMaps = 4
 
 // put adds a map and drops the maps of other epochs.
@@ -59,7 +60,8 @@
 	h.epoch, h.maps = 0, nil
 }
 
-// apply returns the result of changes to the map version base; false if that map is unknown.
+// apply applies changes to the map of version base and returns the resulting map; false if that
+// version is unknown or a change does not fit the map.
 func (h *mapHistory) apply(epoch, base uint64, changes []listChange) ([][][]uint16, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +72,8 @@
 	return applyChanges(h.maps[at].sets, changes)
 }
 
-// applyChanges returns the result of changes to base, which it leaves unchanged.
+// applyChanges applies changes to a copy of the map base and returns the copy; false if a change
+// names a layer set or rank that base does not have.
 func applyChanges(base [][][]uint16, changes []listChange) ([][][]uint16, bool) {
 	var sets [][][]uint16
 	for _, ranks := range base {
@@ -94,7 +97,8 @@
 	return sets
 }
 
-// prepareMap orders this agent's engine to prepare a map, which the order may hold as changes.
+// prepareMap orders this agent's engine to prepare a map. The order may hold the map as changes to
+// an earlier one.
 func (a *Agent) prepareMap(o *peers.RankOrder) (peers.OrderResult, error) {
 	full := *o
 	if len(o.Changes) > 0 {
@@ -108,7 +112,8 @@
 	return a.orderLocalEngine(&full)
 }
 
-// applyOrderChanges returns the map that an order holds as changes to its base.
+// applyOrderChanges returns the map that an order holds as changes to an earlier map; false if the
+// changes are malformed or the agent does not have the earlier map.
 func (a *Agent) applyOrderChanges(o *peers.RankOrder) ([][][]uint16, bool) {
 	changes, err := unpackChanges(o.Changes)
 	if err != nil {
@@ -121,9 +126,9 @@
 	return a.mapHistory.apply(o.Epoch, o.Base, changes)
 }
 
-// prepareAll orders ranks to prepare a map. It sends delta, and then full to the ranks whose agents
-// lack the base. It returns the ranks that neither accepted nor refused, and the number that
-// refused.
+// prepareAll orders ranks to prepare a map. It sends delta, which holds the map as changes, and
+// then full, the whole map, to the ranks whose agents lack the map that the changes apply to. It
+// returns the ranks that neither accepted nor refused, and the number that refused.
 func prepareAll(a *Agent, ranks []rank, full, delta *peers.RankOrder) (unanswered []rank, refused int) {
 	var needFull []rank
 	classify := func(ordered []rank, results []peers.OrderResult) {
--- a/lockstep/member.go
+++ b/lockstep/member.go
@@ -13,19 +13,19 @@
 // does not answer.
 type member struct {
 	engineAddr   string       // address of the engine
-	agent        *agentClient // nil: no agent known, or this agent itself
-	engine       Engine       // direct client
+	agent        *agentClient // client of the engine's agent; nil: its address is unknown, or it is this agent
+	engine       Engine       // client of the engine itself
 	localAgent   *Agent       // this agent, if the engine is on its VM
-	missingSince time.Time    // first read of the store that lacked it; zero: the latest read has it
-	agentAddr    string       // peer address of its agent
-	rank         int          // last reported; unknownRank: none yet
-	groupName    string       // last reported; "": none yet
+	missingSince time.Time    // time of the first read of the store that did not list the engine; zero: the latest read listed it
+	agentAddr    string       // peer address of the engine's agent
+	rank         int          // rank that the engine last reported; unknownRank: none yet
+	groupName    string       // group that the engine last reported; "": none yet
 }
 
-// unknownRank sorts members without a known rank last.
+// unknownRank is the rank of members that have reported none. It sorts them last.
 const unknownRank = math.MaxInt
 
-// rank is a member with its reported state.
+// rank is a member with the state that its agent or engine reported.
 type rank struct {
 	*member
 	state peers.RankState
@@ -33,9 +33,11 @@
 
 // Timeouts of requests to other agents.
 const (
-	// askTimeout allows for an agent with a fraction of a core that asks its engine in turn.
+	// askTimeout is the timeout of a request to an agent. It leaves time for an agent with a
+	// fraction of a core to ask its engine in turn.
 	askTimeout = 250 * time.Millisecond
-	// hedgeDelay is several times as long as a round trip to an agent and its engine.
+	// hedgeDelay is the time after which collectHedged asks the engine too. It is several times as
+	// long as a round trip to an agent and its engine.
 	hedgeDelay = 40 * time.Millisecond
 )
 
@@ -45,8 +47,8 @@
 // stateOnly requests a rank's state and nothing else.
 var stateOnly = &peers.Collect{}
 
-// collect asks the member's agent for the state of its rank, or its engine if the agent does not
-// answer.
+// collect asks the member's agent for the state of its rank, or asks the engine itself if the agent
+// does not answer.
 func (m *member) collect(a *Agent, q *peers.Collect) peers.RankState {
 	if m.localAgent != nil {
 		fenced := q.Fence != 0 && a.setFence(fence{epoch: q.Epoch, step: q.Fence})
@@ -67,9 +69,9 @@
 	return m.collectFromEngine(a, q)
 }
 
-// collectFromEngine asks the engine itself. It is only a fallback while the engine's agent is down,
-// since an engine's reports to another VM are billed. Counts are left out because reading them would
-// delay the group.
+// collectFromEngine asks the member's engine for the state of its rank. This is only a fallback
+// while the engine's agent is down, since an engine's reports to another VM are billed. Counts are
+// left out because reading them would delay the group.
 func (m *member) collectFromEngine(a *Agent, q *peers.Collect) peers.RankState {
 	state, err := m.engine.State(a.ctx)
 	if err != nil {
@@ -82,7 +84,8 @@
 	return state
 }
 
-// readExpertsFromEngine adds the experts that the engine itself reports to s.
+// readExpertsFromEngine asks the engine for the experts of its rank and adds them to s, if they are
+// of the map version in s.
 func (m *member) readExpertsFromEngine(a *Agent, s *peers.RankState) {
 	lists, version, err := m.engine.RankExperts(a.ctx)
 	switch {
@@ -124,7 +127,7 @@
 	select {
 	case state := <-answer:
 		if state.Known {
-			return state // it includes the fence state
+			return state // unlike the engine's answer, the agent's includes the fence state
 		}
 	default:
 	}
@@ -135,7 +138,7 @@
 	return directState
 }
 
-// order sends an order to the member's engine.
+// order sends an order to the member's engine, through its agent if possible.
 func (m *member) order(a *Agent, o *peers.RankOrder) peers.OrderResult {
 	if m.localAgent != nil {
 		result, err := a.order(o)
--- a/lockstep/orders.go
+++ b/lockstep/orders.go
@@ -8,13 +8,13 @@
 
 // fence bars this agent from arming ranks for the passes up to a step.
 type fence struct {
-	startedAtMS int64 // run of the engine that the fence applies to; 0: not yet known
+	startedAtMS int64 // start of the engine run that the fence applies to, Unix milliseconds; 0: not yet known
 	epoch       uint64
-	step        uint64 // last fenced pass
+	step        uint64 // number of the last fenced pass
 }
 
-// setFence sets the fence unless a later one of the same run and epoch is set. It returns true once
-// the fence is in force.
+// setFence sets the fence unless a later one of the same run and epoch is set. It returns true: the
+// fence or a later one is in force.
 func (a *Agent) setFence(f fence) bool {
 	a.armToken <- struct{}{}
 	defer func() { <-a.armToken }()
@@ -32,7 +32,8 @@
 	return a.engineStartedAtMS
 }
 
-// bindFence ties a fence that was set before the engine's first report to the reported run.
+// bindFence ties a fence that was set before the engine's first report to the engine run in that
+// report.
 func (a *Agent) bindFence(startedAtMS int64) {
 	a.armToken <- struct{}{}
 	defer func() { <-a.armToken }()
@@ -85,10 +86,10 @@
 
 // orderLocalEngine sends an order to this VM's engine and repeats it if there is no answer.
 //
-// Engines leave some orders unanswered. In a large group that happens at some ranks with every order
-// to all, and the group would stall until the leader notices and orders again. A repetition here
-// costs one round trip within the VM. If the engine did execute the first order, it accepts the
-// repetition as already done or refuses it.
+// Engines leave some orders unanswered. In a large group, every order to all ranks is left
+// unanswered by some of them, and the group would stall until the leader notices and orders again.
+// A repetition here costs one round trip within the VM. If the engine did execute the first order,
+// it accepts the repetition as already done or refuses it.
 func (a *Agent) orderLocalEngine(o *peers.RankOrder) (result peers.OrderResult, err error) {
 	for range localOrderAttempts {
 		result, err = a.opts.Engine.Order(a.ctx, o)
@@ -105,7 +106,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.proxyArm.Accepted && a.proxyArm.Epoch == o.Epoch && a.proxyArm.Step == o.Step {
-		return // a repetition changes nothing
+		return // the engine has accepted this order already
 	}
 	a.proxyArm = o
 }
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -31,14 +31,15 @@
 
 // Parameters of the demand estimate.
 const (
-	recentHalfLife = 80 * time.Millisecond // one or two passes
+	recentHalfLife = 80 * time.Millisecond // the time of one or two passes
 	steadyHalfLife = 700 * time.Millisecond
 	// Demand has shifted if the imbalance of the recent mean is at least shiftRatio times that of
 	// the steady mean plus minShift. Chance raises the recent imbalance by about a tenth, a shift
 	// about doubles it.
 	shiftRatio = 1.2
 	minShift   = 0.05
-	// minSelectionsPerExpert is enough to tell demand from chance within a few percent.
+	// minSelectionsPerExpert is the number of selections per expert that tells demand from chance
+	// within a few percent.
 	minSelectionsPerExpert = 200
 )
 
@@ -99,7 +100,8 @@
 // loads returns the demand to plan for, by set and expert.
 func (d *demand) loads() []float64 { return d.steady.loads }
 
-// decayFactor returns what is left of 1 after time t, interpolated linearly within a half-life.
+// decayFactor returns the factor by which a weight decays in time t: 1/2 for each half-life, with
+// linear interpolation within a half-life.
 func decayFactor(t, halfLife time.Duration) float64 {
 	factor := 1.0
 	for t >= halfLife && factor > 0.01 {
@@ -115,10 +117,10 @@
 // plan is a change of the maps of all layer sets.
 type plan struct {
 	layouts                         []expert.Layout
-	imbalanceBefore, imbalanceAfter float64 // see imbalance
-	copies                          int     // experts that ranks must copy in total
+	imbalanceBefore, imbalanceAfter float64 // results of the function imbalance
+	copies                          int     // number of experts that all ranks together must copy
 	maxCopiesPerRank                int
-	cost                            float64 // see planner
+	cost                            float64 // computed as described at planner
 }
 
 // fitsAllExperts reports whether the ranks have a place for each expert.
@@ -139,17 +141,17 @@
 // which gains nothing by the last percent of balance.
 type planner struct {
 	model       *serving.EngineModel
-	slowdown    []float64 // factor per rank; 1 is normal
+	slowdown    []float64 // slowdown factor of each rank; 1 is normal
 	urgency     float64   // pass time over the event-gap objective
 	switchCosts switchCosts
 	meanStreams float64 // running streams per rank
 }
 
-// switchCosts are decaying means of the time that switches take. It differs with the size of the
-// group, its VMs and their links.
+// switchCosts are decaying means of the times that switches take. These times differ with the size
+// of the group, its VMs and their links.
 type switchCosts struct {
-	overhead time.Duration // from plan to switch, without the copies
-	stall    time.Duration // for which the group is held
+	overhead time.Duration // time from plan to switch, without the time for copies
+	stall    time.Duration // time for which the group is held
 }
 
 // switchCostSmoothing is the reciprocal of the weight of the latest switch in the means.
@@ -168,10 +170,11 @@
 // Parameters of the planner.
 const (
 	maxBalanceSteps = 60
-	// horizonSec is the time over which a gain counts. Demand lasts for some seconds, and how
-	// long it has lasted already is unknown.
+	// horizonSec is the time over which the gain of a plan counts. Demand lasts for some seconds,
+	// and how long it has lasted already is unknown.
 	horizonSec = 2.0
-	// initialSwitchOverhead and initialStall are assumed before the first switch.
+	// initialSwitchOverhead and initialStall are the switch costs that are assumed before the first
+	// switch.
 	initialSwitchOverhead = 150 * time.Millisecond
 	initialStall          = 35 * time.Millisecond
 	// copySlowdown is the share by which passes slow down during copies. Source: the platform's
@@ -208,10 +211,12 @@
 // see expert.Balance.
 const pricePerCopy = 0.3
 
-// largeImbalance is the imbalance from which the map no longer fits.
+// largeImbalance is the imbalance above which the map no longer fits the demand, so that plans with
+// more copies are compared.
 const largeImbalance = 1.35
 
-// imbalance returns the longest rank time over the mean, both summed over the sets.
+// imbalance returns the ratio of the longest rank time to the mean rank time, both summed over the
+// sets.
 func imbalance(layouts []expert.Layout, loads, slowdown []float64, m *serving.EngineModel) float64 {
 	var longest, mean float64
 	for s, layout := range layouts {
@@ -247,8 +252,9 @@
 	return best
 }
 
-// usefulLimits drops limits whose plans save hardly any time against the next larger one. Each plan
-// takes a leader with a fraction of a core some ten milliseconds, during which passes stay slow.
+// usefulLimits drops low limits if copying up to the next higher limit takes hardly any time. A
+// leader with a fraction of a core takes some ten milliseconds for each plan, during which passes
+// stay slow.
 func (pl *planner) usefulLimits(limits []int) []int {
 	for len(limits) > 1 && pl.copyTime(limits[1]) < shortCopyTime {
 		limits = limits[1:]
@@ -256,7 +262,8 @@
 	return limits
 }
 
-// shortCopyTime is less than the time of a pass.
+// shortCopyTime is the copy time below which a limit is too low to be useful. It is less than the
+// time of a pass.
 const shortCopyTime = 50 * time.Millisecond
 
 // planWithLimit balances all sets, the worst first, until each rank has copied up to limit experts.
--- a/lockstep/prepare.go
+++ b/lockstep/prepare.go
@@ -12,9 +12,9 @@
 type pendingMap struct {
 	version   uint64
 	layouts   []expert.Layout
-	copyTime  time.Duration // of the rank with the most copies
+	copyTime  time.Duration // time that the rank with the most experts to copy needs
 	plannedAt time.Time
-	orderedAt time.Time // latest prepare order
+	orderedAt time.Time // time of the latest prepare order
 	refusals  int       // ranks that refused the latest prepare order
 }
 
@@ -22,19 +22,20 @@
 type armedMap struct {
 	version uint64
 	layouts []expert.Layout
-	step    uint64 // of that pass
+	step    uint64 // number of the pass that begins with this map
 }
 
 // Limits of the preparation of a map.
 const (
 	prepareAttempts = 6
-	// prepareSlack is added to the copy time before the order is repeated.
+	// prepareSlack is the time beyond the copy time after which the prepare order is repeated.
 	prepareSlack   = 500 * time.Millisecond
 	prepareTimeout = 6 * time.Second
 )
 
-// wantsCounts reports whether a round collects selection counts. Rounds leave them out while a map
-// is copied: without counts a round takes a third of the time, so the switch comes sooner.
+// wantsCounts reports whether a round collects expert selection counts. Rounds leave them out while
+// ranks copy experts for a map: without counts a round takes a third of the time, so the switch
+// comes sooner.
 func (l *leader) wantsCounts() bool {
 	return l.pending == nil || time.Since(l.pending.orderedAt) > l.pending.copyTime+prepareSlack
 }
@@ -51,8 +52,8 @@
 // pendingInterval is the delay between rounds once all ranks should have prepared the pending map.
 const pendingInterval = 10 * time.Millisecond
 
-// versionStride leaves room for a random part in each version. An agent that has restarted and
-// does not know all versions that it assigned must not assign one of them to another map.
+// versionStride is the range of the random part of each map version. An agent that has restarted
+// and does not know all versions that it assigned must not assign one of them to another map.
 const versionStride = 1 << 12
 
 // nextVersion returns a map version above highest.
--- a/lockstep/refusals.go
+++ b/lockstep/refusals.go
@@ -19,7 +19,7 @@
 	maxRefusalBackoff = 16 * time.Second
 )
 
-// record adds a refusal.
+// record records that ranks have refused another map.
 func (r *refusalBackoff) record(now time.Time) {
 	r.consecutive++
 	if r.consecutive == 1 {
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -44,7 +44,7 @@
 	// less than most passes; if it takes longer, the group waits.
 	holdStepsAhead = 1
 	holdAttempts   = 6
-	// retryInterval gives a small engine time to answer. An order within a VM takes a millisecond.
+	// retryInterval gives a slow engine time to answer. An order within a VM takes a millisecond.
 	retryInterval = 10 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 // The step is read from this VM's own engine, since all ranks run each pass together. The holder's
 // agent may answer slowly, as after a restart of the whole fleet, and would delay the switch.
 func holdGroup(a *Agent, holder *member, epoch uint64) (uint64, bool) {
-	unanswered := uint64(0) // step of a hold that may have been accepted
+	unanswered := uint64(0) // step of the latest hold order without an answer, which may have been accepted
 	for range holdAttempts {
 		state, err := a.opts.Engine.State(a.ctx)
 		if err != nil || !state.Known || state.Epoch != epoch || !state.Complete {
@@ -123,7 +123,7 @@
 }
 
 // armAll repeats the arm order until each rank is seen to be armed. It returns false if the switch
-// has ended or this agent is fenced.
+// has ended elsewhere, or if this agent is fenced or stops.
 func armAll(a *Agent, holder *member, ranks []rank, o *peers.RankOrder) bool {
 	remaining := ranks
 	for len(remaining) > 0 {
@@ -192,8 +192,8 @@
 	return false
 }
 
-// sendRelease sends a release to the holder's engine, directly and not through its agent: while an
-// agent is slow to answer, every stream of the group is stalled.
+// sendRelease sends a release to the holder's engine, directly and not through its agent: while a
+// slow agent delays the release, every stream of the group is stalled.
 func sendRelease(a *Agent, holder *member, o *peers.RankOrder) {
 	if holder.localAgent == nil {
 		if _, err := holder.engine.Order(a.ctx, o); err == nil {
--- a/lockstep/tree.go
+++ b/lockstep/tree.go
@@ -21,8 +21,8 @@
 // itself, whichever way and however late an order arrives.
 const (
 	maxDirectRanks = 16 // groups up to this size are asked without a tree
-	maxLeafRanks   = 8  // up to this many ranks are asked without another level in between
-	treeFanOut     = 4  // maximum number of branches of an agent with more ranks
+	maxLeafRanks   = 8  // an agent asks up to this many agents without another level in between
+	treeFanOut     = 4  // maximum number of branches of an agent with more agents below it
 	// hopReserve is the part of its timeout that each agent keeps for its own answer.
 	hopReserve = 50 * time.Millisecond
 )
@@ -62,7 +62,7 @@
 	return answers
 }
 
-// askBranchHead asks one branch through its head.
+// askBranchHead asks the agents of one branch through the branch head, one of these agents.
 func askBranchHead[A any](a *Agent, addresses []string, answers []A, timeout time.Duration, unreachable A, ask branchFunc[A]) {
 	head, headIndex := a.branchHead(addresses)
 	if headIndex < 0 {
@@ -135,7 +135,7 @@
 }
 
 // orderRanks sends one order to ranks, along the tree if there are many. A rank that the order may
-// not have reached has the zero result, as one that did not answer.
+// not have reached has the zero result, like a rank that did not answer.
 func orderRanks(a *Agent, ranks []rank, o *peers.RankOrder) []peers.OrderResult {
 	if len(ranks) <= maxDirectRanks {
 		return orderEach(a, ranks, o)
--- a/lockstep/watch.go
+++ b/lockstep/watch.go
@@ -14,22 +14,22 @@
 type watcher struct {
 	a           *Agent
 	group       *group
-	step        uint64 // of the latest pass
+	step        uint64 // number of the latest pass seen
 	epoch       uint64
 	checkedAt   time.Time // latest progress, or latest check of a stalled group
-	stallSeenAt time.Time // checkedAt before the latest check of a stalled group; start of the stall
-	probedRun   EngineRun // run in which all members were asked for their ranks
+	stallSeenAt time.Time // value of checkedAt before the latest check of a stalled group, taken as the start of the stall
+	probedRun   EngineRun // engine run in which all members were asked for their ranks
 
 	hold holdTracker
 }
 
 // holdTracker remembers when the current hold of a group was first seen.
 type holdTracker struct {
-	step        uint64 // of the held pass
+	step        uint64 // number of the held pass; 0: none
 	firstSeenAt time.Time
 }
 
-// firstSeen returns when the hold before step was first seen.
+// firstSeen returns when the hold of the pass with this step was first seen.
 func (h *holdTracker) firstSeen(step uint64, now time.Time) time.Time {
 	if step != h.step {
 		h.step, h.firstSeenAt = step, now
@@ -37,11 +37,13 @@
 	return h.firstSeenAt
 }
 
-// Timeouts of a stalled group: far longer than any pass, plus a part per rank.
+// Timeouts of a stalled or held group. An agent checks the group for a stall after a time without a
+// new pass that is far longer than any pass, plus a part per rank.
 const (
 	stallTimeout        = 700 * time.Millisecond
 	stallTimeoutPerRank = 50 * time.Millisecond
-	// holdTimeout is twice what arming a large group takes with a live leader, including some
+	// holdTimeout is how long a hold may last before the agent of the held rank recovers the group.
+	// It is twice the time that arming a large group takes with a live leader, including some
 	// repeated orders. An agent that recovers too early does no harm: it fences the pass and
 	// completes the switch.
 	holdTimeout = 90 * time.Millisecond
