--- a/members/clients.go
+++ b/members/clients.go
@@ -53,7 +53,7 @@
 // ErrUnknownEntry is returned by Ask for an entry that is not in the table.
 var ErrUnknownEntry = errors.New("unknown entry")
 
-// Ask sends a request of another kind to an entry, on the connection that probes use.
+// Ask sends a request that is not a probe to an entry, on the connection that probes use.
 func (m *Membership) Ask(ctx context.Context, name string, kind peers.Kind, request msgp.Marshaler, response msgp.Unmarshaler, limit time.Duration) error {
 	client := m.clientFor(name)
 	if client == nil {
--- a/members/membership.go
+++ b/members/membership.go
@@ -46,7 +46,7 @@
 	IncrementCounter func(counter string)
 }
 
-// Membership runs the failure detector and the dissemination of one entry.
+// Membership runs the failure detector of one entry and disseminates its membership updates.
 type Membership struct {
 	opts  Options
 	table *Table
@@ -56,7 +56,7 @@
 	queued        map[string]bool          // names in probeQueue
 	probeQueue    chan string              // names of the entries to probe
 	updatePending chan struct{}            // holds one token while updates wait for dissemination
-	fullSyncDone  bool                     // no full sync is due: one was requested and has not failed
+	fullSyncDone  bool                     // no full sync (request for another entry's whole table) is due: one was sent and has not failed
 }
 
 // Protocol parameters.
@@ -78,13 +78,15 @@
 	disseminationFanOut = 5
 	// disseminationInterval batches updates that arrive together, as when all entries start.
 	disseminationInterval = 30 * time.Millisecond
-	// probeWorkers probe in parallel. A dead entry blocks one of them for probeTimeout.
+	// probeWorkers is the number of goroutines that probe in parallel. A dead entry blocks one
+	// of them for probeTimeout.
 	probeWorkers   = 8
 	probeQueueSize = 256
-	// convergenceTime without updates is enough for all entries to agree. If two digests still
-	// differ, one of the entries has missed updates.
+	// convergenceTime is the time without updates after which the tables of all entries should
+	// be equal. If two digests still differ, one of the entries has missed updates.
 	convergenceTime = time.Second
-	// clientIdleTimeout closes connections to entries that have not been probed for so long.
+	// clientIdleTimeout is the time after which the connection to an entry that has not been
+	// probed is closed.
 	clientIdleTimeout = 4 * time.Second
 )
 
@@ -119,7 +121,7 @@
 	}
 }
 
-// Disseminate triggers probes of some entries, which carry the pending updates.
+// Disseminate triggers probes that carry the pending updates to some entries.
 func (m *Membership) Disseminate() {
 	select {
 	case m.updatePending <- struct{}{}:
@@ -314,8 +316,9 @@
 	return IndirectTimeout
 }
 
-// MergeHeartbeat merges a received probe or ack into the table. If the table held a newer
-// state of the sender than the sender's own, it returns that state, for the sender to refute.
+// MergeHeartbeat merges a received probe or ack into the table. If the table held a newer state
+// of the sender than the message contains, MergeHeartbeat returns the newer state, for the
+// sender to refute.
 func (m *Membership) MergeHeartbeat(h *peers.Heartbeat) (newer *peers.Member) {
 	now := time.Now()
 	changed, newer := m.table.MergeOwnPresence(h.Entry, now)
--- a/members/probeorder.go
+++ b/members/probeorder.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NextToProbe returns the entry to probe next. Every entry that is not lost is returned once a
-// cycle, in an order that is shuffled for each cycle.
+// NextToProbe returns the entry to probe next. Calls go through all entries that are not lost, in
+// cycles, each of them in a new random order.
 func (t *Table) NextToProbe() (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,8 +24,8 @@
 	return "", false
 }
 
-// Suspects returns the entries whose latest probe by this entry failed and that are not declared
-// lost, since no other entry could be asked for an indirect probe.
+// Suspects returns the entries whose latest probe by this entry failed but that are not
+// declared lost, because no other entry could be asked for an indirect probe.
 func (t *Table) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,8 +40,8 @@
 
 // NextLostToProbe returns a random lost entry: an entry may come back without knowing any entry
 // that is alive. It also removes entries that have been lost for longer than lostRetention. An
-// entry that is cut off from the network removes none, since no other entry could send them to
-// it again.
+// entry that is cut off from the network removes none, since no other entry could report the
+// removed entries to it again.
 func (t *Table) NextLostToProbe(now time.Time) (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,8 @@
 	return lost[t.rng.IntN(len(lost))], true
 }
 
-// RandomAlive returns up to count random entries that are alive, without the named one.
+// RandomAlive returns up to count random entries that are alive, except the entry with the
+// given name.
 func (t *Table) RandomAlive(count int, except string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/members/table.go
+++ b/members/table.go
@@ -28,29 +28,30 @@
 	mu          sync.Mutex
 	self        peers.Presence
 	byName      map[string]*member
-	names       []string // of byName, sorted
-	aliveDigest uint64   // XOR of the digests of the members that are not lost
+	names       []string // names of the known entries, sorted
+	aliveDigest uint64   // XOR of the digests of the known entries that are not lost
 	probeOrder  []string // names that remain to be probed in this cycle
 	rng         *rand.Rand
-	lastUpdate  time.Time // time of the latest change
+	lastUpdate  time.Time // time of the latest update on any entry
 }
 
 type member struct {
 	peers.Member
 	digest        uint64
 	nameHash      uint64
-	updatedAt     time.Time // time of the latest change of its state
+	updatedAt     time.Time // time of the latest change of the entry's state
 	transmissions int       // messages that carried this state, sent by this entry or received again
 	lastHeard     time.Time // time of the latest message from the entry itself, or of an update that it is alive
 	lostAt        time.Time
-	failedProbes  int  // consecutive
+	failedProbes  int  // number of consecutive failed probes by this entry
 	unreachable   bool // probes by this entry fail, and no other entry could be asked for an indirect probe
 }
 
 const (
-	// recentContact: an entry that was heard from within this time is probed before a report
-	// of its loss is accepted. Detecting a loss takes longer than this, so the report is stale:
-	// its sender was cut off from the network when it detected the loss.
+	// recentContact is the time after an entry was last heard from during which a report of its
+	// loss is not accepted; the entry is probed instead. Detecting a loss takes longer than
+	// this, so the report is stale: its sender was cut off from the network when it detected
+	// the loss.
 	recentContact = 500 * time.Millisecond
 	// lostRetention is the time after which an entry that stays lost is removed and no longer
 	// probed.
@@ -97,12 +98,13 @@
 	return true
 }
 
-// MergeOwnPresence merges an entry's presence as sent by the entry itself. It replaces the known
-// state even if its incarnation is lower: incarnations come from the clock, which may have been
-// set back before the process restarted, and the entry would otherwise be taken for lost.
+// MergeOwnPresence merges an entry's presence as sent by the entry itself. The presence
+// replaces the known state even if its incarnation is lower: incarnations come from the clock,
+// which may have been set back before the process restarted, and the entry would otherwise be
+// taken for lost.
 //
-// changed is true if the new state is to be disseminated. newer is the state that was known
-// before, if it supersedes the entry's own presence; the entry must refute it.
+// changed is true if the new state is to be disseminated. newer is the previously known state,
+// if that state supersedes the presence; the entry must refute it.
 func (t *Table) MergeOwnPresence(p peers.Presence, now time.Time) (changed bool, newer *peers.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +142,8 @@
 	ToProbe    []string // entries that are reported lost but were heard from recently
 }
 
-// MergeMembers merges the updates that another entry has sent. Some may concern this entry.
+// MergeMembers merges the updates that another entry has sent. Some of the updates may be on
+// this entry.
 func (t *Table) MergeMembers(list []peers.Member, now time.Time) (result MergeResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -265,7 +268,7 @@
 const (
 	IndirectNone    IndirectResult = iota // no other entry could be asked
 	IndirectAck                           // at least one other entry got an ack
-	IndirectTimeout                       // no entry that could be asked got an ack
+	IndirectTimeout                       // other entries were asked, and none of them got an ack
 )
 
 // RecordProbeFailure records a failed direct probe together with the result of the indirect
--- a/members/updates.go
+++ b/members/updates.go
@@ -12,16 +12,18 @@
 
 // Limits on the updates that messages carry.
 const (
-	// lostTransmissions is the number of messages that carry the loss of an entry, for each
-	// doubling of the fleet. Some of them go to dead entries, and more to entries that know of
-	// the loss already.
+	// lostTransmissions is the number of messages in which an entry sends the loss of another,
+	// for each doubling of the fleet. Some of these messages go to dead entries, and more to
+	// entries that know of the loss already.
 	lostTransmissions = 4
-	// aliveTransmissions is the same for other updates; messages that bring the update again
-	// count as well. A lower number is enough: callers lose nothing if an entry learns later of
-	// another one, and these updates are nearly all the traffic when all entries start at once.
+	// aliveTransmissions is the same number for other updates; messages that bring an update to
+	// this entry again count as well. A lower number is enough: callers lose nothing if an
+	// entry learns later of another one, and these updates are nearly all the traffic when all
+	// entries start at once.
 	aliveTransmissions = 2
-	// maxAliveTransmissions bounds these transmissions in large fleets. After so many messages
-	// nearly every entry has the update, and the digest shows the others that they missed one.
+	// maxAliveTransmissions bounds the number of messages for updates other than a loss, in
+	// large fleets. After so many messages nearly every entry has the update, and the digest
+	// shows the others that they missed one.
 	maxAliveTransmissions = 12
 	updateTTL             = 3 * time.Second // messages do not carry older updates
 	maxUpdatesPerMessage  = 64
