--- a/peers/frame.go
+++ b/peers/frame.go
@@ -17,7 +17,7 @@
 // configuration of some thousand routes.
 const maxFrameBytes = 8 << 20
 
-const headerSize = 4 + 1 // payload length, kind
+const headerSize = 4 + 1 // bytes of the payload's length and of the message's kind
 
 // ErrFrame is returned for a frame that cannot be decoded.
 var ErrFrame = errors.New("invalid peer frame")
--- a/peers/order.go
+++ b/peers/order.go
@@ -1,6 +1,6 @@
 package peers
 
-// String returns the name used in logs.
+// String returns the name that logs use for the kind of order.
 func (k OrderKind) String() string {
 	switch k {
 	case OrderPrepare:
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -17,14 +17,14 @@
 	KindPermit    Kind = 6 // request PermitQuery, response PermitResult
 )
 
-// Heartbeat shows a peer that an entry is alive and gossips its state. The response contains
-// what the sender lacks.
+// Heartbeat shows a peer that an entry is alive and gossips its state. The response, another
+// Heartbeat, contains the state that the sender of the first one lacks.
 //
 //msgp:tuple Heartbeat
 type Heartbeat struct {
 	Entry           Presence
 	Members         []Member // recent updates of the sender's member table; the whole table if the other entry set All
-	Digest          uint64   // of the sender's member table
+	Digest          uint64   // hash of the sender's member table
 	All             bool     // requests the whole member table of the other entry
 	Topics          []TopicState
 	Updates         []TopicUpdate
@@ -33,17 +33,18 @@
 	Rates           []Rate
 }
 
-// Rate is a target's limit on the requests a second from all entries together.
+// Rate is a target's rate limit on the requests of all entries together.
 //
 //msgp:tuple Rate
 type Rate struct {
 	Target      string
-	StartedAtMS int64   // of the target's run, in Unix milliseconds
-	PerSecond   float64 // negative: the target no longer reports a limit
-	AgeMS       uint32  // since the target's latest report
+	StartedAtMS int64   // start of the target's run, in Unix milliseconds
+	PerSecond   float64 // requests a second; negative: the target no longer reports a limit
+	AgeMS       uint32  // time since the target's latest report of the limit
 }
 
-// PermitQuery asks the permit owner of a target, the entry that issues its permits, for a permit.
+// PermitQuery asks the permit owner of a target, the entry that issues its permits, for a
+// permit to send one request to the target.
 //
 //msgp:tuple PermitQuery
 type PermitQuery struct {
@@ -59,7 +60,7 @@
 type PermitResult struct {
 	Owner        bool // the queried entry is the permit owner of the target; if false, the other fields are unset
 	Granted      bool
-	WaitMS       uint32 // until the permit is valid or, if denied, until one may be available
+	WaitMS       uint32 // time until the permit is valid or, if it is denied, until one may be available
 	RetryAfterMS uint32 // retry delay for a rejected caller
 	Rate         Rate   // rate limit of the target, as the permit owner knows it
 }
@@ -71,11 +72,11 @@
 type FailureReport struct {
 	Entry           string // entry that saw the failures
 	Target          string
-	StartedAtMS     int64  // of the target's run, in Unix milliseconds
-	ConnBrokenAgeMS uint32 // since the latest broken connection; Never: none
-	TimeoutAgeMS    uint32 // since the latest timeout; Never: none
+	StartedAtMS     int64  // start of the target's run, in Unix milliseconds
+	ConnBrokenAgeMS uint32 // time since the latest broken connection; Never: none
+	TimeoutAgeMS    uint32 // time since the latest timeout; Never: none
 	Timeouts        uint16 // consecutive timeouts
-	SuccessAgeMS    uint32 // since the latest complete response; Never: none
+	SuccessAgeMS    uint32 // time since the latest complete response; Never: none
 }
 
 // Never is the age of an event that has not happened.
@@ -86,7 +87,7 @@
 //msgp:tuple Member
 type Member struct {
 	Entry Presence
-	Lost  bool // it answered neither the entry that probed it nor the entries that probed it indirectly
+	Lost  bool // the entry answered neither a direct probe nor the indirect probes that followed
 }
 
 // ProbeQuery asks an entry to probe another one (an indirect probe).
@@ -122,8 +123,8 @@
 //
 //msgp:tuple TopicState
 type TopicState struct {
-	Next  uint64 // all records before this offset are known
-	AgeMS uint32 // since an entry last read them all from the store
+	Next  uint64 // the entry knows all records before this offset
+	AgeMS uint32 // time since an entry last read all these records from the store
 	Read  bool   // an entry has read the topic, which may have been empty
 }
 
@@ -136,7 +137,7 @@
 	NextOffset uint64
 	Full       bool // Records are the newest records of all existing keys, for a receiver at any offset
 	Records    []Record
-	Packed     []byte // Records as msgpack compressed with DEFLATE, where that is shorter
+	Packed     []byte // Records in msgpack, compressed with DEFLATE; set instead of Records if they are large
 }
 
 // Records are the records of a topic.
@@ -155,14 +156,14 @@
 //
 //msgp:tuple Collect
 type Collect struct {
-	Counts  bool     // include the expert choices since the last Collect with Counts
-	Lists   bool     // include the experts of each rank in the map in use
-	Leader  string   // address of the group's leader, which sends this
+	Counts  bool     // include the selections of each expert since the last Collect with Counts
+	Lists   bool     // include the experts of the rank in the map in use
+	Leader  string   // address of the group's leader; set only in the Collects of the leader's rounds
 	Fence   uint64   // number of a pass for which the agent must no longer arm its rank; 0: none
-	Epoch   uint64   // epoch of the group, with Fence
+	Epoch   uint64   // epoch of the group in which Fence applies
 	Subtree []string // addresses of other agents to which this agent forwards the request
-	LimitMS uint32   // time limit for the response, with Subtree
-	Loads   Loads    // loads of all ranks in the leader's latest round, for queries of entries; not Known: none
+	LimitMS uint32   // time limit for the response, if the request goes along a tree of agents; 0: none given
+	Loads   Loads    // loads of all ranks in the leader's latest round, for the agent's responses to entries; not Known: none
 }
 
 // RankState is the current state of one rank of a group, read from its engine.
@@ -171,35 +172,35 @@
 type RankState struct {
 	Known              bool  // the engine responded and is a rank of a group
 	Unreachable        bool  // the agent did not respond; set by the agent that forwarded the request to it
-	Fenced             bool  // the agent complies with the requested fence
+	Fenced             bool  // the agent has set the fence that Collect.Fence requests
 	StartedAtMS        int64 // start of this run of the engine in Unix milliseconds; 0: unknown
 	Group              string
 	Epoch              uint64
 	Rank               int
-	Ranks              int // of the whole group
-	Complete           bool
+	Ranks              int    // number of ranks of the whole group
+	Complete           bool   // no rank of the group is missing
 	Step               uint64 // number of the last pass that was started
 	Map                uint64 // version of the map in use
-	Prepared           uint64 // version that is ready to be armed
-	Armed              uint64 // version that is armed
+	Prepared           uint64 // version of the map that the rank has prepared and can be armed for; 0: none
+	Armed              uint64 // version of the map that the rank is armed to switch to; 0: none
 	Held               uint64 // number of the pass that is held until a release; 0: none
 	Running            int
 	Waiting            int
 	ProxyArm           ProxyArm // outcome of an arm order that the agent sent to an engine on another VM
 	Slowdown           float64  // how many times as long as usual the engine takes for a pass
-	Unit               float64  // choice count of the most chosen expert since the last Collect with Counts
-	Experts            uint32   // number of experts in Bands, over all layer sets; 0: none was chosen, or counts are not included
-	Bands              []byte   // for each expert, how far its count is below Unit; see expert.EncodeLoads
+	Unit               float64  // selections of the most selected expert since the last Collect with Counts
+	Experts            uint32   // number of experts in Bands, over all layer sets; 0: none was selected, or counts are not included
+	Bands              []byte   // for each expert, its selections as a share of Unit; see expert.EncodeLoads
 	Coarse             bool     // Bands holds two experts in a byte; see expert.PackCoarse
 	HighestMapReceived uint64   // highest map version that the agent received in this epoch; 0: none
 
 	Lists [][]uint16 // experts of this rank in the map in use, by layer set
 
-	QueuedOnTime   uint32 // queued requests of the entries that query this agent that can still be on time
-	QueuedLate     uint32 // queued requests of these entries that are late
+	QueuedOnTime   uint32 // requests that are queued at the entries that query this agent and can still be on time
+	QueuedLate     uint32 // requests that are queued at the entries that query this agent and are late
 	EnginesUnknown bool   // the agent does not know which engines the loads belong to
 
-	Subtree []RankState // states of the ranks below; the choices and queued requests are added up in this RankState
+	Subtree []RankState // states of the ranks below this one in the tree; their selections and queued requests are added to this state's own
 }
 
 // ProxyArm is an arm order that an agent sent to an engine on another VM.
@@ -238,7 +239,7 @@
 	Engine     string       // address of the engine, if it is not the agent's own
 	Recovery   bool         // with OrderArm: sent by an agent that has fenced the pass and completes the switch
 	Subtree    []string     // addresses of other agents to which this agent forwards the order
-	LimitMS    uint32       // time limit for the response, with Subtree
+	LimitMS    uint32       // time limit for the response, if the order goes along a tree of agents; 0: none given
 }
 
 // InitialMap is the shape of the map with which engines start; it assigns experts to ranks in
@@ -255,7 +256,7 @@
 //
 //msgp:tuple OrderResult
 type OrderResult struct {
-	Accepted    bool          // the order was started or completed, or had been before
+	Accepted    bool          // the order was started or completed, now or by an earlier copy of it
 	Refused     bool          // the engine refused the order, which has no effect
 	UnknownBase bool          // the agent does not have the map of version Base
 	Subtree     []OrderResult // outcomes at the agents to which the order was forwarded
@@ -267,8 +268,8 @@
 type LoadsQuery struct {
 	Roster       uint64 // identifies the list of engines that the querying entry knows; 0: none
 	Entry        string // name of the querying entry
-	QueuedOnTime uint16 // queued requests of the entry that can still be on time
-	QueuedLate   uint16 // queued requests of the entry that are late
+	QueuedOnTime uint16 // requests that are queued at the querying entry and can still be on time
+	QueuedLate   uint16 // requests that are queued at the querying entry and are late
 }
 
 // Loads holds the loads of the ranks of a group.
@@ -281,16 +282,16 @@
 	Complete      bool
 	AgeMS         uint32
 	PassMS        float32  // mean time of the latest passes
-	Imbalance     float32  // how many times as long the ranks take for their experts as with even loads
+	Imbalance     float32  // how many times as long the ranks take for their experts as they would with even loads
 	PeakImbalance float32  // recent maximum of Imbalance
-	Roster        uint64   // identifies the list of engines
-	Engines       []string // addresses by rank; omitted if the querying entry knows them
-	QueuedOnTime  uint16   // queued requests of all entries that can still be on time
-	QueuedLate    uint16   // queued requests of all entries that are late
+	Roster        uint64   // identifies the list of engines, also if Engines is omitted
+	Engines       []string // addresses of the engines by rank; omitted if the querying entry knows them
+	QueuedOnTime  uint16   // requests that are queued at all entries together and can still be on time
+	QueuedLate    uint16   // requests that are queued at all entries together and are late
 	Running       []byte   // running requests by rank; 255: that many or more
 	Waiting       []byte   // waiting requests by rank; 255: that many or more
 	Slow          []SlowRank
-	Group         string // set, like Ranks, also if the loads are not Known
+	Group         string // name of the group; like Ranks, set even if Known is false
 	Ranks         uint16 // number of ranks in the group, including those without an engine
 }
 
