--- a/expert/attempt.go
+++ b/expert/attempt.go
@@ -11,10 +11,10 @@
 type SwitchAttempt struct {
 	Ballot    Ballot
 	HoldAt    uint64 // step before which the ranks are asked to hold
-	WantedMap MapID  // 0: keep the map in use
+	WantedMap MapID  // map to switch to; 0: keep the map in use
 	Replies   []*HoldReply
 
-	repliesComplete bool // all ranks have replied; later replies are ignored
+	repliesComplete bool // all ranks have replied; replies after that are ignored
 	confirmed       []bool
 	decision        *Decision
 	withdrawn       bool
@@ -37,7 +37,8 @@
 }
 
 // RecordReply records the reply of a rank. A later reply of the same rank replaces it until all
-// ranks have replied. It returns true if they have; confirmations can then be requested.
+// ranks have replied. It returns true if all ranks have replied; confirmations can then be
+// requested.
 func (a *SwitchAttempt) RecordReply(rank int, r HoldReply) bool {
 	if !a.repliesComplete {
 		a.Replies[rank] = &r
@@ -46,8 +47,8 @@
 	return a.repliesComplete
 }
 
-// RecordConfirmation records the confirmation of a rank. It counts only if it was requested after
-// the last reply had arrived.
+// RecordConfirmation records the confirmation of a rank. A confirmation counts only if it was
+// requested after the replies of all ranks had arrived.
 func (a *SwitchAttempt) RecordConfirmation(rank int) {
 	a.confirmed[rank] = a.repliesComplete
 }
--- a/expert/balance.go
+++ b/expert/balance.go
@@ -59,12 +59,12 @@
 // BalanceLimits bounds one change of a layout.
 type BalanceLimits struct {
 	Base           Layout    // experts that ranks hold and need not copy; nil: the layout itself
-	ExpertsPerRank int       // maximum
-	MaxNewPerRank  int       // experts that one rank gets and does not hold in Base
-	MaxNewByRank   []int     // the same by rank, where it is lower; nil: no such bound
+	ExpertsPerRank int       // maximum number of experts on one rank
+	MaxNewPerRank  int       // maximum number of experts that one rank gets and does not hold in Base
+	MaxNewByRank   []int     // the same maximum by rank, if lower than MaxNewPerRank; nil: MaxNewPerRank for all
 	Slowdown       []float64 // by rank, factor by which it is slower than usual; nil: 1 for all
 	PricePerCopy   float64   // minimum gain of a step for each expert that must be copied
-	MaxSteps       int       // of the search
+	MaxSteps       int       // maximum number of search steps
 }
 
 // maxNew returns the maximum number of new experts on a rank.
@@ -94,21 +94,22 @@
 type balancer struct {
 	lim          BalanceLimits
 	layout       Layout
-	loads        []float64 // of each expert, in units of the mean load of a rank
-	heldBefore   [][]bool  // by rank and expert: in the base layout
-	newExperts   []int     // of each rank, not in its base
-	copies       []int     // of each expert
+	loads        []float64 // load of each expert, in units of the mean load of a rank
+	heldBefore   [][]bool  // by rank and expert: whether the rank holds the expert in the base layout
+	newExperts   []int     // by rank: number of its experts that are not in its base layout
+	copies       []int     // number of copies of each expert
 	copyLoad     []float64 // load of one copy of each expert
 	rankLoad     []float64
 	timePower    []float64 // sixth power of each rank's time
 	holders      [][]int   // ranks that hold each expert
-	ranksByTime  []int     // fastest first
+	ranksByTime  []int     // all ranks, fastest first
 	loadDelta    []float64 // change of each rank's load by the candidate
 	changedRanks []int     // ranks whose loadDelta is set
 }
 
-// balanceChange is a candidate change. The receiver gets expert given, in the place of replaced if
-// that is set. The busiest rank loses dropped and gets returned, if these are set.
+// balanceChange is a candidate change. The receiver, a rank, gets the expert given, in the place of
+// the expert replaced if that is set. The busiest rank loses the expert dropped and gets the expert
+// returned, if these are set.
 type balanceChange struct {
 	receiver                    int
 	given, dropped              int // experts; -1: none
@@ -184,7 +185,8 @@
 
 func (b *balancer) loadPerCopy(e int) float64 { return b.copyLoad[e] }
 
-// maxReceivers is the number of fastest ranks that are considered as receivers.
+// maxReceivers is the number of ranks, the fastest ones, that are considered as receivers of an
+// expert.
 const maxReceivers = 16
 
 // improve applies the best candidate change. It returns false if none gains enough.
@@ -227,8 +229,8 @@
 	b.tryReplace(best, busiest, r, x, newOnReceiver)
 }
 
-// trySwapOfNew is for a receiver at its limit of new experts. It replaces an expert that the
-// receiver got in this change.
+// trySwapOfNew considers changes for a receiver, rank r, that is at its limit of new experts.
+// Expert x replaces an expert that r does not hold in the base layout.
 func (b *balancer) trySwapOfNew(best *balanceChange, busiest, r, x int) {
 	for _, z := range b.layout[r] {
 		if !b.heldBefore[r][z] && b.copies[z] >= 2 {
@@ -324,7 +326,8 @@
 	b.changedRanks = b.changedRanks[:0]
 }
 
-// addCopyDeltas records that rank to gets a copy of expert e. If moved, rank from loses its copy.
+// addCopyDeltas records the load changes if rank to gets a copy of expert e. If moved is set, rank
+// from loses its copy of e.
 func (b *balancer) addCopyDeltas(e, to int, moved bool, from int) {
 	if moved {
 		w := b.loadPerCopy(e)
@@ -340,7 +343,7 @@
 	b.addLoadDelta(to, w)
 }
 
-// dropCopyDeltas records that rank r loses its copy of expert e.
+// dropCopyDeltas records the load changes if rank r loses its copy of expert e.
 func (b *balancer) dropCopyDeltas(e, r int) {
 	extra := b.loads[e]/float64(b.copies[e]-1) - b.loadPerCopy(e)
 	for _, h := range b.holders[e] {
--- a/expert/estimate.go
+++ b/expert/estimate.go
@@ -15,8 +15,8 @@
 	hasLoads   bool
 }
 
-// Observe adds loads that were measured at a time in seconds. It ignores loads that are not newer
-// than the last ones.
+// Observe adds loads that were measured at the time at, in seconds. It ignores loads that are not
+// newer than the last ones.
 func (e *LoadEstimator) Observe(at float64, loads []float64) {
 	if !e.hasLoads || len(e.level) != len(loads) {
 		e.level = append([]float64(nil), loads...)
@@ -40,7 +40,7 @@
 	e.observedAt = at
 }
 
-// Forecast appends the loads expected at a time, in seconds, to buf.
+// Forecast appends to buf the loads that are expected at the time at, in seconds.
 func (e *LoadEstimator) Forecast(at float64, buf []float64) []float64 {
 	elapsed := max(0, at-e.observedAt)
 	for i, v := range e.level {
--- a/expert/expert.go
+++ b/expert/expert.go
@@ -19,8 +19,8 @@
 type Shape struct {
 	Ranks       int
 	Layers      int
-	Experts     int // in each layer
-	SlotsOfRank int // in each layer, on each rank
+	Experts     int // number of experts in each layer
+	SlotsOfRank int // number of slots, the places for one expert, in each layer on each rank
 }
 
 // Slots returns the number of slots of one layer over all ranks.
@@ -48,8 +48,8 @@
 	Slot  []uint16
 }
 
-// InitialMap returns the map that a group starts with: the experts in order, and then the first
-// experts again in the redundant slots.
+// InitialMap returns the map that a group starts with: the experts in order, assigned to the ranks
+// in turn, and then the first experts again in the redundant slots.
 func InitialMap(s Shape) *Map {
 	m := &Map{Shape: s, Slot: make([]uint16, s.Layers*s.Slots())}
 	for i := range m.Slot {
--- a/expert/layer.go
+++ b/expert/layer.go
@@ -3,14 +3,15 @@
 import "slices"
 
 const (
-	maxStepsPerLayer = 64 // in one plan
-	// maxStepsPerPlan bounds the time of one plan. The next plan continues from there.
+	maxStepsPerLayer = 64 // limit on the search steps in one layer, for one plan
+	// maxStepsPerPlan is the limit on the search steps of one plan in all layers. It bounds the
+	// time that a plan takes to compute. The next plan continues the search.
 	maxStepsPerPlan = 800
-	// boundTolerance ends the search in a layer. So close to the lower bound, the remaining excess
-	// is below the noise of the loads.
+	// boundTolerance is the ratio of a layer's time to its lower bound at which the search in the
+	// layer ends. The remaining excess is then below the noise of the loads.
 	boundTolerance = 1.002
 	// minSavingShare is the share of a mean layer's time that each moved expert must save. With a
-	// lower one, plans would follow noise, or rounding errors in layers with hardly any load.
+	// lower share, plans would follow noise, or rounding errors in layers with hardly any load.
 	minSavingShare = 0.001
 )
 
@@ -26,7 +27,7 @@
 	isSwap        bool
 }
 
-// cost returns the number of experts that must be loaded.
+// cost returns the number of experts that ranks must load for the change.
 func (c *change) cost() int {
 	if c.isSwap {
 		return 2
@@ -41,30 +42,31 @@
 	slots        []uint16
 	loads        []float64
 	inverseSpeed []float64 // 1/speed of each rank
-	copies       []int     // of each expert
+	copies       []int     // number of copies of each expert
 	copyLoad     []float64 // load of one copy of each expert
 	rankTimes    []float64
-	holders      [][]int // slots of each expert
+	holders      [][]int // slots that hold each expert
 	applied      []slotChange
-	stepsLeft    int // in this plan
+	stepsLeft    int // remaining search steps of this plan
 
 	slowestTime, secondTime float64 // times of the slowest and the second slowest rank before a step
 	bestChange              change
 	hasChange               bool
 	bestScore               float64
-	maxTime                 [2]float64 // a better change of cost 1 or 2 must have a lower time
+	maxTime                 [2]float64 // time below which a change is better than bestChange, for changes of cost 1 and 2
 }
 
-// layerPrices decides whether a change of a layer is worth its cost.
+// layerPrices holds the values that decide whether a change of a layer is worth its cost.
 type layerPrices struct {
-	lowerBound   float64 // of the layer's time, for any map
+	lowerBound   float64 // lower bound of the layer's time for any map
 	gainPerTime  float64 // gain of saving one unit of layer time
 	pricePerMove float64 // price of moving one expert
 	minSaving    float64 // layer time that each moved expert must save
 }
 
-// improve searches improving steps and returns the prefix of them with the highest net gain. isUneven
-// is true if the layer was further from its lower bound than the tolerance.
+// improve searches for steps that lower a layer's time and returns the first steps, up to the one
+// with the highest net gain. isUneven is true if the layer was further from its lower bound than
+// the tolerance.
 func (s *layerSearch) improve(slots []uint16, shape Shape, loads, speeds []float64, p layerPrices) (best improvement, isUneven bool) {
 	s.reset(slots, shape, loads, speeds)
 	startTime, _ := s.slowestRank(-1)
@@ -78,7 +80,8 @@
 			break
 		}
 		isUneven = true
-		// Even a layer at its lower bound would not be worth the price of one more step.
+		// Even if one more step took the layer to its lower bound, the net gain would not exceed
+		// the best.
 		if (startTime-p.lowerBound)*p.gainPerTime-float64(cost+1)*p.pricePerMove <= bestNet {
 			break
 		}
@@ -136,7 +139,8 @@
 	return s.slots[r*k : (r+1)*k]
 }
 
-// slowestRank returns the highest rank time and its rank, leaving one rank out.
+// slowestRank returns the highest rank time and its rank, without the rank except; -1: of all
+// ranks.
 func (s *layerSearch) slowestRank(except int) (float64, int) {
 	slowest, rank := 0.0, -1
 	for r, v := range s.rankTimes {
@@ -163,7 +167,7 @@
 }
 
 // secondRankShare is the weight of savings that have no effect yet because the second slowest rank
-// takes longer: a later step takes load off that rank.
+// takes longer. They take effect when a later step takes load off that rank.
 const secondRankShare = 0.1
 
 // score rates a change after which the ranks that it touches take at most longest. It falls as
--- a/expert/measure.go
+++ b/expert/measure.go
@@ -8,12 +8,12 @@
 // StepTimes are the predicted step times of a map under given loads, summed over the layers. Their
 // unit is the time that a rank of speed 1 takes for one token.
 type StepTimes struct {
-	Longest    float64 // of the slowest rank of each layer
-	Ideal      float64 // if all ranks of each layer took equally long
-	LowerBound float64 // for any map of the shape
+	Longest    float64 // step time: sum over the layers of the slowest rank's time
+	Ideal      float64 // step time if all ranks of each layer took equally long
+	LowerBound float64 // lower bound of the step time for any map of the shape
 
-	layerExcess []float64 // of each layer: time of the slowest rank above the layer's bound
-	layerBounds []float64 // lower bound of each layer's time
+	layerExcess []float64 // by layer: time of the slowest rank minus the layer's lower bound
+	layerBounds []float64 // by layer: lower bound of the layer's time
 }
 
 // Skew returns the ratio of the step time to that of a perfectly balanced map.
@@ -22,7 +22,8 @@
 // SkewLowerBound returns a lower bound of the skew for any map of the shape.
 func (s StepTimes) SkewLowerBound() float64 { return ratio(s.LowerBound, s.Ideal) }
 
-// layersByExcess returns the layers, those with the highest excess first, in the memory of order.
+// layersByExcess returns the layers, those with the highest excess first. It reuses the memory of
+// order.
 func (s StepTimes) layersByExcess(order []int) []int {
 	order = order[:0]
 	for l := range s.layerExcess {
@@ -85,8 +86,8 @@
 // copyBounder holds the buffer of heaviestCopy.
 type copyBounder struct{ copies []int }
 
-// heaviestCopy returns the lowest possible load of the copy with the most load: each spare slot goes
-// to the expert whose copies have the most load.
+// heaviestCopy returns the lowest load that the heaviest copy of a layer can have in any map. It
+// has this load if each spare slot goes to the expert whose copies have the most load.
 func (b *copyBounder) heaviestCopy(loads []float64, slots, ranks int) float64 {
 	b.copies = assignCopies(b.copies, loads, slots, ranks)
 	heaviest := 0.0
--- a/expert/plan.go
+++ b/expert/plan.go
@@ -17,7 +17,7 @@
 // PlanLimits bounds one plan.
 type PlanLimits struct {
 	MaxBytes        float64 // bytes to load: the weight store's rate times the time that loading may take; 0: no limit
-	MaxMovesPerRank int     // spare slots on a rank for weights loaded before the switch; 0: no limit
+	MaxMovesPerRank int     // maximum number of experts to load on one rank, into its spare slots before the switch; 0: no limit
 }
 
 // PlanInput is the input of Planner.Plan. Loads holds the tokens of each expert, ordered by layer and
@@ -47,12 +47,12 @@
 
 // Plan is a proposed map with its price and gain, both in units of CostWeights.
 type Plan struct {
-	Map            *Map // nil: keep the map in use
+	Map            *Map // proposed map; nil: keep the map in use
 	Moves          int
 	Bytes          float64
 	SkewBefore     float64
 	SkewAfter      float64
-	SkewLowerBound float64 // for any map of this shape
+	SkewLowerBound float64 // lower bound of the skew for any map of this shape
 	Gain           float64
 	Price          float64
 	Reason         Reason
@@ -66,7 +66,7 @@
 	layer     int
 	changes   []slotChange
 	moves     int
-	savedTime float64 // of the layer's slowest rank
+	savedTime float64 // decrease of the time of the layer's slowest rank
 }
 
 // Planner makes plans and reuses its buffers between them. It is not safe for concurrent use.
@@ -92,7 +92,7 @@
 	if stats.Ideal == 0 {
 		return plan, nil
 	}
-	// Gain of one unit of layer time over the lifetime of a gain.
+	// Gain from saving one unit of layer time, over the lifetime of a gain.
 	gainPerTime := in.CostWeights.Skew * float64(s.Ranks) * in.GainLifeSeconds / 60 / stats.Ideal
 	pricePerMove := in.CostWeights.Move * in.ExpertBytes / 1e9
 	minSaving := minSavingShare * stats.Longest / float64(s.Layers)
@@ -181,7 +181,8 @@
 	}
 }
 
-// fitsLimits reports whether an improvement keeps a plan of the given size within its limits.
+// fitsLimits reports whether an improvement keeps a plan within its limits. bytes is the size of
+// the weights that the plan already moves.
 func (p *Planner) fitsLimits(in *PlanInput, imp *improvement, bytes float64) bool {
 	if in.Limits.MaxBytes > 0 && bytes+float64(imp.moves)*in.ExpertBytes > in.Limits.MaxBytes {
 		return false
--- a/expert/planhistory.go
+++ b/expert/planhistory.go
@@ -15,7 +15,7 @@
 	OutcomeSwitched = "switched"
 )
 
-// maxPlans is the number of plans in a PlanHistory.
+// maxPlans is the maximum number of plans in a PlanHistory.
 const maxPlans = 8
 
 // PlanRow is one plan as shown to operators.
@@ -26,18 +26,19 @@
 	SkewLowerBound float64
 	Moves          int
 	Gigabytes      float64
-	Gain           float64 // in units of CostWeights, as Price
+	Gain           float64 // gain of the plan in units of CostWeights, like Price
 	Price          float64
 	Reason         Reason
 	Outcome        string
 }
 
-// PlanHistory is the state of a group that its owner shows in its status.
+// PlanHistory holds the map, the slow ranks and the latest plans of a group. The entry that owns
+// the group shows them in its status.
 type PlanHistory struct {
 	Group      string
 	Map        uint64
 	Stragglers []int
-	Plans      []PlanRow // latest last
+	Plans      []PlanRow // oldest first
 }
 
 // AddPlan adds a plan and updates the group's map and stragglers.
--- a/expert/position.go
+++ b/expert/position.go
@@ -20,7 +20,7 @@
 	return b.Owner < o.Owner
 }
 
-// Segment is the map in use from a step on.
+// Segment says which map is in use from a step on.
 type Segment struct {
 	From uint64
 	Map  MapID
@@ -59,7 +59,7 @@
 	Plan   Schedule // planned changes of map
 	Held   bool
 	HoldAt uint64    // while Held, this step is not entered
-	Token  HoldToken // of the latest hold
+	Token  HoldToken // token of the latest hold
 }
 
 // Reasons for which an engine refuses a request. Their texts are sent over the wire
--- a/expert/rank.go
+++ b/expert/rank.go
@@ -24,7 +24,7 @@
 // HoldReply is the promise of a rank. While held, the rank uses Map in every step from its current
 // one to the one before HoldAt, and does not enter HoldAt.
 type HoldReply struct {
-	Incarnation uint64 // of the agent
+	Incarnation uint64 // incarnation of the rank's agent
 	EngineRun   uint64 // id of the engine's run; changes when the engine restarts
 	Joined      bool   // the engine has entered a step since its start; if false, NextStep and Map are unset
 	NextStep    uint64 // next step to enter
@@ -53,7 +53,7 @@
 type RankState struct {
 	Incarnation uint64
 	Promised    Ballot
-	HeldBy      Ballot // zero: this agent knows of no hold
+	HeldBy      Ballot // ballot that holds the rank; zero: this agent knows of no hold
 	WasRunning  bool   // the engine had joined and was not held when HeldBy began its hold
 	lastReply   HoldReply
 }
