--- a/entry/answer.go
+++ b/entry/answer.go
@@ -56,12 +56,12 @@
 	entry       *Entry
 	call        *Call
 	exchange    *Exchange
-	conn        *callers.Conn // buffers writes; nil if the connection cannot
+	conn        *callers.Conn // caller's connection; nil if it does not support buffered writes
 	onClose     func()
 	startedAt   time.Time
 	lastChunkAt time.Time // zero before the first chunk
 	chunk       []byte    // the latest bytes of the answer
-	unsent      []byte    // the part of chunk that has not been read by the library
+	unsent      []byte    // the part of chunk that the HTTP library has not read
 	sse         bool
 	endErr      error
 
@@ -148,8 +148,8 @@
 		"ms", time.Since(b.startedAt).Milliseconds())
 }
 
-// Close implements io.Closer. The library calls it when the response is over. If the answer
-// has not ended by then, the caller closed the connection or did not read for too long.
+// Close implements io.Closer. The HTTP library calls Close when the response is over. If the
+// answer has not ended by then, the caller closed the connection or did not read for too long.
 func (b *answerBody) Close() error {
 	if b.endErr == nil {
 		b.recordOutcome(result.CallerGone, "caller stopped reading")
--- a/entry/continue.go
+++ b/entry/continue.go
@@ -13,18 +13,18 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// textStream follows a streamed generation, so that it can continue on another target when its
-// target is lost. The continuation starts from the prompt and the text delivered so far, with
-// the rest of the token budget. Only complete events reach the caller.
+// textStream records the text of a streamed generation, so that the generation can continue on
+// another target when its target is lost. The continuation starts from the prompt and the text
+// delivered so far, with the rest of the token budget. Only complete events reach the caller.
 //
 // Continuing an aborted generation from prompt and partial tokens with a reduced budget is
 // described in "Separate-Async RL Training for Omni AR Models" (abort semantics).
-// docs/design/0003-retries.md has measurements of it.
+// docs/design/0003-retries.md has measurements of this method.
 type textStream struct {
 	partialEvent []byte // bytes of an incomplete event
 	text         strings.Builder
 	tokenCount   int
-	hasEndMark   bool // the end mark has arrived
+	hasEndMark   bool // the end mark, [DONE], has arrived
 }
 
 const (
@@ -33,7 +33,8 @@
 	doneMark       = "[DONE]"
 )
 
-// newTextStream returns nil if the call's answer cannot be continued.
+// newTextStream returns a textStream for an answer, or nil if a continuation on another target
+// is not possible for this call.
 func newTextStream(c *Call, a *wire.Answer) *textStream {
 	if !c.Repeatable || !strings.HasSuffix(c.Path, "/completions") || !isEventStream(a) {
 		return nil
@@ -45,7 +46,7 @@
 func (s *textStream) feed(p []byte) []byte {
 	if len(s.partialEvent) == 0 && bytes.HasSuffix(p, []byte(eventSeparator)) {
 		s.readEvents(p)
-		return p // the receiver owns p, so no copy is needed
+		return p // the entry owns the received bytes, so no copy is needed
 	}
 	s.partialEvent = append(s.partialEvent, p...)
 	end := bytes.LastIndex(s.partialEvent, []byte(eventSeparator))
@@ -109,8 +110,8 @@
 	}
 }
 
-// handleEnd handles the end of the stream. Bytes that form no complete event are returned at a
-// clean end. The loss of a target that has sent its end mark counts as a clean end.
+// handleEnd handles the end of the stream. At a clean end it returns the bytes after the last
+// complete event. If the target is lost after it sent the end mark, the answer is complete.
 func (s *textStream) handleEnd(err error) ([]byte, error) {
 	if errors.Is(err, io.EOF) && len(s.partialEvent) > 0 {
 		rest := s.partialEvent
@@ -129,14 +130,15 @@
 // dropPartialEvent discards an incomplete event.
 func (s *textStream) dropPartialEvent() { s.partialEvent = s.partialEvent[:0] }
 
-// endMark returns the end mark, for an answer that lacks nothing else.
+// endMark returns the end mark for the caller. It is used when the target was lost after the
+// whole text but before the end mark.
 func (s *textStream) endMark() []byte {
 	s.hasEndMark = true
 	return []byte(dataPrefix + " " + doneMark + eventSeparator)
 }
 
-// continuationComment returns an event-stream comment, which clients skip, with the target and
-// model version that continue the text.
+// continuationComment returns an event-stream comment that names the target and the model
+// version that continue the text. Clients skip such comments.
 func (s *textStream) continuationComment(a *attempt) []byte {
 	return fmt.Appendf(nil, ": continued after %d tokens, target=%s model=%s%s", s.tokenCount, a.target, a.answer.Model, eventSeparator)
 }
@@ -184,7 +186,8 @@
 	return body, err == nil
 }
 
-// appendAssistantMessage adds the delivered text as the unfinished message of the assistant.
+// appendAssistantMessage adds the delivered text to the request as an unfinished message of the
+// assistant, which the engine then continues.
 func (s *textStream) appendAssistantMessage(fields map[string]any, messages []json.RawMessage) {
 	extended := make([]any, 0, len(messages)+1)
 	for _, m := range messages {
--- a/entry/control.go
+++ b/entry/control.go
@@ -99,11 +99,11 @@
 }
 
 // requestNotify makes notifyAgentsLoop send the configuration and fencing floors to all agents. It
-// does not wait, so an agent that does not read cannot delay the entry's configuration versions.
+// returns at once, so an agent that does not read cannot delay a configuration version.
 func (e *Entry) requestNotify() {
 	select {
 	case e.notifyRequests <- struct{}{}:
-	default: // the pending request covers this one
+	default: // a notification of all agents is already pending
 	}
 }
 
@@ -175,7 +175,7 @@
 	}
 	raw, err := p.MarshalMsg(nil)
 	if err != nil {
-		return // a policy always encodes
+		return // not reached: encoding a policy cannot fail
 	}
 	a.policies[svc.Fleet] = append(a.policies[svc.Fleet], wire.ServicePolicy{Service: svc.Name, Policy: raw})
 }
@@ -208,7 +208,7 @@
 	}
 }
 
-// setDraining starts to drain this entry, or ends that if undo is set.
+// setDraining starts to drain this entry, or ends the drain if undo is set.
 func (e *Entry) setDraining(undo bool) {
 	if !undo {
 		e.Drain()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -11,8 +11,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Call is one request of a caller. It owns its strings and bytes, because the HTTP library
-// reuses its buffers.
+// Call is one request of a caller. Its strings and bytes are copies, because the HTTP library
+// reuses its own buffers.
 type Call struct {
 	ID         string
 	Team       string
@@ -164,7 +164,7 @@
 	c := x.retrier.call
 	switch {
 	case !c.Repeatable:
-		x.skipBytes = x.deliveredBytes // the home target replays the answer of its only run
+		x.skipBytes = x.deliveredBytes // the home target (the only one that may run this key) replays its stored answer
 		return c.Body, true
 	case x.deliveredBytes == 0:
 		if x.textStream != nil {
--- a/entry/dispatchlog.go
+++ b/entry/dispatchlog.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// dispatchLogSlack is how long a record outlives the deduplication window. It covers the
-	// time between dispatch and run, and agents add the same slack when they check a key
+	// dispatchLogSlack is how long a dispatch record is kept after the deduplication window. It
+	// covers the time between dispatch and run. Agents add the same slack when they check a key
 	// against the dispatch reports.
 	dispatchLogSlack         = 2 * time.Minute
 	dispatchLogSweepInterval = 10 * time.Second
@@ -28,8 +28,8 @@
 }
 
 // dispatchLog records the idempotency keys that this entry has dispatched, and to which
-// agents. An agent whose own records do not cover the deduplication window relies on
-// dispatch reports made from this log.
+// agents. An agent whose own records do not cover the whole deduplication window relies on
+// dispatch reports, which are made from the dispatch log.
 type dispatchLog struct {
 	mu         sync.Mutex
 	minVersion uint64 // requests under an older configuration version are rejected
@@ -132,9 +132,9 @@
 	}
 }
 
-// report raises minVersion to the version of snap. It returns the dispatch report for the
-// agent dest: the keys whose home target is dest and that this entry has sent to any other
-// destination.
+// report raises minVersion to the version of snap and returns the dispatch report for the agent
+// dest. The report lists each key that this entry has sent to another destination although the
+// home target of the key (the only one that may run it) is the target of dest.
 func (d *dispatchLog) report(snap *config.Snapshot, dest destination, fleet string) *wire.DispatchReport {
 	names := targetNames(snap.Targets(fleet))
 	d.mu.Lock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that callers connect to. It authenticates, admits, places and
-// retries requests and streams the answers back.
+// Package entry implements the entry, the process that callers connect to. An entry
+// authenticates, admits, places and retries requests and streams the answers back.
 package entry
 
 import (
@@ -36,9 +36,11 @@
 	// Dial connects to other processes; nil is plain TCP, on loopback only. Tests supply their own
 	// network.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// PeerListener replaces the plain TCP listener on Settings.Listen, which is for loopback only.
+	// PeerListener replaces the plain TCP listener on Settings.Listen, which accepts loopback
+	// addresses only.
 	PeerListener net.Listener
-	// SnapshotInterval is the interval at which the configuration is published again; zero is the default.
+	// SnapshotInterval is the interval at which snapshots of the configuration are published on
+	// the log; zero is the interval of ControlTiming.
 	SnapshotInterval time.Duration
 	// ControlTiming sets the periods of the control plane; zero is control.DefaultTiming.
 	ControlTiming control.Timing
@@ -159,8 +161,9 @@
 	}
 }
 
-// Shutdown drains, keeps listening until cached answers that name this entry have expired, waits
-// for requests in flight until ctx ends, and stops.
+// Shutdown drains the entry and stops it. Before it stops, it keeps listening until the cached
+// answers of GET /v1/entries that name this entry have expired, and then waits for requests in
+// flight until ctx ends.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.Drain()
 	select {
@@ -190,13 +193,14 @@
 	return nil
 }
 
-// callerShutdownTimeout bounds the wait for connections that stay open without a request.
+// callerShutdownTimeout bounds the wait for caller connections to close when the HTTP server
+// stops: a connection may stay open without a request.
 const callerShutdownTimeout = 2 * time.Second
 
-// shutdownCallerServer stops the HTTP server. A request that has arrived but has not been read yet
-// does not count as in flight; closing all connections at once would end its connection without an
-// answer. The library accepts no new connections, closes idle ones and waits for those with a
-// request.
+// shutdownCallerServer stops the HTTP server: the HTTP library accepts no new connections, closes
+// idle ones and waits for those with a request. Closing all connections at once would be wrong: a
+// request that has arrived but has not been read does not count as in flight, and would get no
+// answer.
 func (e *Entry) shutdownCallerServer(ctx context.Context) {
 	if e.app == nil {
 		return
@@ -208,7 +212,7 @@
 	}
 }
 
-// Close stops at once, as in a crash.
+// Close stops the entry at once, as a crash would.
 func (e *Entry) Close() {
 	e.cancel()
 	if e.callerListener != nil {
--- a/entry/fleetview.go
+++ b/entry/fleetview.go
@@ -20,7 +20,7 @@
 	loadMeans  route.LoadMeans
 	cacheIndex *route.CacheIndex
 	indexSlots map[string]int // slots in cacheIndex, by target
-	meanAnswer float64        // tokens
+	meanAnswer float64        // mean answer length, in tokens
 }
 
 // maxIndexBlocks bounds the cache index of a fleet: 32,768 blocks of 64 tokens take half a
@@ -50,7 +50,7 @@
 	return -1
 }
 
-// releaseUnusedSlots frees the slots of targets that are not in the list.
+// releaseUnusedSlots frees the cache index slots of all targets other than the given ones.
 func (s *fleetState) releaseUnusedSlots(targets []viewTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,8 +216,8 @@
 	}
 }
 
-// targetSubset returns the targets that this entry uses, with those of its own data centre
-// first, and the number of those.
+// targetSubset returns the declared targets that this entry uses, those in its own data centre
+// first, and how many of them are in its own data centre.
 func (e *Entry) targetSubset(declared []config.Target) ([]config.Target, int) {
 	self := e.opts.Settings
 	entries := e.liveEntries()
@@ -263,7 +263,7 @@
 // targetWork is the work of this entry and of the other entries at one target.
 type targetWork struct {
 	own        route.Work
-	others     route.Work // by the latest load report
-	reportedAt time.Time  // arrival of that report
-	source     *wire.Conn // connection that carried that report
+	others     route.Work // according to the latest load report
+	reportedAt time.Time  // arrival time of the latest load report
+	source     *wire.Conn // connection that carried the latest load report
 }
--- a/entry/home.go
+++ b/entry/home.go
@@ -16,9 +16,9 @@
 	return names[i], nil
 }
 
-// isolationTarget returns the target where suspected requests of a service run alone. Entries
-// that see the same targets choose the same one, so a request that crashes targets takes down
-// at most this one more.
+// isolationTarget returns the target that runs the crash suspects of a service, each alone.
+// Entries that see the same targets choose the same isolation target, so a request that crashes
+// targets takes down at most one more.
 func (e *Entry) isolationTarget(snap *config.Snapshot, c *Call, avoid map[string]bool) (string, error) {
 	declared := snap.Targets(snap.Service(c.Service).Fleet)
 	excluded := e.outcomes.excludedTargets(declared, avoid)
--- a/entry/http.go
+++ b/entry/http.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	defaultRequestTimeout = 30 * time.Second // for a whole request, where the settings set no limit
+	defaultRequestTimeout = 30 * time.Second // limit for reading a whole request, if the settings have none
 	callerIdleTimeout     = 2 * time.Minute
 	callerReadBufferBytes = 8 << 10 // also the limit on the headers of a request
 )
@@ -86,7 +86,7 @@
 	}
 }
 
-// requestID returns the id of the request, and assigns one on the first call.
+// requestID returns the id of the request. The first call for a request assigns the id.
 func requestID(c fiber.Ctx) string {
 	if id := c.Response().Header.Peek(HeaderRequestID); len(id) > 0 {
 		return string(id)
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -42,7 +42,7 @@
 	return &teamLimits{startedAt: time.Now(), limiters: make(map[string]*route.TeamLimiter), memberships: make(map[string]teamMembership)}
 }
 
-// elapsed is the clock of the limiters.
+// elapsed returns the time since startedAt, which is the clock of the limiters.
 func (l *teamLimits) elapsed() time.Duration { return time.Since(l.startedAt) }
 
 // limiter returns the limiter of a team, or nil if too many teams have one. The caller holds
@@ -160,7 +160,7 @@
 	for team, demand := range changed {
 		membership, isMember := e.limitMembership(team)
 		if !isMember {
-			continue // the share of an entry that is no member does not depend on demand
+			continue // this entry does not enforce the team's limits, so its share does not depend on demand
 		}
 		for _, m := range membership.Members {
 			if m != membership.Self {
--- a/entry/link.go
+++ b/entry/link.go
@@ -128,8 +128,8 @@
 
 // activate puts a new connection into use. The agent must receive a dispatch report before
 // any request of this entry. Requests that are still being written to the earlier connection,
-// which may stay open, must finish first: if one were logged after the report was made, the
-// report would lack it.
+// which may stay open, must finish first: the report would lack a request that is added to the
+// dispatch log after the report was made.
 func (l *link) activate(conn *wire.Conn) {
 	for l.openingCount() > 0 && l.entry.sleep(openingPollInterval) {
 	}
@@ -190,7 +190,8 @@
 	if conn == nil || configs == nil {
 		return
 	}
-	_ = conn.SendNote(wire.NoteAgentConfig, configs.forTarget(l.target)) // repeated on reconnection
+	// If the send fails, the link sends the configuration again on reconnection.
+	_ = conn.SendNote(wire.NoteAgentConfig, configs.forTarget(l.target))
 	l.sendDispatchReport(conn, configs.snap)
 }
 
@@ -202,7 +203,8 @@
 		return
 	}
 	dest := destination{target: l.target, incarnation: conn.Peer().Incarnation}
-	_ = conn.SendNote(wire.NoteDispatchReport, l.entry.outcomes.dispatchLog.report(s, dest, fleet)) // repeated on reconnection
+	// If the send fails, the link sends a new dispatch report on reconnection.
+	_ = conn.SendNote(wire.NoteDispatchReport, l.entry.outcomes.dispatchLog.report(s, dest, fleet))
 }
 
 // ServeStream implements wire.Handler. It refuses every stream, since agents open none.
@@ -253,8 +255,8 @@
 	t.EngineUp = l.load.EngineUp
 }
 
-// openRequest sends a request to the agent. It calls before with the agent's incarnation
-// before it hands any byte to the connection; an error of before stops the attempt.
+// openRequest sends a request to the agent. It first calls the function before with the agent's
+// incarnation. If before returns an error, no byte of the request is sent.
 func (l *link) openRequest(req *wire.Request, before func(incarnation uint64) error) (*wire.Stream, error) {
 	l.mu.Lock()
 	conn := l.conn
--- a/entry/outcomes.go
+++ b/entry/outcomes.go
@@ -13,8 +13,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// requestOutcomes holds what later requests depend on from earlier ones: the dispatch log,
-// retry budgets, ejection, quarantine and the newest agent incarnations.
+// requestOutcomes holds the results of earlier requests that affect later ones: the dispatch
+// log, retry budgets, ejection, quarantine and the newest agent incarnations.
 type requestOutcomes struct {
 	dispatchLog    *dispatchLog
 	presenceOffset atomic.Uint64 // log offset after the first presence record; zero before it is written
@@ -49,8 +49,8 @@
 // any deduplication window that such an agent could still serve.
 const supersededAgentTTL = 24 * time.Hour
 
-// acceptAgent records an agent of a target. It returns false if a newer agent is known: the
-// older one must get no more requests.
+// acceptAgent records an agent of a target. It returns false if a newer agent of the target is
+// known: the older agent must get no more requests.
 func (o *requestOutcomes) acceptAgent(target string, incarnation uint64, seenAt time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -113,7 +113,8 @@
 	return excluded
 }
 
-// checkQuarantine returns how a request with this fingerprint must run, and for how long.
+// checkQuarantine returns the quarantine action for a request with this fingerprint, and the
+// time for which the action still holds.
 func (o *requestOutcomes) checkQuarantine(fingerprint uint64) (route.QuarantineAction, time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -13,7 +13,8 @@
 
 const (
 	ownerInterval = 250 * time.Millisecond
-	// recoveryDelay is how long other entries leave a stalled group to its lease holder.
+	// recoveryDelay is how long the other entries wait before they recover a stalled group, so
+	// that its lease holder can do so first.
 	recoveryDelay = 3 * time.Second
 	// loadReportsPerPlan is the number of load collections for each plan.
 	loadReportsPerPlan = 2
@@ -112,8 +113,8 @@
 	}
 }
 
-// recoverGroup resumes a group that is stalled because a decision is missing. Its ballot keeps the
-// map in use.
+// recoverGroup resumes a group that is stalled because a decision is missing. The ballot of the
+// recovery keeps the map in use.
 func (o *groupOwner) recoverGroup(ctx context.Context, g *config.Group) {
 	s := &mapSwitch{entry: o.entry, group: g, baseOrder: wire.RankOrder{Group: g.Name, Recovery: true}}
 	err := s.run(ctx)
@@ -126,7 +127,8 @@
 	o.entry.log.Info("group goes on", "group", g.Name, "ballot", s.ballot.Round)
 }
 
-// recoveryStagger differs between entries, so that their ballots do not supersede each other.
+// recoveryStagger returns an additional recovery delay. It differs between entries, so that their
+// ballots do not supersede each other.
 func (o *groupOwner) recoveryStagger() time.Duration {
 	return time.Duration(o.entry.opts.Incarnation%16) * ownerInterval
 }
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -73,8 +73,8 @@
 			return nil
 		}
 		next = page.Next
-		// Registered waits for the configuration versions among these records. An
-		// entry that follows peers would get them later.
+		// Registered returns false until the configuration versions among these
+		// records are folded. An entry that follows peers would get them later.
 		if err := e.node.FoldRecords(next-uint64(len(page.Records)), page.Records); err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 }
 
 // writeShutdownRecords closes the dispatch log and writes its records to the log service. Agents
-// that start later then do not wait for a dispatch report of this entry, which can send none.
+// that start later then do not wait for a dispatch report, which the stopped entry cannot send.
 func (e *Entry) writeShutdownRecords() {
 	remaining := e.outcomes.dispatchLog.close()
 	if e.outcomes.presenceOffset.Load() == 0 {
--- a/entry/ranks.go
+++ b/entry/ranks.go
@@ -163,7 +163,7 @@
 	return first, ok
 }
 
-// remove discards the reports on ranks that have been released.
+// remove discards the stall reports of ranks that have been released.
 func (s *stalledRanks) remove(ranks []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/request.go
+++ b/entry/request.go
@@ -70,7 +70,7 @@
 // Limits on caller headers.
 const (
 	maxDeadline = time.Hour
-	maxKeyBytes = 255 // of an idempotency key, which targets store
+	maxKeyBytes = 255 // longest idempotency key; agents keep keys in memory
 )
 
 // readHeaders sets the idempotency, deadline and priority of the call from its headers.
--- a/entry/retire.go
+++ b/entry/retire.go
@@ -6,7 +6,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// raiseSignal sends on a channel with a buffer of one. A pending signal suffices.
+// raiseSignal sends a signal on a channel with a buffer of one. It does nothing if a signal is
+// pending.
 func raiseSignal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -27,9 +28,9 @@
 
 // retire sends no new work to a connection and closes it when its requests have ended.
 //
-// Without it, answers in flight would be cut off when the VM list shows the successor of a VM
-// that is shutting down gracefully. The old agent closes its connections itself once it has
-// no work left.
+// Closing the connection at once would cut off answers in flight when the VM list shows the
+// successor of a VM that is shutting down gracefully. The old agent closes its connections
+// itself once it has no work left.
 func (l *link) retire(conn *wire.Conn) {
 	l.mu.Lock()
 	l.retiredConns[conn] = true
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -31,7 +31,7 @@
 	uncertainErr error // error of the last attempt that may have run
 }
 
-// attempt is an attempt whose answer has begun.
+// attempt is one attempt of a call at a target, kept from the beginning of the answer on.
 type attempt struct {
 	target string
 	stream *wire.Stream
@@ -96,8 +96,8 @@
 }
 
 // refreshSnapshot switches a non-repeatable request to the newest configuration version,
-// because its home target under an older version may no longer be valid. This is safe: an
-// attempt that may have run under the older version is in the dispatch log.
+// because the home target of its key (the only target that may run it) may have changed. This
+// is safe: an attempt that may have run under the older version is in the dispatch log.
 func (t *retrier) refreshSnapshot() {
 	if newest := t.entry.current.Load(); !t.call.Repeatable && newest != nil && newest.Service(t.call.Service) != nil {
 		t.snap = newest
@@ -211,7 +211,8 @@
 	return nil
 }
 
-// recordFailure records a failed attempt in the call and in the health of its target.
+// recordFailure records a failed attempt in the state of the call and for the ejection of its
+// target.
 func (t *retrier) recordFailure(target string, err error) {
 	t.call.sched.recordRejection(target, err)
 	t.failures++
--- a/entry/sched.go
+++ b/entry/sched.go
@@ -13,14 +13,15 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// schedState holds what placement and the agents' target queues know of a call.
+// schedState holds the scheduling data of a call, for placement and for the target queue of the
+// agent.
 type schedState struct {
 	prepared     bool // prepareSched has run
 	cost         route.Cost
 	blockHashes  []uint64
 	weight       int
-	maxWaitMS    int64   // of the latest placement
-	cachedTokens float64 // of the latest placement
+	maxWaitMS    int64   // limit on the wait for the first token, from the latest placement; 0: none
+	cachedTokens float64 // prompt tokens that the latest chosen target has cached, estimated
 	rejections   route.RejectionHistory
 }
 
@@ -76,7 +77,7 @@
 	}
 	var b modelRequestBody
 	if err := json.Unmarshal(c.Body, &b); err != nil {
-		s.cost = route.EstimateCost(len(c.Body), 0, meanAnswerTokens) // the engine reports the malformed body
+		s.cost = route.EstimateCost(len(c.Body), 0, meanAnswerTokens) // a malformed body is left for the engine to report
 		return
 	}
 	text := b.promptText()
@@ -120,7 +121,7 @@
 	e.explanations.add(c, decision)
 	best := decision.Best()
 	if shortest, _, ok := s.rejections.ShortestWait(); best == nil && ok && e.isUsable(shortest) {
-		s.maxWaitMS = 0 // all other targets were tried or are unusable
+		s.maxWaitMS = 0 // no limit: all other targets were tried or are unusable
 		return shortest, nil
 	}
 	if best == nil {
--- a/entry/switch.go
+++ b/entry/switch.go
@@ -20,8 +20,8 @@
 	// confirmation and decision take three round trips; at 5 ms a step they end long
 	// before the first rank reaches the hold.
 	holdAheadSteps = 48
-	// holdTimeout withdraws a switch that has not been decided. It ends before the ranks
-	// reach the hold, so a rank that does not answer costs no step.
+	// holdTimeout is the time after which a switch without a decision is withdrawn. It ends
+	// before the ranks reach the hold, so a rank that does not answer delays no step.
 	holdTimeout = 150 * time.Millisecond
 	// recoveryHoldTimeout replaces holdTimeout in a recovery, where the group is stalled
 	// already.
@@ -43,7 +43,8 @@
 
 var errMapUnavailable = errors.New("no rank returned the map in use")
 
-// run loads the wanted map on all ranks, holds the ranks and decides the switch.
+// run loads the wanted map on all ranks, places a hold on the ranks and sends them the decision
+// to switch.
 func (s *mapSwitch) run(ctx context.Context) error {
 	status, err := s.queryStatus(ctx)
 	if err != nil {
@@ -163,8 +164,8 @@
 	}
 }
 
-// withdraw releases the ranks at once. This is allowed only while the ballot has not been
-// decided; SwitchAttempt refuses to decide afterwards.
+// withdraw withdraws the ballot, which releases the ranks at once. This is allowed only before
+// the decision of the ballot; SwitchAttempt refuses to decide afterwards.
 func (s *mapSwitch) withdraw(ctx context.Context, a *expert.SwitchAttempt) {
 	if !a.Withdraw() {
 		return
--- a/entry/work.go
+++ b/entry/work.go
@@ -64,7 +64,8 @@
 	r.link.addOwnWork(-1, route.Cost{Prompt: -r.remaining.Prompt, Decode: -r.remaining.Decode})
 }
 
-// openTracked opens the stream of a request with a trackedRequest that watches it.
+// openTracked opens the stream of a request and adds the request to the entry's own work. A
+// trackedRequest watches the stream to keep that work up to date.
 func (l *link) openTracked(conn *wire.Conn, req *wire.Request) (*wire.Stream, error) {
 	r := l.trackRequest(&req.Sched)
 	s, err := conn.OpenWatched(wire.MethodRequest, req, r)
@@ -80,7 +81,7 @@
 // start again. The caller holds l.mu.
 func (l *link) applyLoad(source *wire.Conn, load *wire.Load) {
 	if l.hasLoad && l.work.source == source && load.Seq <= l.load.Seq {
-		return // reordered or duplicated
+		return // the report is reordered or duplicated
 	}
 	l.work.source = source
 	l.load, l.hasLoad = *load, true
