--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside each target. All requests and orders to the target
-// pass through it.
+// Package agent implements the agent, the process beside each target. All requests and
+// orders to a target pass through its agent.
 package agent
 
 import (
@@ -33,8 +33,9 @@
 	// OrderEvery is the minimum interval between two orders; zero: no limit.
 	OrderEvery  time.Duration
 	ReportEvery time.Duration
-	// Log lists the entries that exist. Without it the agent knows only the entries that
-	// are connected to it. That is not enough after a restart, so nil is for tests only.
+	// Log is the log service, from which the agent reads which entries exist. With nil the
+	// agent knows only the entries that are connected to it. That is not enough after a
+	// restart, so nil is for tests only.
 	Log outside.Log
 	// Listener replaces the plain TCP listener on Settings.Listen, which works on loopback
 	// only.
@@ -44,7 +45,7 @@
 	// Settings.Backend.
 	Rank outside.Rank
 
-	// Off switches safeguards off, for tests of the checkers.
+	// Off disables safeguards, for tests that must detect a missing safeguard.
 	Off safeguard.Off
 }
 
@@ -81,7 +82,7 @@
 // peerState is the state of one connected entry.
 type peerState struct {
 	lastRequestAt    atomic.Int64  // time of the entry's latest request, in ns since the agent's start
-	lastReportAt     atomic.Int64  // time of the latest load report to the entry, in the same unit
+	lastReportAt     atomic.Int64  // time of the latest load report to the entry, in ns since the agent's start
 	lastReportDigest atomic.Uint64 // digest of the latest load report
 }
 
--- a/agent/control.go
+++ b/agent/control.go
@@ -11,7 +11,8 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// defaultStaleGrace is used when the settings were not read from a file.
+// defaultStaleGrace is how long work under a superseded version is still accepted if the
+// settings were not read from a file.
 const defaultStaleGrace = 10 * time.Second
 
 // maxVersions bounds the versions whose arrival time is remembered. For older versions it
--- a/agent/crash.go
+++ b/agent/crash.go
@@ -23,12 +23,12 @@
 // that may have caused it, the suspects, and it runs suspects alone.
 type crashDetector struct {
 	agent *Agent
-	slot  chan struct{} // held by the suspect that runs
+	slot  chan struct{} // held by the crash suspect that runs alone
 
 	mu           sync.Mutex
 	running      map[*engineRequest]bool
 	isolated     bool          // a suspect runs alone, or waits until it can
-	noneRunning  chan struct{} // signalled when no request runs
+	noneRunning  chan struct{} // signalled when no request runs on the engine
 	failures     *failureBatch
 	refusedUntil map[uint64]time.Time
 	seq          uint64
@@ -138,7 +138,7 @@
 	<-d.slot
 }
 
-// finish removes the request from the running ones.
+// finish removes the request from the running requests.
 func (r *engineRequest) finish() {
 	d := r.detector
 	d.mu.Lock()
@@ -176,8 +176,8 @@
 	<-g.done
 }
 
-// evaluate decides whether a batch of failures was a crash of the engine: it was if at
-// least half of the running requests were lost within the window.
+// evaluate decides whether the engine crashed. A batch of failures counts as a crash if at
+// least half of the running requests were lost within failureBatchWindow.
 func (d *crashDetector) evaluate(g *failureBatch) {
 	defer close(g.done)
 	d.mu.Lock()
@@ -205,7 +205,7 @@
 	d.agent.opts.Metrics.Count("engine_crashes_total", 1)
 	d.agent.log.Info("engine crashed", "suspects", len(note.Suspects), "alone", note.Alone)
 	for _, c := range d.agent.conns() {
-		_ = c.SendNote(wire.NoteCrash, &note) // an entry without a connection has no request here
+		_ = c.SendNote(wire.NoteCrash, &note) // an entry that has lost its connection has no request on this target
 	}
 }
 
--- a/agent/dedup.go
+++ b/agent/dedup.go
@@ -26,7 +26,7 @@
 	retained      []*record // records whose answers are retained, oldest first
 	retainedBytes int       // size of the retained answers
 	nextSweep     time.Time
-	dropClaims    bool // for tests of the checkers: do not store claims
+	dropClaims    bool // do not store claims; for tests that must detect the missing safeguard
 }
 
 type dedupKey struct {
@@ -78,7 +78,8 @@
 	return r, true, nil
 }
 
-// sweep deletes records whose window has passed since they finished; mu is held.
+// sweep deletes records whose deduplication window has passed since their request finished;
+// mu is held.
 func (t *dedupTable) sweep(now time.Time) {
 	if now.Before(t.nextSweep) {
 		return
--- a/agent/dispatchcheck.go
+++ b/agent/dispatchcheck.go
@@ -15,7 +15,7 @@
 const (
 	entryListPage     = 1024
 	entryListPollWait = time.Millisecond
-	entryListTimeout  = 500 * time.Millisecond // for reading the log to its end
+	entryListTimeout  = 500 * time.Millisecond // limit for reading the log to its end
 )
 
 // confirmNotRun returns nil if it is certain that no other target and no earlier incarnation
@@ -44,8 +44,8 @@
 	}
 }
 
-// entryListUnread is the value among the missing entries which means that the entry list has
-// not been read from the log. No entry has incarnation 0.
+// entryListUnread, in a list of missing entries, means that the entry list has not been read
+// from the log. No entry has incarnation 0.
 const entryListUnread uint64 = 0
 
 // checkKey returns nil if the request may run. missing lists the entries whose dispatch
@@ -73,8 +73,8 @@
 }
 
 // checkEntries checks that every entry whose latest presence is within the window has sent a
-// dispatch report for version from or a later one. This agent has been the home of the key
-// since version from, without a gap. mu is held.
+// dispatch report for the version from or a later one. This agent has been the home of the
+// key (the only one that may run it) since that version, without a gap. mu is held.
 func (c *dispatchChecker) checkEntries(from uint64, now time.Time, window time.Duration) (missing []uint64, err error) {
 	if c.log != nil && (!c.entriesRead || c.entriesVersion < from) {
 		return []uint64{entryListUnread}, result.New(result.KeyUncertain, "entries that may have dispatched the request are not known yet")
@@ -219,7 +219,8 @@
 	return err
 }
 
-// presenceInterval keeps the agent's presence record within the retention of the log.
+// presenceInterval is the interval at which the agent renews its presence record, so that the
+// record stays within the retention of the log.
 const presenceInterval = 10 * time.Minute
 
 // maintainPresence keeps the presence of this agent on the log, and its entry list as
@@ -234,7 +235,7 @@
 	if c.log == nil {
 		return
 	}
-	// If this fails, the first request with a key waits for the next reading.
+	// If this reading of the entry list fails, the first request with a key waits for the next.
 	_ = c.readEntries(a.ctx, 0)
 	ticker := time.NewTicker(presenceInterval)
 	defer ticker.Stop()
--- a/agent/dispatchreports.go
+++ b/agent/dispatchreports.go
@@ -41,14 +41,14 @@
 
 	mu              sync.Mutex
 	reportedVersion map[uint64]uint64    // entry incarnation -> newest version reported
-	unresponsive    map[uint64]bool      // entries that sent no report in time
+	unresponsive    map[uint64]bool      // entries that sent no dispatch report in time
 	uncertainKeys   map[uint64]time.Time // key hash -> time of the latest report of a dispatch elsewhere
 	nextSweep       time.Time
 	homeHistory     []homeTargets // contiguous version ranges, oldest first
-	skipCheck       bool          // for tests of the checkers: run unknown keys at once
+	skipCheck       bool          // run unknown keys at once; for tests that must detect the missing safeguard
 
 	entries        map[uint64]time.Time // entry incarnation -> time of the last presence, without entries that have gone
-	entriesVersion uint64               // version known when the entry list was read
+	entriesVersion uint64               // newest configuration version known when the entry list was read
 	entriesRead    bool                 // the entry list has been read
 	announced      bool                 // this agent's presence is on the log
 
@@ -102,12 +102,13 @@
 const (
 	// maxDedupWindow is the longest dedup-window that a policy may have.
 	maxDedupWindow = 24 * time.Hour
-	// uncertainKeySweepInterval is the interval at which keys outside every window are
-	// dropped.
+	// uncertainKeySweepInterval is the interval at which uncertain keys outside every
+	// deduplication window are dropped.
 	uncertainKeySweepInterval = time.Minute
 )
 
-// pruneUncertainKeys bounds the number of uncertain keys; mu is held.
+// pruneUncertainKeys drops uncertain keys (those that another agent may have run) once they
+// are outside every deduplication window; mu is held.
 func (c *dispatchChecker) pruneUncertainKeys(now time.Time) {
 	if now.Before(c.nextSweep) {
 		return
--- a/agent/health.go
+++ b/agent/health.go
@@ -62,6 +62,6 @@
 	if err != nil {
 		return false
 	}
-	_ = reply.Body.Close() // only the fact of an answer counts
+	_ = reply.Body.Close() // the body is not needed: any answer shows that the engine is up
 	return true
 }
--- a/agent/nonrepeatable.go
+++ b/agent/nonrepeatable.go
@@ -100,7 +100,7 @@
 // streamRecord streams a record's answer to one caller; first is true for the caller whose
 // request ran.
 func (a *Agent) streamRecord(ctx context.Context, s *wire.Stream, req *wire.Request, r *record, first bool) {
-	a.inFlight.Add(1) // a shutdown waits for callers that are still reading
+	a.inFlight.Add(1) // so that a shutdown waits for callers that are still reading
 	defer a.finishRequest()
 	if first {
 		defer r.markCallerGone()
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -35,10 +35,10 @@
 // once the engine reports that state. result.OrderUnknown means that the engine did not
 // report it: the order may or may not have taken effect, and its sender repeats it.
 //
-// The fencing number is checked while the slot that serialises orders is held. Otherwise a
-// holder that was paused while its lease lapsed could send its order between the check and
-// the use of a newer one, and an engine that ignores fencing numbers would end in the old
-// state. Every order to the engine passes through here.
+// The fencing number is checked while the slot that serialises orders is held. Otherwise an
+// order of a former lease holder could pass the check and then reach the engine after an
+// order of the new holder, and an engine that ignores fencing numbers would end in the old
+// state. Every order to the engine passes through Order.
 func (a *Agent) Order(ctx context.Context, o *wire.Order) error {
 	select {
 	case a.orders.slot <- struct{}{}:
@@ -60,8 +60,9 @@
 	return a.orders.bringToState(ctx, o)
 }
 
-// bringToState gives the order and reads the engine back until it has the state. After a
-// lost answer the state is read first, so the order is repeated only if it had no effect.
+// bringToState sends the order and reads the state of the engine until it is the ordered one.
+// After a lost answer the state is read first, so the order is repeated only if it had no
+// effect.
 func (s *orders) bringToState(ctx context.Context, o *wire.Order) error {
 	want := outside.EngineState{Model: o.Model, Version: o.Version, Adapters: slices.Sorted(slices.Values(o.Adapters)), Role: o.Role}
 	var last error
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -18,7 +18,7 @@
 type backendQueue struct {
 	backend    outside.Backend
 	start      time.Time
-	onRejected func(entry string) // called with the entry whose request was rejected
+	onRejected func(entry string) // called with the name of the entry whose request was rejected
 
 	mu        sync.Mutex
 	admission *route.TargetQueue
@@ -91,7 +91,7 @@
 	waited := q.admission.Remove(&slot.job)
 	q.mu.Unlock()
 	if !waited && !slot.job.Expired {
-		slot.finish(false) // the request was admitted at the same moment
+		slot.finish(false) // the request was admitted at the moment of the cancellation
 	}
 	if context.Cause(ctx) != nil && result.From(context.Cause(ctx)).Code == result.DeadlinePast {
 		return nil, result.New(result.DeadlineUnmet, "deadline passed in the queue of the target")
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -43,7 +43,7 @@
 const (
 	orderQueueLength  = 16
 	stallPollInterval = 500 * time.Millisecond
-	stallThreshold    = time.Second // an undisturbed switch holds a rank for less
+	stallThreshold    = time.Second // a map switch without faults holds a rank for less
 	positionTimeout   = time.Second
 )
 
@@ -129,9 +129,9 @@
 	return r.agent.config.fence.Check(control.GroupResource(o.Group), o.Fence)
 }
 
-// enqueueOrder passes an order to the goroutine that gives orders. The order goes on when
-// the coordinator stops waiting: no other order may follow one whose outcome is unknown, or
-// the unknown one could take effect after it.
+// enqueueOrder passes an order to orderLoop and waits for its result. The order continues
+// when the coordinator stops waiting: if another order followed while the outcome of the
+// first is unknown, the first could take effect after the second.
 func (r *rankAgent) enqueueOrder(ctx context.Context, o *wire.RankOrder) (*wire.RankReply, error) {
 	call := rankCall{order: o, done: make(chan rankResult, 1)}
 	select {
@@ -147,7 +147,7 @@
 	}
 }
 
-// orderLoop gives orders one by one until the agent stops.
+// orderLoop passes the queued orders to the engine one by one until the agent stops.
 func (r *rankAgent) orderLoop() {
 	for {
 		select {
@@ -215,8 +215,8 @@
 	return ids, nil
 }
 
-// status does not wait for orders, so that a stalled engine does not hide the state of the
-// rank.
+// status returns the position of the rank. It does not wait for orders, so that a stalled
+// engine does not hide the state of the rank.
 func (r *rankAgent) status(ctx context.Context, op uint8) (*wire.RankReply, error) {
 	p, err := r.engine.Position(ctx)
 	if err != nil {
--- a/agent/record.go
+++ b/agent/record.go
@@ -17,15 +17,15 @@
 	window     time.Duration
 
 	mu         sync.Mutex
-	changed    chan struct{} // closed and replaced at each change
+	changed    chan struct{} // closed and replaced at each change of the record
 	answer     *wire.Answer
 	buf        []byte // answer bytes from offset base on
-	base       int    // number of bytes already dropped
-	consumed   int    // number of bytes that the first caller has received
+	base       int    // number of answer bytes already dropped
+	consumed   int    // number of answer bytes that the first caller has received
 	callerGone bool   // the first caller has disconnected
 	finishedAt time.Time
 	err        error // io.EOF after a complete answer
-	answered   bool  // the answer started before err
+	answered   bool  // the answer had started before err
 }
 
 func newRecord(digest uint64, window time.Duration) *record {
--- a/agent/report.go
+++ b/agent/report.go
@@ -11,8 +11,8 @@
 
 // Intervals of load reports to one entry. A report costs some 100 bytes, and a node may
 // spend 5 KB/s on control. An entry that has sent a request within activeWindow therefore
-// gets changes soon, the others less often. In between, every rejection by this agent's
-// queue sends a report.
+// gets changes soon, and the other entries get them less often. In addition, an entry gets a
+// report at once when this agent's queue rejects its request.
 const (
 	activeWindow         = time.Second
 	activeReportInterval = 500 * time.Millisecond
@@ -54,8 +54,8 @@
 	}
 }
 
-// reportToEntry reports the load to an entry whose request was rejected, because its view
-// of the load is out of date.
+// reportToEntry reports the load to an entry whose request was rejected: the entry's view of
+// the load is out of date.
 func (a *Agent) reportToEntry(entry string) {
 	for _, c := range a.conns() {
 		if c.Peer().Name == entry {
@@ -84,7 +84,7 @@
 	load.Seq = a.reports.Add(1)
 	p.lastReportDigest.Store(digest)
 	p.lastReportAt.Store(int64(time.Since(a.started)))
-	// A lost connection ends the peer; the next one starts with a fresh report.
+	// If the connection is lost, the entry gets a fresh report on its next connection.
 	_ = c.SendNote(wire.NoteLoad, &load)
 }
 
@@ -108,7 +108,7 @@
 func loadDigest(l *wire.Load) uint64 {
 	b, err := l.MarshalMsg(nil)
 	if err != nil {
-		return 0 // SendNote returns the same error
+		return 0 // SendNote will fail with the same error
 	}
 	return xxhash.Sum64(b)
 }
