--- a/control/apply.go
+++ b/control/apply.go
@@ -17,7 +17,7 @@
 // their outcomes. It folds the log itself, so it reports the outcome that every entry derives.
 type Operator struct {
 	Log outside.Log
-	// State returns a peer's saved state. It is used when the log was trimmed; may be nil.
+	// State returns the saved state of a peer, for use when the log was trimmed. It may be nil.
 	State func(context.Context) ([]byte, error)
 
 	fold *config.Fold
--- a/control/claimer.go
+++ b/control/claimer.go
@@ -9,7 +9,7 @@
 // LeaseTiming holds the durations of leases.
 type LeaseTiming struct {
 	TTL       time.Duration // validity of a claim or renewal
-	Margin    time.Duration // exceeds the drift between two clocks within one TTL
+	Margin    time.Duration // wait of a claimant beyond the TTL; exceeds the drift between two clocks within one TTL
 	RankDelay time.Duration // a claimant waits this long for each claimant that ranks before it
 }
 
@@ -34,10 +34,10 @@
 	incarnation uint64
 	timing      LeaseTiming
 	nonce       uint64
-	wanted      map[string]int // resource -> rank among its claimants
+	wanted      map[string]int // resource -> rank of this process among its claimants
 	releasing   map[string]bool
 	observed    map[string]observedRow
-	batchSentAt map[uint64]time.Time // nonce -> time before sending, of batches that may still be accepted
+	batchSentAt map[uint64]time.Time // nonce -> time just before sending, for each batch that may still be accepted
 	lastBatchAt map[string]time.Time // resource -> time of the latest batch that named it
 }
 
@@ -163,8 +163,8 @@
 	return claims
 }
 
-// canClaim reports whether the holder of a row must have stopped acting by its own clock
-// and the claimants that rank first have had their turn.
+// canClaim reports whether this process may claim the resource of a row: its holder must have
+// stopped acting by its own clock, and claimants of a lower rank must have had time to claim.
 func (c *Claimer) canClaim(s observedRow, rank int, now time.Time) bool {
 	wait := time.Duration(rank) * c.timing.RankDelay
 	if s.row.Holder != "" {
--- a/control/client.go
+++ b/control/client.go
@@ -171,7 +171,8 @@
 const inForcePollInterval = 250 * time.Millisecond
 
 // WaitInForce waits until every listed entry reports the given version or a newer one, and
-// then returns nil. If ctx ends first, it returns the answers of the entries that do not.
+// then returns nil. If ctx ends first, it returns the answers of the entries that report an
+// older version or could not be queried.
 func (c *Client) WaitInForce(ctx context.Context, version uint64) ([]Answer, error) {
 	for {
 		answers, err := c.Status(context.WithoutCancel(ctx), outside.RoleEntry, false)
--- a/control/fence.go
+++ b/control/fence.go
@@ -22,7 +22,7 @@
 // that they read from the log.
 type Fence struct {
 	mu      sync.Mutex
-	entries int // highest number of entries that a source reported
+	entries int // highest number of entries that a source of floors reported
 	sources map[string]bool
 	highest map[string]uint64
 }
--- a/control/follow.go
+++ b/control/follow.go
@@ -15,10 +15,10 @@
 
 const (
 	pageRecords         = 256
-	fallbackPeers       = 3 // peers tried after the relays of the data centre
-	maxBackoffDoublings = 5 // of the pause after a failed source
+	fallbackPeers       = 3 // number of peers tried after the relays of the data centre
+	maxBackoffDoublings = 5 // doublings of the pause after a failed source
 	maxSavedBytes       = 64 << 20
-	pollRoundTrip       = 2 * time.Second // added to the long poll for the round trip
+	pollRoundTrip       = 2 * time.Second // added to the timeout of a long poll
 	appendDeadline      = 5 * time.Second
 )
 
@@ -152,7 +152,8 @@
 }
 
 // FoldRecords folds consecutive log records, beginning at offset first, that this process has
-// read for another purpose. It may stop early at a gap; the followers read on from there.
+// read for another purpose. It may stop early at a gap; followLog and followPeers then read the
+// records from the gap on.
 func (n *Node) FoldRecords(first uint64, records [][]byte) error {
 	return n.foldRecords(first, records, time.Now())
 }
@@ -186,8 +187,8 @@
 	return nil
 }
 
-// foldRecord folds one record. Peers send an empty record for one that does not change the
-// state.
+// foldRecord folds one record. Peers send an empty record in place of a record that does not
+// change the state.
 func (n *Node) foldRecord(offset uint64, raw []byte) error {
 	if len(raw) == 0 {
 		return n.fold.Skip(offset)
@@ -195,9 +196,9 @@
 	return n.fold.Apply(offset, raw)
 }
 
-// notifyFolded passes the folded state to the callbacks and wakes the waiting followers.
-// Both follower tasks call it; the lock ensures that no older version is installed after a
-// newer one.
+// notifyFolded passes the folded state to the callbacks and wakes the long polls of peers
+// that wait for a record. Because followLog and followPeers both call it, notifyMu ensures
+// that no older version is installed after a newer one.
 func (n *Node) notifyFolded() {
 	n.notifyMu.Lock()
 	defer n.notifyMu.Unlock()
@@ -205,7 +206,7 @@
 	now := time.Now()
 	current, next := n.fold.Current(), n.fold.Next()
 	if n.fold.NeedsSnapshot() {
-		next = 0 // records before it may be missing
+		next = 0 // records before the offset may be missing
 	}
 	n.claimer.Observe(n.table, now)
 	n.snapshots.observe(n.fold.SnapshotOffset(), now)
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -67,8 +67,8 @@
 	return p.conn, nil
 }
 
-// sendHeartbeats sends heartbeats to the observers of the data centre, silent reports to
-// the entries that send heartbeats here, and summaries to other data centres.
+// sendHeartbeats sends heartbeats to the observers of the data centre, a SilentReport to the
+// entries that send heartbeats to this one, and summaries to other data centres.
 func (n *Node) sendHeartbeats() {
 	last := time.Time{}
 	for round := 0; n.sleep(n.opts.Timing.HeartbeatInterval); round++ {
@@ -118,13 +118,13 @@
 
 // silentReportHeartbeats is the number of heartbeats from one empty SilentReport to the
 // next. An observer that sends nothing for longer than Timing.FailureTimeout does not
-// count.
+// count towards ObserverQuorum.
 const silentReportHeartbeats = 3
 
 // sendSilentReport sends a SilentReport to the entries that send heartbeats to this one.
-// It lists the processes that this entry has not heard in time, that are leaving or that
-// have no configuration. A report with rows and the first empty one after it are sent at
-// once; other empty reports only if due.
+// The report lists the processes that this entry has not heard in time, that are leaving or
+// that have no configuration. A report with rows and the first empty report after it are
+// sent at once; other empty reports are sent only if due is set.
 func (n *Node) sendSilentReport(due bool) {
 	n.mu.Lock()
 	now := time.Now()
--- a/control/lease.go
+++ b/control/lease.go
@@ -1,5 +1,5 @@
 // Package control keeps processes in agreement on configuration, membership and leases.
-// Decisions have no side effects (no clock, socket or goroutine); Node adds the I/O.
+// The types that make the decisions use no clock, socket or goroutine; Node adds the I/O.
 package control
 
 import "time"
--- a/control/members.go
+++ b/control/members.go
@@ -18,7 +18,7 @@
 type Observation struct {
 	Name        string
 	Incarnation uint64
-	Version     uint64        // configuration version in force there
+	Version     uint64        // configuration version in force at the process
 	Age         time.Duration // time since the observer last heard the process
 	Leaving     bool
 }
@@ -41,7 +41,7 @@
 	version     uint64
 	leaving     bool
 	heardAt     time.Time // when the observer last heard the process, on the local clock
-	reportedAt  time.Time // when the observer reported it
+	reportedAt  time.Time // when the latest report of the observer arrived
 }
 
 // NewMembers returns a view without processes.
@@ -133,7 +133,8 @@
 	})
 }
 
-// unlistedRetention exceeds the delay of the VM list.
+// unlistedRetention is how long a process that is not in the VM list is kept. It exceeds the
+// delay of the list.
 const unlistedRetention = 5 * time.Minute
 
 // RecordAllAlive records that an observer heard all processes except the missed ones, and
--- a/control/node.go
+++ b/control/node.go
@@ -18,19 +18,19 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// Timing holds the periods and timeouts of control.
+// Timing holds the periods and timeouts of the control plane.
 type Timing struct {
-	HeartbeatInterval time.Duration // between heartbeats
-	FailureTimeout    time.Duration // after which an observer misses a process
+	HeartbeatInterval time.Duration // time between two heartbeats
+	FailureTimeout    time.Duration // time without a heartbeat after which an observer misses a process
 	LogWait           time.Duration // duration of a long poll of the log or of a peer
 	Coalesce          time.Duration // least mean time between reads, so that many records cost one read
-	Backoff           time.Duration // after a failed source; doubled up to MaxBackoff
+	Backoff           time.Duration // pause after a failed source; doubled up to MaxBackoff
 	MaxBackoff        time.Duration
-	LogBackoff        time.Duration // upper bound for the log, so that its return is noticed soon
-	Fresh             time.Duration // a source that read the log longer ago is replaced
-	Retry             time.Duration // time until a fallback source is replaced by the first one
-	Snapshots         time.Duration // between published snapshots; a fraction of the log's retention
-	Summaries         time.Duration // between summaries to other data centres
+	LogBackoff        time.Duration // bound of the pause after failed reads of the log, so that its return is noticed soon
+	Fresh             time.Duration // longest time since a source read the log; a source over it is replaced
+	Retry             time.Duration // time until a fallback source is replaced by the preferred source
+	Snapshots         time.Duration // time between two published snapshots; a fraction of the log's retention
+	Summaries         time.Duration // time between two summaries to other data centres
 	Lease             LeaseTiming
 }
 
@@ -67,7 +67,7 @@
 	Folded func(next uint64)
 	// Leases is called after a lease has got a new holder.
 	Leases func()
-	// Status fills in the fields of the reply that the owner of the node knows.
+	// Status fills in the fields of a status reply that are known only outside of the node.
 	Status func(full bool, into *wire.StatusReply)
 	// Note handles notes of kinds that the node does not know; it must not block.
 	Note func(from string, kind wire.Note, payload []byte) error
@@ -95,7 +95,7 @@
 	saved          savedState
 	recordsFolded  chan struct{} // closed and replaced when records were folded
 	logReadAt      time.Time     // when this process or its source last read the log
-	notifiedFence  uint64        // highest fencing number that Leases was called for
+	notifiedFence  uint64        // highest fencing number for which Options.Leases was called
 	claimer        *Claimer
 	members        *Members
 	topology       *Topology
@@ -107,7 +107,7 @@
 	snapshots      snapshotSchedule
 }
 
-// savedState is a saved fold that is sent to all peers that need a state.
+// savedState is the saved state of the fold, kept for all peers that request it.
 type savedState struct {
 	next uint64
 	data []byte
@@ -176,7 +176,7 @@
 	n.tasks.Wait()
 }
 
-// SetPeers sets the entries of the platform's VM list.
+// SetPeers sets the entries that the platform's VM list names.
 func (n *Node) SetPeers(entries []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -241,8 +241,8 @@
 	}
 }
 
-// sleepSpread sets the random part of a sleep to at most 1/sleepSpread of it: processes
-// that started together would otherwise send and read at the same instants.
+// sleepSpread limits the random part of a sleep to 1/sleepSpread of its duration. Without a
+// random part, processes that started together would send and read at the same instants.
 const sleepSpread = 8
 
 // sleep waits for about d. It returns false if the node is stopping.
--- a/control/publish.go
+++ b/control/publish.go
@@ -27,7 +27,7 @@
 func (s *snapshotSchedule) isDue(rank int, every time.Duration, now time.Time) bool {
 	wait := every + time.Duration(rank)*every/snapshotRankDivisor
 	if s.oldestOffset > s.latestOffset {
-		wait = time.Duration(rank) * every / snapshotRankDivisor // the latest one was trimmed
+		wait = time.Duration(rank) * every / snapshotRankDivisor // the latest snapshot was trimmed
 	}
 	return now.Sub(s.latestSeenAt) >= wait
 }
@@ -69,7 +69,7 @@
 		n.log.Error(err, "snapshot not published")
 		return nil, false
 	}
-	n.snapshots.latestSeenAt = time.Now() // if the answer of the append is lost, do not publish again at once
+	n.snapshots.latestSeenAt = time.Now() // so that the next snapshot is not published at once if the answer of this append is lost
 	return records, true
 }
 
@@ -88,8 +88,8 @@
 	return len(names)
 }
 
-// appendRecords appends records to the log, one per call so that no call is too large. The
-// returned offsets are not needed: whatever took effect is read back.
+// appendRecords appends records to the log, one per call so that no call is too large. It
+// ignores the offsets: the fold reads back the records that took effect.
 func (n *Node) appendRecords(records [][]byte, kind string) {
 	for _, raw := range records {
 		ctx, cancel := context.WithTimeout(n.ctx, appendDeadline)
--- a/control/relay.go
+++ b/control/relay.go
@@ -8,7 +8,7 @@
 const (
 	maxCachedRecords = 1024
 	maxCachedBytes   = 1 << 20
-	maxPageBytes     = 256 << 10 // in one reply
+	maxPageBytes     = 256 << 10 // record bytes in one reply
 )
 
 // recordCache holds the newest folded records for peers that follow this process.
--- a/control/schema.go
+++ b/control/schema.go
@@ -22,8 +22,8 @@
 //msgp:tuple LeaseClaim
 type LeaseClaim struct {
 	Resource string
-	Fence    uint64 // as seen by the claimant
-	Term     uint64 // as seen by the claimant
+	Fence    uint64 // fencing number of the lease that the claimant saw
+	Term     uint64 // term of the lease that the claimant saw
 	Release  bool
 }
 
--- a/control/serve.go
+++ b/control/serve.go
@@ -116,7 +116,8 @@
 	return reply, n.saved.data, nil
 }
 
-// logAge returns the time since this process, or its source, read the log.
+// logAge returns the time since this process, or the peer that it pulls records from, read
+// the log.
 func (n *Node) logAge() time.Duration {
 	if n.logReadAt.IsZero() {
 		return time.Hour
@@ -153,7 +154,7 @@
 	return s.Finish()
 }
 
-// Status returns the status of this process and its view of the others.
+// Status returns the status of this process and its view of the other processes.
 func (n *Node) Status(full bool) *wire.StatusReply {
 	n.mu.Lock()
 	now := time.Now()
--- a/control/topology.go
+++ b/control/topology.go
@@ -7,16 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RelayCount is the number of entries of a data centre, its relays, that serve records to
-// the other entries.
+// RelayCount is the number of relays in a data centre. A relay is an entry that serves log
+// records to the other entries.
 const RelayCount = 4
 
-// ObserverCount is the number of relays that receive heartbeats. Two observers are needed
-// to count a silent process as down; the third is a spare.
+// ObserverCount is the number of observers in a data centre. An observer is an entry that
+// receives the heartbeats of the other entries. Two observers are needed to count a silent
+// process as down; the third is a spare.
 const ObserverCount = 3
 
-// LogReaderCount is the number of relays that read the log. The other relays and all other
-// entries follow them.
+// LogReaderCount is the number of log readers in a data centre. A log reader is a relay that
+// reads the log itself. All other entries get the log records from relays.
 const LogReaderCount = 2
 
 // Rank orders names by rendezvous hash for a subject. All processes that know the same
@@ -43,15 +44,17 @@
 	Leaving    bool
 }
 
-// Topology is the place of one process among the entries.
+// Topology holds the entries that one process knows, and the rank of the process among the
+// entries of its data centre.
 type Topology struct {
 	Self   Peer
 	Peers  map[string]Peer // all other entries
 	Ranked []string        // entries of the own data centre, this one included, first rank first
 }
 
-// NewTopology places self among the entries of the VM list. It uses the list and not the
-// liveness of entries, so that a short silence does not change the roles of all entries.
+// NewTopology returns the topology of self and the entries of the VM list. It uses the list
+// and not the liveness of entries, so that a short silence does not change the roles of all
+// entries.
 func NewTopology(self Peer, entries []Peer) *Topology {
 	t := &Topology{Self: self, Peers: make(map[string]Peer, len(entries))}
 	local := []string{self.Name}
@@ -71,7 +74,7 @@
 // LocalIndex returns the rank of this process in its data centre, from 0.
 func (t *Topology) LocalIndex() int { return slices.Index(t.Ranked, t.Self.Name) }
 
-// Local returns the first n entries of the own data centre without this process.
+// Local returns the first n entries of Ranked, without this process.
 func (t *Topology) Local(n int) []string {
 	first := t.Ranked[:min(n, len(t.Ranked))]
 	return slices.DeleteFunc(slices.Clone(first), func(n string) bool { return n == t.Self.Name })
@@ -81,9 +84,9 @@
 func (t *Topology) ReadsLog() bool { return t.LocalIndex() < LogReaderCount }
 
 // SummaryPeers returns the entries to which this process sends summaries. Only the first
-// entry of a data centre sends any: to the first entry of each other data centre in its
-// region, and, from the first data centre of the region, to one entry of each other
-// region.
+// entry of a data centre sends summaries, to the first entry of each other data centre in
+// its region. In the first data centre of a region, it also sends them to one entry of each
+// other region.
 func (t *Topology) SummaryPeers() []string {
 	if t.LocalIndex() != 0 {
 		return nil
@@ -117,9 +120,9 @@
 
 // Sources returns the entries from which this process pulls records when it does not read
 // the log: the relays of its data centre, then all other entries. Each process has an
-// order of its own, so that the first relay does not serve all the others. The relays
-// begin with the log readers: two relays that followed each other would both wait until
-// their records are stale.
+// order of its own, so that the first relay does not serve all other entries. The order of a
+// relay begins with the log readers: two relays that followed each other would both wait
+// until their records are stale.
 func (t *Topology) Sources() []string {
 	sources := Rank(t.Self.Name, t.Local(RelayCount))
 	if t.LocalIndex() < RelayCount {
