--- a/wire/accept.go
+++ b/wire/accept.go
@@ -13,7 +13,7 @@
 // Default limits of an Acceptor, in connections.
 const (
 	DefaultMaxConns   = 4096
-	DefaultMaxPending = 128 // before the end of the hello exchange
+	DefaultMaxPending = 128 // connections whose hello exchange is pending
 )
 
 // Acceptor accepts connections from other processes on a listener. It limits the
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -23,12 +23,12 @@
 	Note uint8
 )
 
-// Methods of this file.
+// Methods of the streams that carry requests of callers.
 const (
 	MethodRequest Method = 1 // Request, answered by Answer and chunks
 )
 
-// Notes of this file.
+// Notes on the load of targets.
 const (
 	NoteLoad Note = 1 // Load
 )
@@ -65,7 +65,7 @@
 	nextID       uint64
 	noNewStreams bool   // Open fails from now on
 	peerStreams  int    // streams opened by the peer that are still served
-	idParity     uint64 // of the stream ids that this side assigns
+	idParity     uint64 // parity of the stream ids that this side assigns: 1 odd, 0 even
 	loops        conc.WaitGroup
 }
 
@@ -202,8 +202,8 @@
 	})
 }
 
-// Open starts a stream. If it fails, no byte of the stream was handed to the
-// connection. After a success only the peer knows how far the request got.
+// Open starts a stream. If Open fails, no byte of the stream was handed to the
+// connection. If it succeeds, only the peer knows how far the request got.
 func (c *Conn) Open(m Method, msg msgp.Marshaler) (*Stream, error) {
 	return c.OpenWatched(m, msg, nil)
 }
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -50,8 +50,9 @@
 	header [headerSize]byte
 }
 
-// next returns the next frame. It checks the length against the limit before it
-// allocates, so that an unknown peer cannot claim memory with four bytes.
+// next returns the next frame. It checks the length of the frame against the limit
+// before it allocates: otherwise the four bytes of a length would be enough to make
+// this side allocate memory for an unknown peer.
 func (fr *frameReader) next() (Frame, error) {
 	if _, err := io.ReadFull(fr.r, fr.header[:]); err != nil {
 		return Frame{}, err
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -100,7 +100,7 @@
 // processes are dialled by IP address, and their certificates name roles.
 func (k *Keys) clientConfig() *tls.Config {
 	c := k.refresh().Clone()
-	c.InsecureSkipVerify = true // replaced by VerifyConnection
+	c.InsecureSkipVerify = true // VerifyConnection verifies the chain instead
 	c.VerifyConnection = func(state tls.ConnectionState) error {
 		return verifyChain(state.PeerCertificates, c.RootCAs)
 	}
--- a/wire/options.go
+++ b/wire/options.go
@@ -4,11 +4,11 @@
 
 // Options configures a connection and limits the resources that its peer can claim.
 type Options struct {
-	MaxFrame     int           // bytes; zero: DefaultMaxFrame
+	MaxFrame     int           // largest frame payload in bytes; zero: DefaultMaxFrame
 	Window       int           // bytes that the peer may send on a stream without further credit; zero: DefaultWindow
 	MaxStreams   int           // streams that the peer may have open at once; zero: DefaultMaxStreams
 	PingEvery    time.Duration // ping interval; zero: one second
-	PeerTimeout  time.Duration // longest time without a frame from the peer, or in one write; zero: four seconds
+	PeerTimeout  time.Duration // longest time without a frame from the peer, and longest time for one write; zero: four seconds
 	HelloTimeout time.Duration // limit for the TLS handshake and the hello exchange; zero: five seconds
 }
 
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -6,7 +6,7 @@
 
 // Methods of configuration and control.
 const (
-	MethodTail   Method = 20 // TailRequest, answered by TailReply and, with State, chunks
+	MethodTail   Method = 20 // TailRequest, answered by TailReply and, if its State is set, chunks
 	MethodStatus Method = 21 // StatusRequest, answered by StatusReply
 	MethodDrain  Method = 22 // DrainRequest, answered by StatusReply
 	MethodOrder  Method = 23 // Order, answered by OrderReply
@@ -30,8 +30,8 @@
 // TailRequest asks a peer for log records from an offset on.
 type TailRequest struct {
 	From   uint64 `msg:"f"`
-	Cold   bool   `msg:"c"` // the sender has no state yet: reply with a whole state
-	WaitMs int64  `msg:"w"` // limit of the wait for the first record
+	Cold   bool   `msg:"c"` // the sender needs a whole state before it can fold records
+	WaitMs int64  `msg:"w"` // longest wait for the first record, in milliseconds
 }
 
 // TailReply holds records, or announces a whole state that follows in chunks.
@@ -40,16 +40,16 @@
 	Next    uint64   `msg:"n"` // offset of the next record that the sender will fold
 	Records [][]byte `msg:"r"`
 	State   bool     `msg:"s"` // a saved state follows in chunks
-	AgeMs   int64    `msg:"a"` // time since the sender, or the process it follows, read the log
+	AgeMs   int64    `msg:"a"` // milliseconds since the sender, or the peer from which it gets its records, read the log
 }
 
 // AgentConfig is the part of the configuration that an agent needs. It has no teams.
 type AgentConfig struct {
 	Version  uint64          `msg:"v"`
 	Digest   uint64          `msg:"d"`
-	Entries  int             `msg:"e"` // number of entries in the VM list, which can send fencing floors
-	Policies []ServicePolicy `msg:"p"` // of the services that the target's fleet serves
-	Floors   []FenceFloor    `msg:"f"` // of the resources that concern the target
+	Entries  int             `msg:"e"` // number of entries in the VM list; each of them can send fencing floors
+	Policies []ServicePolicy `msg:"p"` // policies of the services that the target's fleet serves
+	Floors   []FenceFloor    `msg:"f"` // fencing floors of the resources that concern the target
 }
 
 // ServicePolicy is the policy of one service.
@@ -87,7 +87,7 @@
 	Name        string
 	Incarnation uint64
 	Version     uint64
-	AgeMs       int64 // since the last heartbeat
+	AgeMs       int64 // milliseconds since the observer received the last heartbeat of the entry
 	Leaving     bool
 }
 
@@ -98,7 +98,7 @@
 	Region     string `msg:"r"`
 	Entries    int    `msg:"n"`
 	Down       int    `msg:"o"` // number of entries that are down
-	Oldest     uint64 `msg:"v"` // oldest version in force among its entries
+	Oldest     uint64 `msg:"v"` // oldest configuration version in force at an entry of the data centre
 	Newest     uint64 `msg:"w"`
 }
 
@@ -114,10 +114,10 @@
 	DataCentre  string      `msg:"d"`
 	Incarnation uint64      `msg:"i"`
 	Version     uint64      `msg:"v"`
-	Change      string      `msg:"c"` // id of the change in force
+	Change      string      `msg:"c"` // id of the change that produced the configuration in force
 	Digest      uint64      `msg:"g"`
 	LogAgeMs    int64       `msg:"a"`
-	Stopped     string      `msg:"x"` // error that stopped the fold; empty: the fold runs
+	Stopped     string      `msg:"x"` // error that stopped the folding of log records; empty: none
 	Leaving     bool        `msg:"l"`
 	InFlight    int         `msg:"f"`
 	Down        []string    `msg:"o"` // entries that this process considers down
--- a/wire/schema_expert.go
+++ b/wire/schema_expert.go
@@ -35,14 +35,14 @@
 
 	Round       uint64        `msg:"b"` // round of the ballot
 	Owner       uint64        `msg:"w"` // owner of the ballot
-	At          uint64        `msg:"a"` // step to hold before
+	At          uint64        `msg:"a"` // the rank must hold before this step
 	Incarnation uint64        `msg:"i"` // incarnation of the agent that replied to the hold
 	Start       uint64        `msg:"s"` // id of the run of the engine that replied to the hold
 	Schedule    []RankSegment `msg:"c"`
-	Join        uint64        `msg:"j"` // first step of a rank that has entered none since its start
+	Join        uint64        `msg:"j"` // step at which a rank that has entered no step since its start begins
 
 	Rank        int    `msg:"k"`
-	Ranks       int    `msg:"n"` // shape of the map
+	Ranks       int    `msg:"n"` // Ranks to SlotsOfRank: shape of the map
 	Layers      int    `msg:"l"`
 	Experts     int    `msg:"e"`
 	SlotsOfRank int    `msg:"p"`
@@ -62,18 +62,18 @@
 	Incarnation uint64   `msg:"i"`
 	Start       uint64   `msg:"s"` // id of the engine's run, new at each start
 	Entered     bool     `msg:"e"` // the engine has entered a step since its start
-	Next        uint64   `msg:"n"` // next step
-	Inside      bool     `msg:"d"` // a step is running
-	Map         uint64   `msg:"m"` // map of the latest step; 0: none was entered
+	Next        uint64   `msg:"n"` // next step that the engine will enter
+	Inside      bool     `msg:"d"` // the engine has entered a step and not completed it
+	Map         uint64   `msg:"m"` // id of the map of the latest step; 0: no step was entered
 	Held        bool     `msg:"h"`
 	HoldAt      uint64   `msg:"a"`
 	Round       uint64   `msg:"b"` // round of the highest promised ballot
-	Owner       uint64   `msg:"w"` // owner of that ballot
+	Owner       uint64   `msg:"w"` // owner of the highest promised ballot
 	Loaded      []uint64 `msg:"l"` // maps whose weights are loaded
 
-	Unit    float64 `msg:"u"` // with Bands: loads, as packed by expert.EncodeLoads
+	Unit    float64 `msg:"u"` // load of the busiest slot, the unit of Bands; see expert.EncodeLoads
 	Bands   []byte  `msg:"t"`
-	Seconds float64 `msg:"c"` // computing time of a step
+	Seconds float64 `msg:"c"` // computing time of a step, in seconds
 	Slots   []byte  `msg:"p"` // slots of the map in use
 }
 
--- a/wire/schema_outcomes.go
+++ b/wire/schema_outcomes.go
@@ -4,7 +4,7 @@
 
 //msgp:limit arrays:131072 maps:131072
 
-// Notes of this file.
+// Notes on dispatches, crashes and shutdowns.
 const (
 	NoteDispatchReport Note = 10 // DispatchReport, entry to agent
 	NoteCrash          Note = 11 // Crash, agent to entry
@@ -19,16 +19,17 @@
 type DispatchReport struct {
 	Version uint64   `msg:"v"`
 	Targets []string `msg:"t"` // declared targets of the fleet of the agent under Version
-	// Keys are the hashes of the idempotency keys whose home is this agent under
-	// Version and that the entry has dispatched to another target or incarnation.
+	// Keys are hashes of idempotency keys that the entry has dispatched to another
+	// target or incarnation, although the receiving agent is their home (the only one
+	// that may run them) under Version.
 	Keys []uint64 `msg:"k"`
 }
 
 // Crash reports the crash of an engine and the requests that were running on it.
 type Crash struct {
-	ID       uint64   `msg:"i"` // unique over all agents and restarts
+	ID       uint64   `msg:"i"` // id of the crash, unique over all agents and restarts
 	Target   string   `msg:"t"`
-	Alone    bool     `msg:"a"` // the only running request was a suspect already and ran alone
+	Alone    bool     `msg:"a"` // the only running request was already a suspect of an earlier crash and ran alone
 	Suspects []uint64 `msg:"s"` // fingerprints of the running requests
-	AgeMs    int64    `msg:"g"` // time since the crash; agents repeat reports to entries that connect later
+	AgeMs    int64    `msg:"g"` // milliseconds since the crash; agents repeat crash reports to entries that connect later
 }
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -14,7 +14,7 @@
 // MessageKind is the type of a message inside a stream.
 type MessageKind uint8
 
-// Messages of this file.
+// Messages on a stream that carries a request of a caller.
 const (
 	MessageAnswer MessageKind = 1 // Answer
 )
@@ -33,15 +33,15 @@
 
 	mu             sync.Mutex
 	queue          []Event
-	failure        error // io.EOF after a verified end
+	failure        error // why the stream ended; io.EOF after a verified end
 	recvReady      chan struct{}
 	cancel         context.CancelCauseFunc
-	credit         int // bytes this side may still send
+	credit         int // chunk bytes that this side may still send
 	sendReady      chan struct{}
 	unread         int // chunk bytes received and not yet consumed
 	unacked        int // chunk bytes consumed and not yet returned as credit
 	unreadMessages int // typed messages received and not yet consumed
-	unreadMsgBytes int // size of those messages
+	unreadMsgBytes int // size in bytes of the typed messages received and not yet consumed
 
 	recvSeq    uint64
 	recvDigest *xxhash.Digest
@@ -149,8 +149,9 @@
 	return nil
 }
 
-// receiveCredit adds credit. A peer cannot return more credit than it was sent bytes,
-// so a sum above its window is a protocol violation. An unchecked sum could overflow.
+// receiveCredit adds credit from the peer. A peer may return credit only for bytes that
+// it was sent, so a sum above its window is a protocol violation. An unchecked sum could
+// overflow.
 func (s *Stream) receiveCredit(p []byte) error {
 	var c Credit
 	if _, err := c.UnmarshalMsg(p); err != nil {
@@ -219,7 +220,7 @@
 		return result.New(result.WireMalformed, "chunk bytes: %w", err)
 	}
 	if len(data) == 0 {
-		// An empty chunk uses no credit, so their number would be unbounded.
+		// Empty chunks use no credit, so the peer could send any number of them.
 		return result.New(result.WireMalformed, "empty chunk")
 	}
 	if seq != s.recvSeq {
@@ -286,8 +287,8 @@
 	return len(s.queue) > 0 || s.failure != nil
 }
 
-// consume accounts for an event as read and returns the credit to grant to the peer.
-// Credit is granted in halves of the window, to save frames.
+// consume records that an event was read, and returns the credit to grant to the peer.
+// To save frames, it grants credit only once half a window has been read.
 func (s *Stream) consume(e Event) int {
 	n := len(e.Data)
 	if e.Message != 0 {
