--- a/config/delta.go
+++ b/config/delta.go
@@ -126,9 +126,9 @@
 		len(p.Services)+len(p.Teams)+len(p.Policies) == 0
 }
 
-// Apply returns base with the delta applied, and the digest of the result. digest
-// is that of base; a nil base is an empty configuration. Lists that the delta does
-// not change are shared with base.
+// Apply returns base with the delta applied, and the digest of the result. The
+// parameter digest is the digest of base; a nil base is an empty configuration.
+// Lists that the delta does not change are shared with base.
 func (d *Delta) Apply(base *Config, digest uint64) (*Config, uint64) {
 	if base == nil || d.Whole {
 		base, digest = new(Config), 0
--- a/config/diff.go
+++ b/config/diff.go
@@ -21,7 +21,7 @@
 type Difference struct {
 	Op    Op
 	Title string
-	Keys  []KeyDifference // for OpChange and OpAdd
+	Keys  []KeyDifference // differing keys, for OpChange and OpAdd
 }
 
 // KeyDifference is one key whose value differs. Old is empty in an added section.
@@ -69,8 +69,8 @@
 	return out
 }
 
-// diffKeys returns the keys that differ, under their names in files. An invalid
-// old value is an empty section.
+// diffKeys returns the keys that differ, under their names in files. An old that is
+// the zero reflect.Value stands for an empty section.
 func diffKeys(old, v reflect.Value) []KeyDifference {
 	var out []KeyDifference
 	for i := range v.NumField() {
--- a/config/fold.go
+++ b/config/fold.go
@@ -40,7 +40,7 @@
 	outcomes         []SavedOutcome
 	pendingParts     partBuffer
 	snapshotParts    partBuffer // filled only while awaitingSnapshot
-	snapshotOffset   uint64     // Upto of the latest snapshot seen on the log
+	snapshotOffset   uint64     // offset of the first record that the latest snapshot on the log does not include
 	extensions       []Extension
 	stopErr          error
 }
@@ -74,7 +74,7 @@
 }
 
 // SkipTo records that the log has trimmed all records before first. If the fold
-// had not applied them, it then needs a snapshot from the log or a Restore.
+// had not applied all of them, it then needs a snapshot from the log or a Restore.
 func (f *Fold) SkipTo(first uint64) {
 	if first <= f.next && !f.awaitingSnapshot {
 		return
@@ -128,7 +128,7 @@
 		return fmt.Errorf("record of schema %d, this build knows %d", rec.Schema, RecordSchema)
 	}
 	if rec.Kind == RecordPresence {
-		return nil // read by agents; see Presence
+		return nil // does not change the configuration; see Presence
 	}
 	if rec.Kind == RecordSnapshotPart || rec.Kind == RecordSnapshotCommit {
 		return f.foldSnapshotRecord(offset, &rec)
--- a/config/parts.go
+++ b/config/parts.go
@@ -10,8 +10,8 @@
 // Expiry is counted in log offsets, so all readers drop the same sets at the same
 // offset.
 const (
-	maxPendingSets    = 2    // sets; 24 MB at most
-	pendingTTLRecords = 4096 // log records after the first part
+	maxPendingSets    = 2    // sets that are kept; 24 MB at most
+	pendingTTLRecords = 4096 // how long a set is kept, in log records after its first part
 	maxPartIndex      = MaxParts - 1
 )
 
--- a/config/presence.go
+++ b/config/presence.go
@@ -27,9 +27,9 @@
 //
 //msgp:tuple Dispatched
 type Dispatched struct {
-	Key         uint64 // route.KeyHash
+	Key         uint64 // hash of the idempotency key; see route.KeyHash
 	Target      string
-	Incarnation uint64 // of the agent
+	Incarnation uint64 // incarnation of the agent
 }
 
 // Roles in Presence.
--- a/config/record.go
+++ b/config/record.go
@@ -9,7 +9,8 @@
 
 //go:generate go tool -modfile=../tools/go.mod msgp -tests=false -io=false -o record_gen.go
 
-// The limit also holds for byte strings: a record's body is larger than MaxRecordBytes.
+// The array limit also holds for byte strings. It exceeds MaxRecordBytes because the body of a
+// record that holds a full part is slightly larger than MaxRecordBytes.
 //msgp:limit arrays:1048576 maps:131072
 
 // RecordSchema is the newest record schema that this build understands.
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -10,7 +10,7 @@
 
 const keyHashHexLen = sha256.Size * 2
 
-// HashKey returns the SHA-256 of a team's key in hex, as key-hash holds it.
+// HashKey returns the SHA-256 of a team's key in hex, as in the setting key-hash.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/config/state.go
+++ b/config/state.go
@@ -71,8 +71,8 @@
 	return compress(raw)
 }
 
-// Restore adopts the saved state of a peer if it is ahead of this one. It never
-// goes back, neither in log offset nor in version.
+// Restore adopts the saved state of a peer if that state is ahead of this fold. The
+// fold never goes back, neither in log offset nor in version.
 func (f *Fold) Restore(saved []byte) error {
 	if f.stopErr != nil {
 		return f.stopErr
