--- a/outside/backend.go
+++ b/outside/backend.go
@@ -19,9 +19,9 @@
 
 // HTTPBackend is an HTTP/1.1 client for one address. It uses the message types of
 // fasthttp, but manages connections itself. The client of fasthttp resends a request
-// when an idle connection turns out to be closed, so a log entry could be written
-// twice. It also cannot be cancelled before the response header arrives, so a caller
-// that has gone would keep its engine slot.
+// when an idle connection turns out to be closed, so an append to the log could take
+// effect twice. The client of fasthttp also cannot be cancelled before the response
+// header arrives, so a caller that has gone would keep its engine slot.
 type HTTPBackend struct {
 	// RequireDone makes an event stream complete only if its last event is
 	// "data: [DONE]", as model engines send it. When the computing part of an engine
@@ -193,9 +193,10 @@
 	return n, err
 }
 
-// minBufferedRead is the number of buffered bytes from which Read appends further
-// data to the first piece. The header of a chunk is shorter, so the additional read
-// does not block for the next token while earlier ones could be forwarded.
+// minBufferedRead is the least number of buffered bytes for which Read appends
+// further data to the first piece. The header of a chunk is shorter, so the
+// additional read does not block for the next token while earlier tokens could be
+// forwarded.
 const minBufferedRead = 64
 
 // Close returns the connection to the idle pool if the body was read to its end, and
@@ -219,8 +220,9 @@
 	return nil
 }
 
-// acquire returns an open connection. It first checks an idle connection: if the
-// backend has closed it, a request sent on it would count as possibly run.
+// acquire returns an open connection. It checks an idle connection before it reuses
+// it: a request sent on a connection that the backend has closed would count as
+// possibly run.
 func (b *HTTPBackend) acquire(ctx context.Context) (*backendConn, error) {
 	for {
 		bc := b.popIdle()
@@ -267,8 +269,8 @@
 	}
 }
 
-// Close closes the idle connections. Connections in use are closed when their bodies
-// are.
+// Close closes the idle connections. A connection in use is closed when its response
+// body is closed.
 func (b *HTTPBackend) Close() {
 	b.mu.Lock()
 	idle := b.idle
--- a/outside/orders.go
+++ b/outside/orders.go
@@ -10,8 +10,8 @@
 // engine that checks fencing numbers.
 var ErrStaleFence = errors.New("order carries an old fencing number")
 
-// EngineState is the loaded model, its adapters and the role of an engine. As an order
-// it is the desired state, so repeating the order has no effect.
+// EngineState is the loaded model, its adapters and the role of an engine. An order
+// contains the desired EngineState, so repeating the order has no effect.
 type EngineState struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
--- a/outside/outside.go
+++ b/outside/outside.go
@@ -31,7 +31,7 @@
 	// error that wraps ErrUnknownOutcome, the append may have taken effect.
 	Append(ctx context.Context, records [][]byte) (uint64, error)
 	// Read returns at most max records starting at from. It waits up to wait for the
-	// first one. It fails with ErrTrimmed if the records at from were trimmed.
+	// first record. It fails with ErrTrimmed if the record at from was trimmed.
 	Read(ctx context.Context, from uint64, max int, wait time.Duration) (Page, error)
 }
 
@@ -104,7 +104,7 @@
 
 // SendError is the error of a failed Call.
 type SendError struct {
-	MayHaveRun bool // some bytes may have reached the backend
+	MayHaveRun bool // some bytes of the call may have reached the backend
 	Err        error
 }
 
--- a/outside/rank.go
+++ b/outside/rank.go
@@ -12,7 +12,7 @@
 // Rank is an engine in the role of a rank of a lock-step group. Its orders correspond
 // to the methods of expert.Position. Each order takes effect atomically or not at all.
 type Rank interface {
-	// Position returns the position of the engine.
+	// Position returns the step, map, schedule and hold of the engine.
 	Position(ctx context.Context) (expert.Position, error)
 	// Prepare loads the weights that the engine needs as the given rank of a map,
 	// beside the weights in use. It returns when they are loaded.
