--- a/outcomes/bench.go
+++ b/outcomes/bench.go
@@ -20,8 +20,8 @@
 const maxParallelRuns = 8
 
 // Bench measures outcomes under faults, deduplication, continuation and crashing
-// requests, and adds the measures to r. seeds is the number of fault plans. It runs
-// in real time.
+// requests, and adds the measures to r. seeds is the number of fault plans. The
+// systems run in real time.
 func Bench(r *bench.Report, seeds int) error {
 	for _, part := range []func(*bench.Report) error{benchAtMostOnce, benchOutage, benchContinuation, benchCrash} {
 		if err := part(r); err != nil {
@@ -31,8 +31,8 @@
 	return benchFaults(r, seeds)
 }
 
-// benchFaults runs the plans of seeds and reports goodput and the share of each result
-// code for each plan.
+// benchFaults runs one fault plan for each seed, and reports goodput and the share of
+// each result code for each plan.
 func benchFaults(r *bench.Report, seeds int) error {
 	type outcome struct {
 		world *World
--- a/outcomes/callers.go
+++ b/outcomes/callers.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/result"
 )
 
-// Behaviour of callers.
+// Parameters of the simulated callers.
 const (
 	callerDeadline    = 5 * time.Second
 	callerMaxAttempts = 3
--- a/outcomes/crash.go
+++ b/outcomes/crash.go
@@ -16,8 +16,8 @@
 // crashResult is the result of a run with a crashing request.
 type crashResult struct {
 	crashes      int            // executions of the crashing request
-	targets      int            // targets that it crashed
-	refusedAfter time.Duration  // from its first attempt to its first refusal as a suspect
+	targets      int            // targets that the crashing request crashed
+	refusedAfter time.Duration  // time from the first attempt of the crashing request to its first refusal as a suspect
 	otherResults map[string]int // result names of the other requests, with counts
 }
 
--- a/outcomes/faults.go
+++ b/outcomes/faults.go
@@ -32,7 +32,7 @@
 	FaultCrashRequest  Fault = "a request crashes its targets"
 )
 
-// Faults lists the kinds of faults that plans select from.
+// Faults lists the kinds of faults that PlanForSeed selects from.
 var Faults = []Fault{
 	FaultNone, FaultAgentKill, FaultAgentPause, FaultEngineKill, FaultEngineStall, FaultEntryKill, FaultEntryPause,
 	FaultConnectionCut, FaultMessageDelay, FaultLogDown, FaultLogAnswerLost, FaultVMReplaced, FaultDrain, FaultTargetChange, FaultCrashRequest,
--- a/outcomes/network.go
+++ b/outcomes/network.go
@@ -19,7 +19,7 @@
 	listeners  map[string]*listener
 	conns      map[*faultyConn]bool
 	paused     map[string]chan struct{} // by process; the channel is closed when the process resumes
-	extraDelay map[string]time.Duration // by process
+	extraDelay map[string]time.Duration // additional delay of each write, by process
 	redirects  map[string]string        // process and dialled address -> address that is reached instead
 }
 
@@ -139,8 +139,9 @@
 	n.extraDelay[process] = d
 }
 
-// cutAfterBytes breaks each connection of a process after it has sent as many more
-// bytes as a call of bytes returns.
+// cutAfterBytes breaks each connection of a process after the process has sent a
+// further number of bytes on it. A call of bytes returns that number for one
+// connection.
 func (n *network) cutAfterBytes(process string, bytes func() int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -227,7 +228,7 @@
 	if remaining < 0 || remaining >= len(p) {
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:remaining]) // the injected break is reported instead of a write error
+	n, _ := c.Conn.Write(p[:remaining]) // the injected error is returned instead of a write error
 	_ = c.Close()
 	_ = c.peer.Close()
 	return n, net.ErrClosed
--- a/outcomes/world.go
+++ b/outcomes/world.go
@@ -18,7 +18,7 @@
 	"github.com/heatherrail/heatherrail/settings"
 )
 
-// Parameters of the system.
+// Parameters of the system under test.
 const (
 	stepTime    = 5 * time.Millisecond
 	engineSlots = 16
@@ -27,7 +27,7 @@
 	answerTTL   = 200 * time.Millisecond
 )
 
-// Services of the system.
+// Services of the system under test.
 const (
 	ServicePlain  = "oven-api"
 	ServiceEngine = "prog-llm"
