--- a/agent/dispatchreports.go
+++ b/agent/dispatchreports.go
@@ -48,7 +48,7 @@
 	skipCheck       bool          // run unknown keys at once; for tests that must detect the missing safeguard
 
 	entries        map[uint64]time.Time // entry incarnation -> time of the last presence, without entries that have gone
-	entriesVersion uint64               // newest configuration version known when the entry list was read
+	entriesVersion uint64               // configuration version for which the entry list was read
 	entriesRead    bool                 // the entry list has been read
 	announced      bool                 // this agent's presence is on the log
 
@@ -107,8 +107,8 @@
 	uncertainKeySweepInterval = time.Minute
 )
 
-// pruneUncertainKeys drops uncertain keys (those that another agent may have run) once they
-// are outside every deduplication window; mu is held.
+// pruneUncertainKeys bounds the number of uncertain keys (those that another agent may have
+// run): it drops keys that are outside every deduplication window. mu is held.
 func (c *dispatchChecker) pruneUncertainKeys(now time.Time) {
 	if now.Before(c.nextSweep) {
 		return
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -35,10 +35,10 @@
 // once the engine reports that state. result.OrderUnknown means that the engine did not
 // report it: the order may or may not have taken effect, and its sender repeats it.
 //
-// The fencing number is checked while the slot that serialises orders is held. Otherwise an
-// order of a former lease holder could pass the check and then reach the engine after an
-// order of the new holder, and an engine that ignores fencing numbers would end in the old
-// state. Every order to the engine passes through Order.
+// The fencing number is checked while the slot that serialises orders is held. Otherwise the
+// order of a holder that was paused while its lease lapsed could pass the check and then
+// reach the engine after an order of the new holder. An engine that ignores fencing numbers
+// would then end in the old state. Every order to the engine passes through Order.
 func (a *Agent) Order(ctx context.Context, o *wire.Order) error {
 	select {
 	case a.orders.slot <- struct{}{}:
--- a/control/claimer.go
+++ b/control/claimer.go
@@ -164,7 +164,8 @@
 }
 
 // canClaim reports whether this process may claim the resource of a row: its holder must have
-// stopped acting by its own clock, and claimants of a lower rank must have had time to claim.
+// stopped acting by its own clock, and the claimants that rank before this process must have
+// had time to claim.
 func (c *Claimer) canClaim(s observedRow, rank int, now time.Time) bool {
 	wait := time.Duration(rank) * c.timing.RankDelay
 	if s.row.Holder != "" {
--- a/control/follow.go
+++ b/control/follow.go
@@ -18,7 +18,7 @@
 	fallbackPeers       = 3 // number of peers tried after the relays of the data centre
 	maxBackoffDoublings = 5 // doublings of the pause after a failed source
 	maxSavedBytes       = 64 << 20
-	pollRoundTrip       = 2 * time.Second // added to the timeout of a long poll
+	pollRoundTrip       = 2 * time.Second // added to the timeout of a long poll for the network round trip
 	appendDeadline      = 5 * time.Second
 )
 
--- a/control/leases.go
+++ b/control/leases.go
@@ -41,7 +41,7 @@
 func (t *LeaseTable) applyClaim(b *LeaseBatch, c *LeaseClaim) {
 	row, known := t.rows[c.Resource]
 	if row.Fence != c.Fence || row.Term != c.Term {
-		return // the lease is not the one that the claimant saw: another claim came first
+		return // the lease is not the one that the claimant saw: another record came first
 	}
 	if !known && len(t.rows) >= maxResources {
 		return
--- a/control/node.go
+++ b/control/node.go
@@ -26,7 +26,7 @@
 	Coalesce          time.Duration // least mean time between reads, so that many records cost one read
 	Backoff           time.Duration // pause after a failed source; doubled up to MaxBackoff
 	MaxBackoff        time.Duration
-	LogBackoff        time.Duration // bound of the pause after failed reads of the log, so that its return is noticed soon
+	LogBackoff        time.Duration // longest pause after failed reads of the log; short, so that the return of the log is noticed soon
 	Fresh             time.Duration // longest time since a source read the log; a source over it is replaced
 	Retry             time.Duration // time until a fallback source is replaced by the preferred source
 	Snapshots         time.Duration // time between two published snapshots; a fraction of the log's retention
--- a/control/topology.go
+++ b/control/topology.go
@@ -11,7 +11,7 @@
 // records to the other entries.
 const RelayCount = 4
 
-// ObserverCount is the number of observers in a data centre. An observer is an entry that
+// ObserverCount is the number of observers in a data centre. An observer is a relay that also
 // receives the heartbeats of the other entries. Two observers are needed to count a silent
 // process as down; the third is a spare.
 const ObserverCount = 3
