--- a/internal/tools/gendocs/results.go
+++ b/internal/tools/gendocs/results.go
@@ -16,8 +16,8 @@
 never reused.
 
 **Run** says what is known about execution: ` + "`not-run`" + ` means that the request certainly did not run and may
-be sent again; ` + "`may-have-run`" + ` is honest doubt: look before you send it again. **Wait** is the
-least ` + "`Retry-After`" + `; none means that waiting does not help.
+be sent again; ` + "`may-have-run`" + ` means that the outcome is unknown and the request may have run: look before
+you send it again. **Wait** is the least ` + "`Retry-After`" + `; none means that waiting does not help.
 `
 
 // resultGroups are the sections of the page, by range of codes.
@@ -27,7 +27,7 @@
 }{
 	{0, 199, "The request itself"},
 	{200, 299, "Refused for now; it did not run"},
-	{300, 399, "Honest doubt; it may have run"},
+	{300, 399, "Outcome unknown; the request may have run"},
 	{400, 499, "Between heatherrail's own processes; callers see them as a cause"},
 	{500, 65535, "Others"},
 }
