--- a/config/fold.go
+++ b/config/fold.go
@@ -10,8 +10,9 @@
 // record before it is missing.
 var ErrGap = errors.New("log record out of order")
 
-// Extension folds log records of another kind into a state of its own, which is
-// saved with the configuration. All processes must use the same extensions.
+// Extension folds log records of a kind that Fold itself does not handle, for example
+// leases, into a state of its own. That state is saved with the configuration. All
+// processes must use the same extensions.
 type Extension interface {
 	// Kind returns the kind of the records that the extension folds.
 	Kind() string
@@ -35,11 +36,11 @@
 type Fold struct {
 	next             uint64
 	awaitingSnapshot bool   // records before firstKept are lost, so a snapshot is needed
-	firstKept        uint64 // first offset that the log still holds
+	firstKept        uint64 // offset of the oldest record that the log still holds
 	current          *Snapshot
 	outcomes         []SavedOutcome
 	pendingParts     partBuffer
-	snapshotParts    partBuffer // filled only while awaitingSnapshot
+	snapshotParts    partBuffer // parts of snapshots; filled only while a snapshot is needed
 	snapshotOffset   uint64     // offset of the first record that the latest snapshot on the log does not include
 	extensions       []Extension
 	stopErr          error
@@ -207,7 +208,8 @@
 	return o
 }
 
-// applyChange makes ch the version in force if its base and digest match.
+// applyChange makes the result of ch the version in force, if the base of ch is the
+// version in force and its digest is that of the result.
 func (f *Fold) applyChange(ch *Change) Outcome {
 	var version, digest uint64
 	var base *Config
--- a/config/parts.go
+++ b/config/parts.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits on changes and snapshots in parts whose commit record has not arrived yet.
-// Expiry is counted in log offsets, so all readers drop the same sets at the same
-// offset.
+// Limits on incomplete sets. A set holds the parts of a change or snapshot that is split
+// over several records; it is incomplete until its commit record arrives. Expiry is
+// counted in log offsets, so all readers drop the same sets at the same offset.
 const (
-	maxPendingSets    = 2    // sets that are kept; 24 MB at most
-	pendingTTLRecords = 4096 // how long a set is kept, in log records after its first part
+	maxPendingSets    = 2    // number of incomplete sets that are kept; 24 MB at most
+	pendingTTLRecords = 4096 // an incomplete set is dropped this many log records after its first part
 	maxPartIndex      = MaxParts - 1
 )
 
--- a/config/presence.go
+++ b/config/presence.go
@@ -7,20 +7,23 @@
 	"time"
 )
 
-// RecordPresence holds a Presence. It changes no configuration.
+// RecordPresence is the kind of log records that contain a Presence. These records change no
+// configuration.
 const RecordPresence = "presence"
 
-// Presence announces on the log a process that handles non-repeatable requests.
-// Agents read it to learn which entries must send a dispatch report before an unknown
-// idempotency key may run. Entries read it to learn that a target has a newer agent
-// than the connected one.
+// Presence announces on the log that a process handles non-repeatable requests.
+//
+// Agents read presence records to learn which entries exist. If a request arrives whose
+// idempotency key an agent does not know, the agent runs the request only after these
+// entries have reported whether they dispatched the key elsewhere. Entries read presence
+// records to learn that a target has a newer agent than the one they are connected to.
 type Presence struct {
 	Role        string       `msg:"r"` // PresenceEntry or PresenceAgent
 	Name        string       `msg:"n"` // name of the entry or of the target
 	Incarnation uint64       `msg:"i"`
 	AtMs        int64        `msg:"a"` // Unix milliseconds, by the clock of the process
-	Gone        bool         `msg:"g"` // the entry has stopped dispatching
-	Dispatched  []Dispatched `msg:"d"` // with Gone: the keys that the entry dispatched within the deduplication window
+	Gone        bool         `msg:"g"` // last record of an entry, which has stopped dispatching requests
+	Dispatched  []Dispatched `msg:"d"` // keys that a stopped entry dispatched within the deduplication window; may be split over several records, Gone is set in the last
 }
 
 // Dispatched is one idempotency key that an entry dispatched to an agent.
--- a/config/record.go
+++ b/config/record.go
@@ -18,11 +18,11 @@
 
 // Kinds of records. Extensions add further kinds.
 const (
-	RecordChange         = "change"          // Change
-	RecordPart           = "part"            // Part of a Change that is too large for one record
-	RecordCommit         = "commit"          // Commit of a Change in parts
-	RecordSnapshotPart   = "snapshot-part"   // Part of a saved State
-	RecordSnapshotCommit = "snapshot-commit" // SnapshotCommit
+	RecordChange         = "change"          // a whole Change in one record
+	RecordPart           = "part"            // one Part of a Change that is too large for one record
+	RecordCommit         = "commit"          // the Commit that makes a Change in parts take effect
+	RecordSnapshotPart   = "snapshot-part"   // one Part of a saved State
+	RecordSnapshotCommit = "snapshot-commit" // the SnapshotCommit that completes the parts of a saved State
 )
 
 // Size limits of records on the log.
@@ -57,7 +57,7 @@
 // Delta is the difference between two configurations. Its size grows with the
 // difference, not with the configuration.
 type Delta struct {
-	Whole  bool     `msg:"w"` // the sections of the base are dropped
+	Whole  bool     `msg:"w"` // drop all sections of the base configuration first
 	Put    Config   `msg:"p"` // sections added or replaced
 	Remove []string `msg:"r"` // titles of removed sections, for example "team a"
 }
@@ -85,16 +85,16 @@
 	Upto   uint64 `msg:"u"` // offset of the first record not included in the state
 }
 
-// State is the whole state of a fold after the records before Next.
+// State is the whole state of a fold that has applied all log records before offset Next.
 type State struct {
 	Next       uint64         `msg:"n"`
 	Version    uint64         `msg:"v"`
 	ID         string         `msg:"id"`
 	Digest     uint64         `msg:"d"`
 	Config     Config         `msg:"c"`
-	Outcomes   []SavedOutcome `msg:"o"` // oldest first
-	Pending    []SavedParts   `msg:"p"` // oldest first
-	Extensions []SavedBytes   `msg:"x"` // in the order of the extensions
+	Outcomes   []SavedOutcome `msg:"o"` // outcomes of the latest changes, oldest first
+	Pending    []SavedParts   `msg:"p"` // parts of changes without their commit record, oldest first
+	Extensions []SavedBytes   `msg:"x"` // states of the extensions, in the order given to NewFold
 }
 
 // SavedOutcome is the outcome of one change, with its id.
@@ -106,11 +106,11 @@
 // SavedParts is a change in parts whose commit record has not been folded yet.
 type SavedParts struct {
 	ID    string `msg:"i"`
-	Begin uint64 `msg:"b"` // offset of the first part
+	Begin uint64 `msg:"b"` // log offset of the first part
 	Parts []Part `msg:"p"` // sorted by index
 }
 
-// SavedBytes is the state of an extension.
+// SavedBytes is the saved state of an extension.
 type SavedBytes struct {
 	Kind string `msg:"k"`
 	Data []byte `msg:"d"`
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -29,7 +29,7 @@
 	fleets   map[string]*Fleet
 	byFleet  map[string][]Target
 	byKey    map[string]*Team
-	fleetOf  map[string]string // by target
+	fleetOf  map[string]string // name of the fleet, by target name
 }
 
 // NewSnapshot returns a snapshot of c with its indexes.
--- a/config/state.go
+++ b/config/state.go
@@ -44,8 +44,8 @@
 }
 
 // Save returns the encoded and compressed state; equal states give equal bytes.
-// Compression halves key hashes in hex. Save fails while the fold needs a snapshot
-// and after it has stopped.
+// Compression halves the size of the hex hashes of team keys. Save fails while the fold
+// needs a snapshot and after it has stopped.
 func (f *Fold) Save() ([]byte, error) {
 	if f.awaitingSnapshot {
 		return nil, fmt.Errorf("no state to save: log records are missing, waiting for a snapshot")
--- a/control/claimer.go
+++ b/control/claimer.go
@@ -9,7 +9,7 @@
 // LeaseTiming holds the durations of leases.
 type LeaseTiming struct {
 	TTL       time.Duration // validity of a claim or renewal
-	Margin    time.Duration // wait of a claimant beyond the TTL; exceeds the drift between two clocks within one TTL
+	Margin    time.Duration // a claimant waits this long beyond the TTL; longer than two clocks can drift apart within one TTL
 	RankDelay time.Duration // a claimant waits this long for each claimant that ranks before it
 }
 
@@ -34,11 +34,11 @@
 	incarnation uint64
 	timing      LeaseTiming
 	nonce       uint64
-	wanted      map[string]int // resource -> rank of this process among its claimants
+	wanted      map[string]int // resource -> rank of this process among the claimants of the resource
 	releasing   map[string]bool
 	observed    map[string]observedRow
 	batchSentAt map[uint64]time.Time // nonce -> time just before sending, for each batch that may still be accepted
-	lastBatchAt map[string]time.Time // resource -> time of the latest batch that named it
+	lastBatchAt map[string]time.Time // resource -> time of the latest batch with a claim, renewal or release of the resource
 }
 
 // observedRow is a row of the lease table and the time it was first read in its present
@@ -62,8 +62,8 @@
 	}
 }
 
-// Want starts to claim a resource; rank is the place of this process among its claimants,
-// from 0.
+// Want starts to claim a resource. rank is the place of this process, from 0, among the
+// claimants of the resource.
 func (c *Claimer) Want(resource string, rank int) {
 	c.wanted[resource] = rank
 	delete(c.releasing, resource)
--- a/control/fence.go
+++ b/control/fence.go
@@ -22,7 +22,7 @@
 // that they read from the log.
 type Fence struct {
 	mu      sync.Mutex
-	entries int // highest number of entries that a source of floors reported
+	entries int // size of the VM list in entries: the highest number that an entry reported with its floors
 	sources map[string]bool
 	highest map[string]uint64
 }
--- a/control/follow.go
+++ b/control/follow.go
@@ -16,7 +16,7 @@
 const (
 	pageRecords         = 256
 	fallbackPeers       = 3 // number of peers tried after the relays of the data centre
-	maxBackoffDoublings = 5 // doublings of the pause after a failed source
+	maxBackoffDoublings = 5 // the pause after failed reads is doubled at most this many times
 	maxSavedBytes       = 64 << 20
 	pollRoundTrip       = 2 * time.Second // added to the timeout of a long poll for the network round trip
 	appendDeadline      = 5 * time.Second
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -50,8 +50,8 @@
 }
 
 // storeConn stores a new connection to a peer. Two tasks may have opened one at the same
-// time: the later connection replaces the earlier one, which closes when its last use
-// ends.
+// time: the later connection replaces the earlier one. The earlier one is closed when its
+// last use ends.
 func (n *Node) storeConn(name string, p *peerConn) (*wire.Conn, error) {
 	n.mu.Lock()
 	old := n.conns[name]
--- a/control/node.go
+++ b/control/node.go
@@ -23,12 +23,12 @@
 	HeartbeatInterval time.Duration // time between two heartbeats
 	FailureTimeout    time.Duration // time without a heartbeat after which an observer misses a process
 	LogWait           time.Duration // duration of a long poll of the log or of a peer
-	Coalesce          time.Duration // least mean time between reads, so that many records cost one read
-	Backoff           time.Duration // pause after a failed source; doubled up to MaxBackoff
+	Coalesce          time.Duration // shortest mean time between two reads of a source, so that one read returns many records
+	Backoff           time.Duration // pause after a failed read; doubles with each further failure, up to MaxBackoff
 	MaxBackoff        time.Duration
 	LogBackoff        time.Duration // longest pause after failed reads of the log; short, so that the return of the log is noticed soon
-	Fresh             time.Duration // longest time since a source read the log; a source over it is replaced
-	Retry             time.Duration // time until a fallback source is replaced by the preferred source
+	Fresh             time.Duration // a source that last read the log longer ago than this is replaced
+	Retry             time.Duration // a fallback source is replaced by the preferred source after this time
 	SnapshotInterval  time.Duration // time between two published snapshots; a fraction of the log's retention
 	Summaries         time.Duration // time between two summaries to other data centres
 	Lease             LeaseTiming
@@ -83,9 +83,9 @@
 	cancel    context.CancelFunc
 	tasks     conc.WaitGroup
 	leaving   atomic.Bool
-	wantAdded chan struct{} // signalled when a resource is wanted
+	wantAdded chan struct{} // signalled when Want adds a resource
 
-	notifyMu sync.Mutex // taken before mu
+	notifyMu sync.Mutex // ensures that the callbacks get versions in order; locked before mu
 
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -95,7 +95,7 @@
 	saved          savedState
 	recordsFolded  chan struct{} // closed and replaced when records were folded
 	logReadAt      time.Time     // when this process or its source last read the log
-	notifiedFence  uint64        // highest fencing number for which Options.Leases was called
+	notifiedFence  uint64        // highest fencing number in the lease table when Options.Leases was last called
 	claimer        *Claimer
 	members        *Members
 	topology       *Topology
@@ -103,7 +103,7 @@
 	reportedSilent bool // the latest SilentReport had rows
 	conns          map[string]*peerConn
 	incoming       map[*wire.Conn]struct{}
-	summaries      map[string]wire.Summary // by data centre
+	summaries      map[string]wire.Summary // latest summary received from each data centre, by its name
 	snapshots      snapshotSchedule
 }
 
--- a/control/publish.go
+++ b/control/publish.go
@@ -27,7 +27,7 @@
 func (s *snapshotSchedule) isDue(rank int, every time.Duration, now time.Time) bool {
 	wait := every + time.Duration(rank)*every/snapshotRankDivisor
 	if s.oldestOffset > s.latestOffset {
-		wait = time.Duration(rank) * every / snapshotRankDivisor // the latest snapshot was trimmed
+		wait = time.Duration(rank) * every / snapshotRankDivisor // the log has trimmed the latest snapshot, so a new one is due soon
 	}
 	return now.Sub(s.latestSeenAt) >= wait
 }
--- a/control/topology.go
+++ b/control/topology.go
@@ -48,7 +48,7 @@
 // entries of its data centre.
 type Topology struct {
 	Self   Peer
-	Peers  map[string]Peer // all other entries
+	Peers  map[string]Peer // all entries but this one, by name
 	Ranked []string        // entries of the own data centre, this one included, first rank first
 }
 
@@ -91,7 +91,7 @@
 	if t.LocalIndex() != 0 {
 		return nil
 	}
-	centres := make(map[string][]string) // by data centre
+	centres := make(map[string][]string) // names of the entries of each other data centre
 	region := make(map[string]string)
 	for _, p := range t.Peers {
 		if p.DataCentre != t.Self.DataCentre && !p.Leaving {
--- a/peers/client.go
+++ b/peers/client.go
@@ -17,7 +17,7 @@
 // failure.
 type Client struct {
 	addr string
-	mu   sync.Mutex // held from a request to its response
+	mu   sync.Mutex // held from the sending of a request until its response arrives
 	conn net.Conn
 	br   *bufio.Reader
 	buf  []byte
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -157,13 +157,13 @@
 //msgp:tuple Collect
 type Collect struct {
 	Counts  bool     // include the selections of each expert since the last Collect with Counts
-	Lists   bool     // include the experts of the rank in the map in use
+	Lists   bool     // include the experts that the map in use assigns to the rank
 	Leader  string   // address of the group's leader; set only in the Collects of the leader's rounds
-	Fence   uint64   // number of a pass for which the agent must no longer arm its rank; 0: none
+	Fence   uint64   // number of a pass for which the agent must no longer arm its rank (OrderArm); 0: none
 	Epoch   uint64   // epoch of the group in which Fence applies
 	Subtree []string // addresses of other agents to which this agent forwards the request
-	LimitMS uint32   // time limit for the response, if the request goes along a tree of agents; 0: none given
-	Loads   Loads    // loads of all ranks in the leader's latest round, for the agent's responses to entries; not Known: none
+	LimitMS uint32   // time limit for the response, if the request is forwarded along a tree of agents; 0: no limit given
+	Loads   Loads    // loads of all ranks in the leader's latest round, which the agent returns to entries; Loads.Known is false if there are none
 }
 
 // RankState is the current state of one rank of a group, read from its engine.
@@ -190,14 +190,14 @@
 	Slowdown           float64  // how many times as long as usual the engine takes for a pass
 	Unit               float64  // selections of the most selected expert since the last Collect with Counts
 	Experts            uint32   // number of experts in Bands, over all layer sets; 0: none was selected, or counts are not included
-	Bands              []byte   // for each expert, its selections as a share of Unit; see expert.EncodeLoads
-	Coarse             bool     // Bands holds two experts in a byte; see expert.PackCoarse
+	Bands              []byte   // selections of each expert, as a share of those of the most selected expert (Unit); see expert.EncodeLoads
+	Coarse             bool     // each byte of Bands holds the values of two experts; see expert.PackCoarse
 	HighestMapReceived uint64   // highest map version that the agent received in this epoch; 0: none
 
 	Lists [][]uint16 // experts of this rank in the map in use, by layer set
 
 	QueuedOnTime   uint32 // requests that are queued at the entries that query this agent and can still be on time
-	QueuedLate     uint32 // requests that are queued at the entries that query this agent and are late
+	QueuedLate     uint32 // requests that are queued at the entries that query this agent and can no longer be on time
 	EnginesUnknown bool   // the agent does not know which engines the loads belong to
 
 	Subtree []RankState // states of the ranks below this one in the tree; their selections and queued requests are added to this state's own
@@ -209,7 +209,7 @@
 type ProxyArm struct {
 	Epoch    uint64
 	Step     uint64
-	Accepted bool // false: it is unknown whether the engine accepted it
+	Accepted bool // the engine accepted the order; false: unknown
 }
 
 // OrderKind is the operation that an order requests of a rank.
@@ -217,11 +217,11 @@
 
 // Orders.
 const (
-	OrderPrepare OrderKind = 1 // copy the weights that a map needs
+	OrderPrepare OrderKind = 1 // copy the weights of the experts that a map assigns to the rank
 	OrderArm     OrderKind = 2 // switch to a prepared map at the start of a pass
 	OrderHold    OrderKind = 3 // do not start a pass
 	OrderRelease OrderKind = 4 // release a held pass
-	OrderDisarm  OrderKind = 5 // cancel an arm
+	OrderDisarm  OrderKind = 5 // cancel an accepted OrderArm
 )
 
 // RankOrder is an order to one rank.
@@ -230,16 +230,16 @@
 type RankOrder struct {
 	Kind       OrderKind
 	Epoch      uint64
-	Version    uint64       // version of the map, for orders about a map
-	Step       uint64       // number of the pass, for orders about a pass
-	Map        [][][]uint16 // with OrderPrepare: experts by layer set and rank, unless Changes is set
+	Version    uint64       // version of the map that the order is about, if any
+	Step       uint64       // number of the pass that the order is about, if any
+	Map        [][][]uint16 // set with OrderPrepare unless Changes is set: experts of the map, by layer set and rank
 	Changes    []byte       // expert lists that differ from those of map version Base; see lockstep.packChanges
 	Base       uint64       // version of the map that Changes applies to; 0: the initial map of the engines
 	InitialMap InitialMap   // shape of the initial map, if Base is 0
 	Engine     string       // address of the engine, if it is not the agent's own
-	Recovery   bool         // with OrderArm: sent by an agent that has fenced the pass and completes the switch
+	Recovery   bool         // set with OrderArm if the sender has fenced the pass and completes an unfinished switch
 	Subtree    []string     // addresses of other agents to which this agent forwards the order
-	LimitMS    uint32       // time limit for the response, if the order goes along a tree of agents; 0: none given
+	LimitMS    uint32       // time limit for the response, if the order is forwarded along a tree of agents; 0: no limit given
 }
 
 // InitialMap is the shape of the map with which engines start; it assigns experts to ranks in
@@ -249,7 +249,7 @@
 type InitialMap struct {
 	Sets    uint16
 	Ranks   uint16
-	Experts uint16 // in a layer set
+	Experts uint16 // number of experts in a layer set
 }
 
 // OrderResult is the outcome of an order.
@@ -269,7 +269,7 @@
 	Roster       uint64 // identifies the list of engines that the querying entry knows; 0: none
 	Entry        string // name of the querying entry
 	QueuedOnTime uint16 // requests that are queued at the querying entry and can still be on time
-	QueuedLate   uint16 // requests that are queued at the querying entry and are late
+	QueuedLate   uint16 // requests that are queued at the querying entry and can no longer be on time
 }
 
 // Loads holds the loads of the ranks of a group.
@@ -282,12 +282,12 @@
 	Complete      bool
 	AgeMS         uint32
 	PassMS        float32  // mean time of the latest passes
-	Imbalance     float32  // how many times as long the ranks take for their experts as they would with even loads
+	Imbalance     float32  // time that the ranks take for their experts, divided by the time with even loads
 	PeakImbalance float32  // recent maximum of Imbalance
-	Roster        uint64   // identifies the list of engines, also if Engines is omitted
+	Roster        uint64   // identifies the list of engines; set even if Engines is omitted
 	Engines       []string // addresses of the engines by rank; omitted if the querying entry knows them
 	QueuedOnTime  uint16   // requests that are queued at all entries together and can still be on time
-	QueuedLate    uint16   // requests that are queued at all entries together and are late
+	QueuedLate    uint16   // requests that are queued at all entries together and can no longer be on time
 	Running       []byte   // running requests by rank; 255: that many or more
 	Waiting       []byte   // waiting requests by rank; 255: that many or more
 	Slow          []SlowRank
--- a/wire/accept.go
+++ b/wire/accept.go
@@ -25,8 +25,8 @@
 	Hello      Hello
 	Handler    Handler
 	Options    Options
-	MaxConns   int // zero: DefaultMaxConns
-	MaxPending int // zero: DefaultMaxPending
+	MaxConns   int // limit on open connections; zero: DefaultMaxConns
+	MaxPending int // limit on connections whose hello exchange is pending; zero: DefaultMaxPending
 	// Serve, if not nil, runs for each connection after the hello exchange. The
 	// connection stays open after Serve returns.
 	Serve func(c *Conn)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -25,12 +25,12 @@
 
 // Methods of the streams that carry requests of callers.
 const (
-	MethodRequest Method = 1 // Request, answered by Answer and chunks
+	MethodRequest Method = 1 // carries a Request, answered by an Answer and chunks
 )
 
 // Notes on the load of targets.
 const (
-	NoteLoad Note = 1 // Load
+	NoteLoad Note = 1 // carries a Load, agent to entry
 )
 
 // Handler handles the streams and notes of a peer.
@@ -63,7 +63,7 @@
 	mu           sync.Mutex
 	streams      map[uint64]*Stream
 	nextID       uint64
-	noNewStreams bool   // Open fails from now on
+	noNewStreams bool   // Open fails, because CloseIfIdle is closing the connection
 	peerStreams  int    // streams opened by the peer that are still served
 	idParity     uint64 // parity of the stream ids that this side assigns: 1 odd, 0 even
 	loops        conc.WaitGroup
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -20,11 +20,11 @@
 	KindPing    Kind = 2 // empty, keeps the connection alive
 	KindOpen    Kind = 3 // method byte, then the method's request message
 	KindMessage Kind = 4 // message kind byte, then a typed message on a stream
-	KindData    Kind = 5 // array of sequence number and bytes
-	KindEnd     Kind = 6 // End
+	KindData    Kind = 5 // chunk: array of its sequence number and its bytes
+	KindEnd     Kind = 6 // End, closes one direction of a stream
 	KindRefuse  Kind = 7 // Refusal, ends a stream
 	KindCancel  Kind = 8 // empty; the sender abandons the stream
-	KindCredit  Kind = 9 // Credit
+	KindCredit  Kind = 9 // Credit, allows the peer to send more chunk bytes on a stream
 	KindNote    Kind = 16
 )
 
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -17,7 +17,7 @@
 // authorities that it trusts. The files are reloaded when they change, so keys can
 // be rotated without a restart. If reloading fails, the previous keys stay in use.
 type Keys struct {
-	files    [3]string // certificate, key, authorities
+	files    [3]string // paths of the certificate, the key and the authorities
 	mu       sync.Mutex
 	modTimes [3]time.Time
 	current  *tls.Config
--- a/wire/options.go
+++ b/wire/options.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	sendQueueLen = 256      // frames
-	readBuffer   = 32 << 10 // bytes
-	writeBuffer  = 32 << 10 // bytes
+	sendQueueLen = 256      // frames that wait for the write loop of a connection
+	readBuffer   = 32 << 10 // read buffer of a connection, in bytes
+	writeBuffer  = 32 << 10 // write buffer of a connection, in bytes
 	// maxHello limits the hello, in bytes: the only frame that is read from a peer
 	// before it has identified itself.
 	maxHello = 4 << 10
--- a/wire/schema.go
+++ b/wire/schema.go
@@ -48,15 +48,15 @@
 	Body          []byte   `msg:"bo"`
 	Key           string   `msg:"ke"` // idempotency key, empty if none
 	Repeatable    bool     `msg:"re"`
-	Priority      int8     `msg:"pr"` // higher runs first
-	DeadlineMs    int64    `msg:"de"` // milliseconds left when the frame was sent
+	Priority      int8     `msg:"pr"` // a request with a higher priority runs first
+	DeadlineMs    int64    `msg:"de"` // milliseconds until the deadline, as of the sending of the frame
 	ConfigVersion uint64   `msg:"cv"`
 	AgentInc      uint64   `msg:"ai"` // incarnation of the agent that the entry addresses
-	Suspect       bool     `msg:"su"` // crash suspect: must run alone on its engine
+	Suspect       bool     `msg:"su"` // the request may have crashed an engine and must run alone on its engine
 	Fingerprint   uint64   `msg:"fp"` // identifies the request of the caller across attempts and continuations
-	AttachOnly    bool     `msg:"ao"` // not repeatable: attach to an earlier attempt, start no new one
-	DedupMs       int64    `msg:"dw"` // not repeatable: milliseconds for which the key stays in the deduplication table
-	DedupKeys     int      `msg:"dk"` // not repeatable: limit of keys in the deduplication table of a target
+	AttachOnly    bool     `msg:"ao"` // for a non-repeatable request: the agent attaches it to an earlier attempt and starts no new one
+	DedupMs       int64    `msg:"dw"` // for a non-repeatable request: milliseconds for which the key stays in the deduplication table
+	DedupKeys     int      `msg:"dk"` // for a non-repeatable request: limit of keys in the deduplication table of the target
 	Sched         Sched    `msg:"sc"`
 }
 
@@ -67,7 +67,7 @@
 	Headers []Header `msg:"he"`
 	Target  string   `msg:"ta"`
 	Model   string   `msg:"mo"` // model version that generates the response
-	Replay  bool     `msg:"rp"` // stored response of an earlier attempt
+	Replay  bool     `msg:"rp"` // the response is the stored one of an earlier attempt
 }
 
 // Refusal ends a stream without a response.
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -22,9 +22,9 @@
 
 // Messages of configuration and control inside a stream.
 const (
-	MessageTail   MessageKind = 20 // TailReply
-	MessageStatus MessageKind = 21 // StatusReply
-	MessageOrder  MessageKind = 22 // OrderReply
+	MessageTail   MessageKind = 20 // carries a TailReply
+	MessageStatus MessageKind = 21 // carries a StatusReply
+	MessageOrder  MessageKind = 22 // carries an OrderReply
 )
 
 // TailRequest asks a peer for log records from an offset on.
@@ -49,7 +49,7 @@
 	Digest   uint64          `msg:"d"`
 	Entries  int             `msg:"e"` // number of entries in the VM list; each of them can send fencing floors
 	Policies []ServicePolicy `msg:"p"` // policies of the services that the target's fleet serves
-	Floors   []FenceFloor    `msg:"f"` // fencing floors of the resources that concern the target
+	Floors   []FenceFloor    `msg:"f"` // fencing floors (lowest fencing numbers still valid) of the resources that concern the target
 }
 
 // ServicePolicy is the policy of one service.
--- a/wire/schema_expert.go
+++ b/wire/schema_expert.go
@@ -16,22 +16,22 @@
 // Operations of a RankOrder. Hold, confirm and decide are the phases of a ballot that
 // switches the map of a group.
 const (
-	RankStatus   uint8 = 1 // position of the rank
-	RankLoads    uint8 = 2 // position and expert loads
-	RankMap      uint8 = 3 // position and the content of the map in use
+	RankStatus   uint8 = 1 // return the position of the rank
+	RankLoads    uint8 = 2 // return the position and the expert loads of the rank
+	RankMap      uint8 = 3 // return the position of the rank and the content of the map in use
 	RankPrepare  uint8 = 4 // load the experts in Slots as rank Rank; the reply follows when they are loaded
-	RankHold     uint8 = 5 // promise the ballot and hold before step At
-	RankConfirm  uint8 = 6 // confirm the promise
+	RankHold     uint8 = 5 // promise to follow the ballot, and hold the rank before step At
+	RankConfirm  uint8 = 6 // confirm that the ballot still holds the rank
 	RankDecide   uint8 = 7 // apply the decision of the ballot
-	RankWithdraw uint8 = 8 // withdraw the ballot, which will not decide
+	RankWithdraw uint8 = 8 // lift the hold of the ballot, which ends without a decision
 )
 
 // RankOrder is an order to, or a query of, one rank of a group.
 type RankOrder struct {
 	Group    string `msg:"g"`
 	Op       uint8  `msg:"o"`
-	Fence    uint64 `msg:"f"` // fencing number of the lease of the group; 0 in a recovery
-	Recovery bool   `msg:"r"` // recovery of a stalled group, by any entry that detects the stall
+	Fence    uint64 `msg:"f"` // fencing number of the group's lease; 0 in a recovery
+	Recovery bool   `msg:"r"` // the order recovers a stalled group; any entry that detects the stall may send it
 
 	Round       uint64        `msg:"b"` // round of the ballot
 	Owner       uint64        `msg:"w"` // owner of the ballot
@@ -42,7 +42,7 @@
 	Join        uint64        `msg:"j"` // step at which a rank that has entered no step since its start begins
 
 	Rank        int    `msg:"k"`
-	Ranks       int    `msg:"n"` // Ranks to SlotsOfRank: shape of the map
+	Ranks       int    `msg:"n"` // number of ranks; with Layers, Experts and SlotsOfRank the shape of the map
 	Layers      int    `msg:"l"`
 	Experts     int    `msg:"e"`
 	SlotsOfRank int    `msg:"p"`
@@ -69,7 +69,7 @@
 	HoldAt      uint64   `msg:"a"`
 	Round       uint64   `msg:"b"` // round of the highest promised ballot
 	Owner       uint64   `msg:"w"` // owner of the highest promised ballot
-	Loaded      []uint64 `msg:"l"` // maps whose weights are loaded
+	Loaded      []uint64 `msg:"l"` // ids of the maps whose weights are loaded
 
 	Unit    float64 `msg:"u"` // load of the busiest slot, the unit of Bands; see expert.EncodeLoads
 	Bands   []byte  `msg:"t"`
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -16,7 +16,7 @@
 
 // Messages on a stream that carries a request of a caller.
 const (
-	MessageAnswer MessageKind = 1 // Answer
+	MessageAnswer MessageKind = 1 // Answer, the status and headers of a response
 )
 
 // Event is one item received from a stream: a message or the bytes of a chunk.
