--- a/agent/control.go
+++ b/agent/control.go
@@ -15,12 +15,13 @@
 // settings were not read from a file.
 const defaultStaleGrace = 10 * time.Second
 
-// maxVersions bounds the versions whose arrival time is remembered. For older versions it
-// only matters that they are superseded.
+// maxVersions bounds the number of versions whose arrival time is remembered. For an older
+// version it is enough to know that there is a newer one.
 const maxVersions = 64
 
-// configState is the part of the configuration that an agent knows: no teams, only
-// versions, the policies of its services and the fencing floors.
+// configState is what an agent knows of the configuration: the versions that it has received,
+// the policies of its target's services, and the fencing floors (the lowest fencing numbers
+// that are still valid). It does not include teams.
 type configState struct {
 	mu       *sync.Mutex
 	versions []versionArrival // ascending, at most maxVersions
--- a/agent/dispatchcheck.go
+++ b/agent/dispatchcheck.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// applyEntryPresence applies an entry's presence record. The record of an entry that has
-// gone lists the keys that it dispatched. mu is held.
+// applyEntryPresence applies an entry's presence record. The last records of an entry that
+// stops list the keys that it dispatched. mu is held.
 func (c *dispatchChecker) applyEntryPresence(p *config.Presence) {
 	for _, d := range p.Dispatched {
 		if d.Target != c.target || d.Incarnation != c.incarnation {
--- a/agent/dispatchreports.go
+++ b/agent/dispatchreports.go
@@ -36,7 +36,7 @@
 type dispatchChecker struct {
 	target      string
 	incarnation uint64
-	log         outside.Log // nil: only connected entries are known
+	log         outside.Log // log service with the presence records of entries; nil: only connected entries are known
 	now         func() time.Time
 
 	mu              sync.Mutex
@@ -44,8 +44,8 @@
 	unresponsive    map[uint64]bool      // entries that sent no dispatch report in time
 	uncertainKeys   map[uint64]time.Time // key hash -> time of the latest report of a dispatch elsewhere
 	nextSweep       time.Time
-	homeHistory     []homeTargets // contiguous version ranges, oldest first
-	skipCheck       bool          // run unknown keys at once; for tests that must detect the missing safeguard
+	homeHistory     []homeTargets // declared targets by version range; the ranges are contiguous, oldest first
+	skipCheck       bool          // run requests with unknown keys at once; for tests that must detect the missing safeguard
 
 	entries        map[uint64]time.Time // entry incarnation -> time of the last presence, without entries that have gone
 	entriesVersion uint64               // configuration version for which the entry list was read
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -25,7 +25,7 @@
 	rank   expert.RankState
 	orders chan rankCall
 
-	stalledSince time.Time // zero: the rank runs; used by watchStalls only
+	stalledSince time.Time // time since which the rank has waited for a decision; zero: it runs; used by watchStalls only
 }
 
 // rankCall is an order for the single goroutine that gives orders, and the channel for its
@@ -43,7 +43,7 @@
 const (
 	orderQueueLength  = 16
 	stallPollInterval = 500 * time.Millisecond
-	stallThreshold    = time.Second // a map switch without faults holds a rank for less
+	stallThreshold    = time.Second // a rank that waits for longer is stalled; a map switch without faults holds it for less
 	positionTimeout   = time.Second
 )
 
--- a/agent/record.go
+++ b/agent/record.go
@@ -19,13 +19,13 @@
 	mu         sync.Mutex
 	changed    chan struct{} // closed and replaced at each change of the record
 	answer     *wire.Answer
-	buf        []byte // answer bytes from offset base on
+	buf        []byte // answer bytes from byte number base on
 	base       int    // number of answer bytes already dropped
 	consumed   int    // number of answer bytes that the first caller has received
 	callerGone bool   // the first caller has disconnected
 	finishedAt time.Time
-	err        error // io.EOF after a complete answer
-	answered   bool  // the answer had started before err
+	err        error // how the request ended: io.EOF after a complete answer, nil while it runs
+	answered   bool  // the answer had started when the request ended with err
 }
 
 func newRecord(digest uint64, window time.Duration) *record {
--- a/lockstep/agent.go
+++ b/lockstep/agent.go
@@ -5,6 +5,9 @@
 // The agent of rank 0 leads the group: it collects expert selection counts from all agents,
 // plans maps that balance the ranks, and switches the group to them. Every agent watches for a
 // stalled group and recovers it.
+//
+// To arm a rank is to order its engine to switch to a prepared map when a given pass begins. To
+// fence a pass is to forbid the agents to arm ranks for it.
 package lockstep
 
 import (
@@ -90,7 +93,7 @@
 	server *peers.Server
 
 	mu                sync.Mutex
-	lastCounts        ExpertCounts // expert counts at the previous read
+	lastCounts        ExpertCounts // expert counts of the engine at the previous read
 	engineStartedAtMS int64        // engine start in the engine's latest report, Unix milliseconds
 	groupName         string       // group in the engine's latest report
 	groupRanks        int          // number of ranks of the engine's group
@@ -100,7 +103,7 @@
 	proxyArm          peers.ProxyArm
 
 	armToken   chan struct{} // semaphore, held while an arm order or a fence is processed: the two never overlap
-	fence      fence         // passes that this agent must not arm for; guarded by armToken
+	fence      fence         // passes for which this agent must not arm a rank; guarded by armToken
 	mapHistory mapHistory
 	// remoteEngines are clients of leaders' engines that this agent arms as the proxy, by address.
 	remoteEngines map[string]Engine
--- a/lockstep/entryqueues.go
+++ b/lockstep/entryqueues.go
@@ -10,7 +10,7 @@
 
 // queueReport is the queue count of one entry.
 type queueReport struct {
-	onTime, late int // requests that can still be on time, and those that cannot
+	onTime, late int // numbers of queued requests: onTime can still be on time, late can no longer be
 	reportedAt   time.Time
 }
 
--- a/lockstep/group.go
+++ b/lockstep/group.go
@@ -20,7 +20,7 @@
 	nextRead             time.Time          // earliest time of the next read of the store
 	readsWhileIncomplete int                // reads of the store since all ranks were last seen
 	model                *serving.EngineModel
-	eventGapObjective    time.Duration // longest gap between two events of a stream of the service that is on time
+	eventGapObjective    time.Duration // longest gap between two events with which a stream of the service is on time
 	ranksMissing         bool          // the latest collect did not find all ranks
 	lastSearch           time.Time     // when members of other groups were last asked whether they have joined this one
 	failedSearches       int           // consecutive searches that did not find all ranks
@@ -153,7 +153,7 @@
 	return g.collectUsing(name, q, (*member).collect)
 }
 
-// collectUsing is collect with a function that asks one member for its state.
+// collectUsing does the work of collect. It uses the function ask to ask one member for its state.
 func (g *group) collectUsing(name string, q *peers.Collect, ask collectFunc) (ranks []rank, complete bool) {
 	members := g.candidates(name, time.Now())
 	states := make([]peers.RankState, len(members))
--- a/lockstep/leader.go
+++ b/lockstep/leader.go
@@ -16,11 +16,11 @@
 	epoch             uint64
 	engineStartedAtMS int64           // start of rank 0's engine, Unix milliseconds
 	version           uint64          // map version of layouts
-	layouts           []expert.Layout // map in use as far as known, by layer set
+	layouts           []expert.Layout // map in use as last known to this leader, by layer set
 	demand            *demand
 	pending           *pendingMap
 	armed             *armedMap
-	mapFixed          bool // the ranks have too few places for all experts, so the map cannot be changed
+	mapFixed          bool // the map cannot be changed, because the ranks have too few places for all experts
 	refusals          refusalBackoff
 	highestVersion    uint64       // highest map version seen or assigned
 	recentMaps        []pendingMap // latest maps that this leader planned
--- a/lockstep/loads.go
+++ b/lockstep/loads.go
@@ -59,7 +59,8 @@
 	return a.groupLoads.loads.Known && len(a.groupLoads.loads.Engines) == 0
 }
 
-// queueCounts returns the requests queued at the entries that query this agent.
+// queueCounts returns the numbers of requests that are queued at the entries that query this agent:
+// those that can still be on time, and those that are late.
 func (a *Agent) queueCounts() (onTime, late int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -117,10 +117,10 @@
 // plan is a change of the maps of all layer sets.
 type plan struct {
 	layouts                         []expert.Layout
-	imbalanceBefore, imbalanceAfter float64 // results of the function imbalance
+	imbalanceBefore, imbalanceAfter float64 // imbalance (see function imbalance) without and with the change
 	copies                          int     // number of experts that all ranks together must copy
 	maxCopiesPerRank                int
-	cost                            float64 // computed as described at planner
+	cost                            float64 // cost of the plan, as described at the type planner
 }
 
 // fitsAllExperts reports whether the ranks have a place for each expert.
@@ -142,9 +142,9 @@
 type planner struct {
 	model       *serving.EngineModel
 	slowdown    []float64 // slowdown factor of each rank; 1 is normal
-	urgency     float64   // pass time over the event-gap objective
+	urgency     float64   // mean pass time divided by the event-gap objective
 	switchCosts switchCosts
-	meanStreams float64 // running streams per rank
+	meanStreams float64 // mean number of running streams per rank
 }
 
 // switchCosts are decaying means of the times that switches take. These times differ with the size
--- a/lockstep/prepare.go
+++ b/lockstep/prepare.go
@@ -15,7 +15,7 @@
 	copyTime  time.Duration // time that the rank with the most experts to copy needs
 	plannedAt time.Time
 	orderedAt time.Time // time of the latest prepare order
-	refusals  int       // ranks that refused the latest prepare order
+	refusals  int       // number of ranks that refused the latest prepare order
 }
 
 // armedMap is a map that all ranks switch to when a pass begins.
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -106,11 +106,13 @@
 	return ok
 }
 
-// proxyRank is the rank whose agent arms the leader's rank.
+// proxyRank is the rank whose agent arms the leader's rank, so that another VM knows the outcome if
+// the leader's VM fails.
 const proxyRank = 2
 
-// armLeader arms rank 0 through the agent of proxyRank, or directly if the group is too small or
-// that agent is in backoff.
+// armLeader arms rank 0, the rank of the leader: it orders the engine of rank 0 to switch maps when
+// the held pass begins. The order first goes through the agent of proxyRank. If the group has no such
+// rank, its agent is in backoff, or rank 0 is not armed then, this agent sends the order itself.
 func armLeader(a *Agent, holder *member, ranks []rank, o *peers.RankOrder) bool {
 	if len(ranks) <= proxyRank || !ranks[proxyRank].canAskAgent() {
 		return armAll(a, holder, ranks[:1], o)
--- a/lockstep/watch.go
+++ b/lockstep/watch.go
@@ -17,8 +17,8 @@
 	step        uint64 // number of the latest pass seen
 	epoch       uint64
 	checkedAt   time.Time // latest progress, or latest check of a stalled group
-	stallSeenAt time.Time // value of checkedAt before the latest check of a stalled group, taken as the start of the stall
-	probedRun   EngineRun // engine run in which all members were asked for their ranks
+	stallSeenAt time.Time // start of the stall, as assumed at the latest check of a stalled group
+	probedRun   EngineRun // engine run in which probeMembers last asked all members for their ranks
 
 	hold holdTracker
 }
