--- a/entry/control.go
+++ b/entry/control.go
@@ -132,9 +132,9 @@
 type agentConfigs struct {
 	snap      *config.Snapshot
 	common    wire.AgentConfig
-	policies  map[string][]wire.ServicePolicy // by fleet
-	resources map[string][]string             // by target
-	floors    map[string]uint64               // by resource
+	policies  map[string][]wire.ServicePolicy // policies of the services of a fleet, by fleet
+	resources map[string][]string             // resources that concern a target, by target
+	floors    map[string]uint64               // fencing floors, by resource
 }
 
 // agentConfigs returns the configuration for agents, or nil before the first version.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -79,7 +79,7 @@
 	planHistories  sync.Map // expert.PlanHistory by group
 
 	mu    sync.Mutex
-	links map[string]*link // by target
+	links map[string]*link // links to the agents of targets, by target
 }
 
 // Start starts an entry and returns at once.
--- a/entry/fleetview.go
+++ b/entry/fleetview.go
@@ -263,7 +263,7 @@
 // targetWork is the work of this entry and of the other entries at one target.
 type targetWork struct {
 	own        route.Work
-	others     route.Work // according to the latest load report
+	others     route.Work // work of the other entries, according to the latest load report
 	reportedAt time.Time  // arrival time of the latest load report
 	source     *wire.Conn // connection that carried the latest load report
 }
--- a/entry/outcomes.go
+++ b/entry/outcomes.go
@@ -21,8 +21,8 @@
 	appliedOffset  atomic.Uint64 // log offset up to which this entry knows the configuration versions
 
 	mu           sync.Mutex
-	newestAgents map[string]seenAgent          // by target
-	retryBudgets map[string]*route.RetryBudget // by service
+	newestAgents map[string]seenAgent          // newest agent seen for each target, by target
+	retryBudgets map[string]*route.RetryBudget // retry budgets, by service
 	ejector      *route.Ejector[string]
 	quarantine   *route.Quarantine
 	off          safeguard.Off
--- a/entry/presence.go
+++ b/entry/presence.go
@@ -13,7 +13,7 @@
 const (
 	presenceInterval         = 2 * time.Minute
 	presenceBackoff          = 500 * time.Millisecond
-	presenceTimeout          = 2 * time.Second // for one call of the log service
+	presenceTimeout          = 2 * time.Second // timeout of one call of the log service
 	presencePageRecords      = 1024
 	maxKeysPerShutdownRecord = 16384
 )
--- a/entry/ranks.go
+++ b/entry/ranks.go
@@ -121,7 +121,7 @@
 // stalledRanks records the reports of agents whose rank is stalled.
 type stalledRanks struct {
 	mu      sync.Mutex
-	periods map[string]stallPeriod // by target
+	periods map[string]stallPeriod // periods in which ranks were reported stalled, by target
 }
 
 // stallPeriod is the time of the first and the last report of one stall.
--- a/entry/switch.go
+++ b/entry/switch.go
@@ -37,7 +37,7 @@
 	entry     *Entry
 	group     *config.Group
 	baseOrder wire.RankOrder // fields that all orders of the attempt share
-	wantedMap *expert.Map    // nil: release the group with the map that it has
+	wantedMap *expert.Map    // map to switch to; nil: release the group with the map that it has
 	ballot    expert.Ballot
 }
 
--- a/expert/balance.go
+++ b/expert/balance.go
@@ -229,8 +229,9 @@
 	b.tryReplace(best, busiest, r, x, newOnReceiver)
 }
 
-// trySwapOfNew considers changes for a receiver, rank r, that is at its limit of new experts.
-// Expert x replaces an expert that r does not hold in the base layout.
+// trySwapOfNew considers changes for rank r when r has reached its limit of new experts (those that
+// it does not hold in the base layout and would copy). Expert x takes the place of another new expert
+// of r, so r has no more experts to copy than before.
 func (b *balancer) trySwapOfNew(best *balanceChange, busiest, r, x int) {
 	for _, z := range b.layout[r] {
 		if !b.heldBefore[r][z] && b.copies[z] >= 2 {
--- a/expert/layer.go
+++ b/expert/layer.go
@@ -151,7 +151,8 @@
 	return slowest, rank
 }
 
-// findChange returns the change that saves most time for each moved expert.
+// findChange returns the change with the highest score: the time that it saves on the slowest rank,
+// divided by the number of experts that ranks must load for it.
 func (s *layerSearch) findChange() (change, bool) {
 	var slowest int
 	s.slowestTime, slowest = s.slowestRank(-1)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,8 +39,8 @@
 	started         time.Time
 
 	mu           sync.Mutex
-	retryBudgets map[string]*retryBudget            // by service
-	queues       map[string]*placing.AdmissionQueue // by service
+	retryBudgets map[string]*retryBudget            // retry budgets, by service
+	queues       map[string]*placing.AdmissionQueue // admission queues, by service
 }
 
 // Limits on caller connections and requests.
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -31,8 +31,10 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	callCount, crossCentreCalls atomic.Int64 // between entries; between data centres
-	byteCount, crossCentreBytes atomic.Int64 // of calls and responses; between data centres
+	// Numbers of calls between entries and of the bytes of these calls and their responses, in total
+	// and between data centres.
+	callCount, crossCentreCalls atomic.Int64
+	byteCount, crossCentreBytes atomic.Int64
 	dialCount                   atomic.Int64
 }
 
@@ -284,11 +286,11 @@
 	})
 }
 
-// Cost limits of a start per entry.
+// Limits on the bytes per entry when all entries start, and the sizes that they depend on.
 const (
 	startSettleTime = 2 * time.Second
-	maxStartBytes   = 20e3 // the configuration, the targets and the first probes
-	maxStartTables  = 14   // in sizes of the full membership table: twelve as updates, two as full state
+	maxStartBytes   = 20e3 // bytes for the configuration, the targets and the first probes
+	maxStartTables  = 14   // limit on membership gossip, in multiples of the full membership table: twelve as updates, two as full state
 	presenceBytes   = 75
 	largeFleetSize  = 16 // number of entries above which most are not probed in the first moment
 )
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -15,7 +15,7 @@
 // snapshot is the configuration and the targets that requests are handled with. It is immutable.
 type snapshot struct {
 	index   *serving.Index
-	targets map[string][]*serving.Target // by service
+	targets map[string][]*serving.Target // targets, by service
 }
 
 // replicaState is the gateway's replica of the store's topics. Updates come from the store and
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -86,12 +86,13 @@
 	return 0, b.endErr
 }
 
-// fill waits for events. If a target fails, the stream resumes at another target after the last
-// complete event.
+// fill reads from the target until there are complete events to pass on, or the stream has ended. If
+// a target fails, the stream resumes at another target after the last complete event.
 //
-// The first event and the end of the target's stream may arrive in one read. Then the attempt is
-// over, or replaced by the next one, before the response header is written. headAttempt therefore
-// keeps the attempt that sent the first event.
+// The response header for the caller comes from the attempt that received the first event, which
+// headAttempt keeps. The current attempt may be another one: if the first event and the end of the
+// target's stream arrive in one read, that attempt is over, and perhaps replaced by the next one,
+// before the header is written.
 func (b *streamBody) fill() {
 	var buf [4 << 10]byte
 	for len(b.pending) == 0 && b.endErr == nil {
--- a/outside/orders.go
+++ b/outside/orders.go
@@ -15,7 +15,7 @@
 type EngineState struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
-	Adapters []string `json:"adapters"` // sorted
+	Adapters []string `json:"adapters"` // names of the loaded adapters, sorted
 	Role     string   `json:"role"`
 }
 
--- a/outside/outside.go
+++ b/outside/outside.go
@@ -65,7 +65,7 @@
 // Call is one request to an engine or a plain service.
 type Call struct {
 	Method  string
-	Path    string // with query
+	Path    string // path with the query
 	Headers [][2]string
 	Body    []byte
 	Sched   Sched
--- a/placing/permits.go
+++ b/placing/permits.go
@@ -18,7 +18,7 @@
 type Permit struct {
 	Granted    bool
 	Wait       time.Duration // time until the permit is valid; if denied, until a permit may be available
-	RetryAfter time.Duration // for a caller whose request is refused
+	RetryAfter time.Duration // retry delay for a caller whose request is refused
 }
 
 // permits spaces out the requests that all entries together send to a target.
--- a/placing/reports.go
+++ b/placing/reports.go
@@ -18,7 +18,7 @@
 // QueueCounts counts requests in admission queues.
 type QueueCounts struct {
 	OnTime int // requests that can still have their first event on time
-	Late   int // requests that cannot
+	Late   int // requests that can no longer have their first event on time
 }
 
 // GroupState is the reported state of a group.
--- a/route/targetqueue.go
+++ b/route/targetqueue.go
@@ -313,7 +313,7 @@
 
 // LoadReport is the load of a target as reported to one entry.
 type LoadReport struct {
-	Total, FromReceiver Work // work of all entries; work of the entry that receives the report
+	Total, FromReceiver Work // Total is the work of all entries, FromReceiver that of the entry that receives the report
 	Queued              int  // requests of Total that are queued
 	Slots               int
 	FirstTokenBaseSec   float64 // part of the time to a first token that doesn't depend on prompts
--- a/serving/config.go
+++ b/serving/config.go
@@ -43,9 +43,9 @@
 type Route struct {
 	Name              string
 	Host              string
-	Prefix            string // begins and ends with a slash
+	Prefix            string // path prefix; begins and ends with a slash
 	Kind              Kind
-	Timeout           time.Duration // from a request's arrival to its deadline, unless the caller sets an earlier one
+	Timeout           time.Duration // time from a request's arrival to its deadline, unless the caller sets an earlier one
 	LatencyObjective  time.Duration // time from arrival within which a response, or the first event of a stream, is on time
 	EventGapObjective time.Duration // longest gap between two events of a stream that is on time
 	FirstEventTimeout time.Duration // callers disconnect if the first event takes longer
@@ -89,7 +89,7 @@
 	MeanOutputTokens  float64
 	LayerSets         int // sets of layers with one expert map each; 0: the model has no experts
 	Experts           int // experts of a layer set
-	ExpertsPerRank    int // experts of a layer set on one rank
+	ExpertsPerRank    int // most experts of a layer set on one rank
 	SpareExperts      int // new experts of a layer set that a rank can load at once
 	ExpertBytes       float64
 	CopyRate          float64 // bytes a second at which a rank copies experts
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -241,8 +241,8 @@
 
 func anyService(string) bool { return true }
 
-// The store applies writes from before a target's restart, and from before it began to leave,
-// last. A stale record must not give a leaving target requests again.
+// The store may apply a target's earlier records last: those from before its restart, or from before
+// it began to leave. Such a stale record must not give a leaving target requests again.
 func TestStaleRecordDoesNotReplaceNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	s := NewTargetSet()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -51,7 +51,7 @@
 	dialTimeout     = 600 * time.Millisecond // a few times the longest delay between data centres
 	readBufferBytes = 4 << 10
 	defaultIdleTime = 4 * time.Second        // idle time for targets that send no Keep-Alive timeout
-	idleTimeMargin  = 500 * time.Millisecond // margin before the timeout that the target announces
+	idleTimeMargin  = 500 * time.Millisecond // a connection counts as idle for too long this much before the timeout that the target announces
 	maxIdleConns    = 64
 )
 
