--- a/expert/balance.go
+++ b/expert/balance.go
@@ -61,7 +61,7 @@
 	Base           Layout    // experts that ranks hold and need not copy; nil: the layout itself
 	ExpertsPerRank int       // maximum number of experts on one rank
 	MaxNewPerRank  int       // maximum number of experts that one rank gets and does not hold in Base
-	MaxNewByRank   []int     // the same maximum by rank, if lower than MaxNewPerRank; nil: MaxNewPerRank for all
+	MaxNewByRank   []int     // by rank, a maximum like MaxNewPerRank; the lower one applies; nil: only MaxNewPerRank
 	Slowdown       []float64 // by rank, factor by which it is slower than usual; nil: 1 for all
 	PricePerCopy   float64   // minimum gain of a step for each expert that must be copied
 	MaxSteps       int       // maximum number of search steps
@@ -107,9 +107,10 @@
 	changedRanks []int     // ranks whose loadDelta is set
 }
 
-// balanceChange is a candidate change. The receiver, a rank, gets the expert given, in the place of
-// the expert replaced if that is set. The busiest rank loses the expert dropped and gets the expert
-// returned, if these are set.
+// balanceChange is a candidate change of two ranks: the receiver and the busiest rank. The receiver
+// gets the expert given. If replaced is set, the receiver loses the expert replaced for it. If
+// dropped is set, the busiest rank loses the expert dropped. If returned is set, the busiest rank
+// gets the expert returned.
 type balanceChange struct {
 	receiver                    int
 	given, dropped              int // experts; -1: none
--- a/expert/estimate.go
+++ b/expert/estimate.go
@@ -58,7 +58,7 @@
 	Gain float64 // weight of a new observation; 0: defaultSpeedGain
 
 	speeds           []float64
-	slowObservations []int // consecutive observations below StragglerSpeed
+	slowObservations []int // by rank: number of consecutive observations with a speed below StragglerSpeed
 }
 
 const (
--- a/expert/layer.go
+++ b/expert/layer.go
@@ -10,8 +10,9 @@
 	// boundTolerance is the ratio of a layer's time to its lower bound at which the search in the
 	// layer ends. The remaining excess is then below the noise of the loads.
 	boundTolerance = 1.002
-	// minSavingShare is the share of a mean layer's time that each moved expert must save. With a
-	// lower share, plans would follow noise, or rounding errors in layers with hardly any load.
+	// minSavingShare is the minimum time that each moved expert must save, as a share of the mean
+	// time of a layer. With a lower share, plans would follow noise, or rounding errors in layers
+	// with hardly any load.
 	minSavingShare = 0.001
 )
 
@@ -139,8 +140,8 @@
 	return s.slots[r*k : (r+1)*k]
 }
 
-// slowestRank returns the highest rank time and its rank, without the rank except; -1: of all
-// ranks.
+// slowestRank returns the highest time of a rank, and that rank. It leaves out the rank except; if
+// except is -1, it leaves out none.
 func (s *layerSearch) slowestRank(except int) (float64, int) {
 	slowest, rank := 0.0, -1
 	for r, v := range s.rankTimes {
@@ -187,7 +188,8 @@
 	s.maxTime[1] = s.timeForScore(s.bestScore, 2)
 }
 
-// timeForScore is the inverse of score: the value of longest that has the given score.
+// timeForScore is the inverse of score. It returns the rank time longest for which score, with the
+// same cost, returns the given score.
 func (s *layerSearch) timeForScore(score float64, cost int) float64 {
 	score *= float64(cost)
 	if t := s.slowestTime - score/(1+secondRankShare); t >= s.secondTime {
@@ -270,8 +272,8 @@
 	return longest
 }
 
-// tryReplacedCopies considers removing the copy in slot i of the slowest rank and putting another
-// copy of an expert with less load there.
+// tryReplacedCopies considers replacing the copy in slot i of the slowest rank by an additional copy
+// of an expert with less load.
 func (s *layerSearch) tryReplacedCopies(i int) {
 	slowest, x := s.rankOfSlot(i), s.slots[i]
 	if s.copies[x] < 2 {
--- a/expert/plan.go
+++ b/expert/plan.go
@@ -28,7 +28,7 @@
 	RankSpeeds          []float64 // relative speed of each rank; nil: 1 for all
 	ExpertBytes         float64   // size of the weights of one expert of one layer
 	StoreBytesPerSecond float64   // rate at which weights load; 0: loading takes no time
-	GainLifeSeconds     float64   // time until the drift of the loads has used up a gain
+	GainLifeSeconds     float64   // time after which a plan has no gain any more, because the loads have drifted
 	CostWeights         CostWeights
 	Limits              PlanLimits
 }
--- a/expert/position.go
+++ b/expert/position.go
@@ -97,9 +97,9 @@
 	return math.MaxUint64
 }
 
-// Release ends the hold and makes the engine follow the schedule. An engine that has entered no step
-// since its start begins with joinStep, even if an earlier release set another step, since the
-// group may have gone on without this engine.
+// Release ends the hold and makes the engine follow the schedule. If the engine has entered no step
+// since its start, joinStep becomes the first step that it enters. joinStep replaces a first step
+// that an earlier release has set, since the group may have gone on without this engine.
 //
 // A release can wait in the buffer of a stalled engine while its agent dies and the next agent
 // holds the engine for a new ballot. It would then end the new hold with the map of the old ballot.
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// CanEnterStep reports whether the engine may enter its next step, as far as its own state goes.
+// CanEnterStep reports whether the state of this engine allows it to enter its next step. The
+// states of the other engines are not considered.
 func (p *Position) CanEnterStep() bool {
 	return p.Joined && !p.Inside && (!p.Held || p.Next < p.HoldAt)
 }
--- a/expert/rank.go
+++ b/expert/rank.go
@@ -54,7 +54,7 @@
 	Incarnation uint64
 	Promised    Ballot
 	HeldBy      Ballot // ballot that holds the rank; zero: this agent knows of no hold
-	WasRunning  bool   // the engine had joined and was not held when HeldBy began its hold
+	WasRunning  bool   // the engine had joined and was not held just before ballot HeldBy held it
 	lastReply   HoldReply
 }
 
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// Decide applies a decision if its ballot holds the engine and if this agent and this run of the
-// engine gave the reply that the decision is based on: incarnation and engineRun are taken from
-// that reply. After a restart of the agent the same ballot may hold the rank once more, at a step
-// that the decision does not assume.
+// Decide applies a decision if the ballot of the decision holds the engine, and if the reply on
+// which the decision is based came from this agent and this run of the engine. incarnation and
+// engineRun are taken from that reply. They are checked because, after a restart of the agent, the
+// same ballot may hold the rank once more, at a step that the decision does not assume.
 func (r *RankState) Decide(e Engine, d Decision, incarnation, engineRun uint64) error {
 	switch {
 	case incarnation != r.Incarnation:
--- a/expert/report.go
+++ b/expert/report.go
@@ -46,7 +46,8 @@
 	coarseZero         = 15 // no load, or less than 1/128 of the busiest slot's
 )
 
-// PackCoarse converts bands to coarse bands, two in a byte.
+// PackCoarse converts the bands of EncodeLoads to coarse bands of half an octave and packs two of
+// them into each byte.
 func PackCoarse(bands []byte) []byte {
 	packed := make([]byte, (len(bands)+1)/2)
 	for i, b := range bands {
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -189,8 +189,8 @@
 	highUrgencyCopyCost = 0.065
 	highUrgency         = 0.6
 	// idleCopyCost, divided by the square of the streams per rank, is added to the cost of a
-	// gigabyte. The fewer streams there are, the fewer gain by a better map, and the further
-	// passes are from the limit. The square counts as at least minStreamsSquared.
+	// gigabyte. The fewer streams there are, the fewer gain by a better map, and the further the
+	// duration of passes is from its limit. The square counts as at least minStreamsSquared.
 	idleCopyCost      = 0.5
 	minStreamsSquared = 0.01
 	// balancedImbalance is the imbalance below which the possible gain is less than the cost of a
@@ -327,7 +327,8 @@
 		costPerGigabyte += idleCopyCost / max(pl.meanStreams*pl.meanStreams, minStreamsSquared)
 	}
 	gigabytes := float64(p.copies) * pl.model.ExpertBytes / 1e9 / float64(len(p.layouts[0]))
-	// The stall counts, so that a plan with too small a gain does not pause every stream.
+	// The stall of a switch counts as a cost. Otherwise a plan with too small a gain would pause
+	// every stream.
 	stallSec := pl.switchCosts.stall.Seconds() * p.imbalanceBefore
 	return delaySec*p.imbalanceBefore + copySlowdown*copySec + stallSec + (horizonSec-delaySec)*p.imbalanceAfter + costPerGigabyte*gigabytes
 }
--- a/lockstep/switch.go
+++ b/lockstep/switch.go
@@ -111,8 +111,9 @@
 const proxyRank = 2
 
 // armLeader arms rank 0, the rank of the leader: it orders the engine of rank 0 to switch maps when
-// the held pass begins. The order first goes through the agent of proxyRank. If the group has no such
-// rank, its agent is in backoff, or rank 0 is not armed then, this agent sends the order itself.
+// the held pass begins. The agent of proxyRank sends the order first. This agent sends the order
+// itself if the group has no rank proxyRank, if the agent of proxyRank is in backoff, or if rank 0
+// is not armed after the order of that agent.
 func armLeader(a *Agent, holder *member, ranks []rank, o *peers.RankOrder) bool {
 	if len(ranks) <= proxyRank || !ranks[proxyRank].canAskAgent() {
 		return armAll(a, holder, ranks[:1], o)
--- a/lockstep/tree.go
+++ b/lockstep/tree.go
@@ -21,7 +21,7 @@
 // itself, whichever way and however late an order arrives.
 const (
 	maxDirectRanks = 16 // groups up to this size are asked without a tree
-	maxLeafRanks   = 8  // an agent asks up to this many agents without another level in between
+	maxLeafRanks   = 8  // an agent with at most this many agents below it asks each of them directly
 	treeFanOut     = 4  // maximum number of branches of an agent with more agents below it
 	// hopReserve is the part of its timeout that each agent keeps for its own answer.
 	hopReserve = 50 * time.Millisecond
--- a/lockstep/watch.go
+++ b/lockstep/watch.go
@@ -16,7 +16,7 @@
 	group       *group
 	step        uint64 // number of the latest pass seen
 	epoch       uint64
-	checkedAt   time.Time // latest progress, or latest check of a stalled group
+	checkedAt   time.Time // time of the group's latest progress, or of the latest check if the group is stalled
 	stallSeenAt time.Time // start of the stall, as assumed at the latest check of a stalled group
 	probedRun   EngineRun // engine run in which probeMembers last asked all members for their ranks
 
@@ -29,7 +29,7 @@
 	firstSeenAt time.Time
 }
 
-// firstSeen returns when the hold of the pass with this step was first seen.
+// firstSeen returns when this agent first saw that the group is held at the pass with number step.
 func (h *holdTracker) firstSeen(step uint64, now time.Time) time.Time {
 	if step != h.step {
 		h.step, h.firstSeenAt = step, now
@@ -55,7 +55,8 @@
 func (w *watcher) check(s peers.RankState) {
 	now := time.Now()
 	if s.Rank == holderRank(s.Ranks) && len(w.group.members) < s.Ranks {
-		// While the group is held there is no time for the store, which may be slow.
+		// Read the group from the store now: the store may be slow, and while the group is held
+		// there is no time to wait for it.
 		w.group.refresh()
 	}
 	w.probeMembers(s)
@@ -87,9 +88,9 @@
 	}
 }
 
-// probeMembers asks the members of a large group once per run for their ranks, before the group is
-// first held. When the group is held, the agent must already know which member leads, to leave it
-// out of the tree.
+// probeMembers asks the members of a large group for their ranks, once in each engine run and before
+// the group is first held. When the group is held, the agent must already know which member leads,
+// to leave the leader out of the tree.
 func (w *watcher) probeMembers(s peers.RankState) {
 	run := EngineRun{StartedAtMS: s.StartedAtMS, Epoch: s.Epoch}
 	if s.Rank != holderRank(s.Ranks) || s.Held != 0 || w.probedRun == run || s.Ranks <= maxDirectRanks || len(w.group.members) < s.Ranks {
--- a/peers/schema.go
+++ b/peers/schema.go
@@ -215,7 +215,7 @@
 // OrderKind is the operation that an order requests of a rank.
 type OrderKind uint8
 
-// Orders.
+// Kinds of orders to a rank.
 const (
 	OrderPrepare OrderKind = 1 // copy the weights of the experts that a map assigns to the rank
 	OrderArm     OrderKind = 2 // switch to a prepared map at the start of a pass
@@ -282,7 +282,7 @@
 	Complete      bool
 	AgeMS         uint32
 	PassMS        float32  // mean time of the latest passes
-	Imbalance     float32  // time that the ranks take for their experts, divided by the time with even loads
+	Imbalance     float32  // longest time of a rank for its experts, summed over the layer sets, divided by the sum with even loads
 	PeakImbalance float32  // recent maximum of Imbalance
 	Roster        uint64   // identifies the list of engines; set even if Engines is omitted
 	Engines       []string // addresses of the engines by rank; omitted if the querying entry knows them
@@ -291,8 +291,8 @@
 	Running       []byte   // running requests by rank; 255: that many or more
 	Waiting       []byte   // waiting requests by rank; 255: that many or more
 	Slow          []SlowRank
-	Group         string // name of the group; like Ranks, set even if Known is false
-	Ranks         uint16 // number of ranks in the group, including those without an engine
+	Group         string // name of the group; set even if Known is false
+	Ranks         uint16 // number of ranks in the group, including those without an engine; set even if Known is false
 }
 
 // SlowRank is a rank that is slower than usual.
--- a/peers/server.go
+++ b/peers/server.go
@@ -24,7 +24,7 @@
 	closed bool
 }
 
-// idleTimeout closes the connections of peers that have sent nothing for so long; a live peer
+// idleTimeout is how long a peer may send nothing before its connection is closed. A live peer
 // sends several requests a second.
 const idleTimeout = 15 * time.Second
 
