--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -26,7 +26,7 @@
 }
 
 const (
-	budgetSlotCount      = 24 // 20 slots cover a window; with the rest, the sum over all slots never covers less than a window
+	budgetSlotCount      = 24 // 20 slots cover a window; with the others, all slots together always cover at least a window
 	budgetSlotsPerWindow = 20.0
 	// budgetUtilization is the share of the budget that is used. It leaves a margin because entries
 	// come and go, and an entry's count of the other entries may be outdated.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -272,7 +272,7 @@
 // Shares of the shutdown grace.
 const (
 	acceptShare          = 0.4  // share of the grace during which new requests are accepted
-	exitReserveShare     = 0.05 // share at the end of the grace that is left for the process to exit
+	exitReserveShare     = 0.05 // share of the grace, at its end, that is reserved for the exit of the process
 	shutdownPollInterval = 100 * time.Millisecond
 )
 
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -14,7 +14,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// HeaderNames are the names of the headers that callers and targets use.
+// HeaderNames are the names of the headers that callers and targets use. The comment on each field
+// says what the header holds.
 type HeaderNames struct {
 	RequestID   string // identifies one attempt of a caller; echoed by targets
 	Deadline    string // time left until the caller's deadline, in milliseconds
--- a/gateway/reader.go
+++ b/gateway/reader.go
@@ -31,7 +31,7 @@
 	leadAge        time.Duration // age of the replica at which the first entry reads
 	followAge      time.Duration // age of the replica at which the next entry reads
 	takeoverSpread time.Duration // additional age at which the last entry reads
-	pollWait       time.Duration // how long a read of the first entry waits in the store for changes
+	pollWait       time.Duration // how long the store lets a read by the first entry wait for changes
 }
 
 // readLimits returns the replica age at which the entry at a position among count entries reads
@@ -89,7 +89,7 @@
 		records, after, err := g.opts.Store.Changes(ctx, t, next, wait)
 		if err == nil {
 			if len(records) == 0 {
-				start = start.Add(wait) // nothing was written while the read waited
+				start = start.Add(wait) // nothing was written during the wait: the replica is complete up to its end
 			}
 			g.state.applyChanges(t, records, after, start)
 			return nil
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -47,13 +47,14 @@
 // Entries that start together have usually found each other by then.
 const firstAloneReadAge = 500 * time.Millisecond
 
-// aloneReadAge returns the age of the replica at which an entry without known peers reads the entry
-// records again; ok is false if the entry knows peers.
+// aloneReadAge returns the maximum age of the replica of the entry records at an entry that knows no
+// live peers. At this age the entry reads the records again. ok is false if the entry knows live
+// peers.
 //
 // When a few entries start at the same moment, each may read the entry records before the others
-// have written theirs. Until the next read each entry would announce only itself to callers and
-// take the full headroom of a group. So an entry without peers reads again soon, and then at
-// growing intervals.
+// have written theirs. Until the next read each entry would announce only itself to callers. It
+// would also use the full headroom of a group and leave no part to the other entries. So an entry
+// without peers reads again soon, and then at growing intervals.
 func (g *Gateway) aloneReadAge() (age time.Duration, ok bool) {
 	if g.cluster.liveCount() > 1 {
 		return 0, false
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -89,10 +89,11 @@
 // fill reads from the target until there are complete events to pass on, or the stream has ended. If
 // a target fails, the stream resumes at another target after the last complete event.
 //
-// The response header for the caller comes from the attempt that received the first event, which
-// headAttempt keeps. The current attempt may be another one: if the first event and the end of the
-// target's stream arrive in one read, that attempt is over, and perhaps replaced by the next one,
-// before the header is written.
+// The response header for the caller comes from the attempt that received the first event.
+// headAttempt holds that attempt, because current may be a later attempt when the header is
+// written: if one read returns both the first event and the end of the target's stream, the attempt
+// that received the event has ended before the header is written, and a further attempt may have
+// replaced it.
 func (b *streamBody) fill() {
 	var buf [4 << 10]byte
 	for len(b.pending) == 0 && b.endErr == nil {
--- a/members/membership.go
+++ b/members/membership.go
@@ -148,7 +148,7 @@
 	case m.probeQueue <- name:
 		m.queued[name] = true
 	default:
-		m.opts.IncrementCounter("entries_not_asked") // a later probe round reaches the entry
+		m.opts.IncrementCounter("entries_not_asked") // the queue is full; a later probe round probes the entry
 	}
 }
 
--- a/members/table.go
+++ b/members/table.go
@@ -41,17 +41,17 @@
 	nameHash      uint64
 	updatedAt     time.Time // time of the latest change of the entry's state
 	transmissions int       // messages that carried this state, sent by this entry or received again
-	lastHeard     time.Time // time of the latest message from the entry itself, or of an update that it is alive
+	lastHeard     time.Time // time of the latest message from the entry itself, or of the latest update that calls it alive
 	lostAt        time.Time
 	failedProbes  int  // number of consecutive failed probes by this entry
 	unreachable   bool // probes by this entry fail, and no other entry could be asked for an indirect probe
 }
 
 const (
-	// recentContact is the time after an entry was last heard from during which a report of its
-	// loss is not accepted; the entry is probed instead. Detecting a loss takes longer than
-	// this, so the report is stale: its sender was cut off from the network when it detected
-	// the loss.
+	// recentContact is how long after the last contact with an entry this process accepts no
+	// report that the entry is lost. It probes the entry instead. Detecting a loss takes longer
+	// than recentContact, so such a report is stale: its sender was cut off from the network when
+	// it detected the loss.
 	recentContact = 500 * time.Millisecond
 	// lostRetention is the time after which an entry that stays lost is removed and no longer
 	// probed.
--- a/placing/groups.go
+++ b/placing/groups.go
@@ -165,7 +165,7 @@
 // Intervals of the breaker. A group recovers within about a second of its ranks.
 const (
 	probeInterval = 120 * time.Millisecond
-	probeTimeout  = 400 * time.Millisecond // time until the next probe if a probe has no result
+	probeTimeout  = 400 * time.Millisecond // time from a probe without a result to the next probe
 )
 
 // blocks reports whether the breaker lets no request through now.
--- a/serving/replica.go
+++ b/serving/replica.go
@@ -53,8 +53,9 @@
 	equivalent func(key string, old, new []byte) bool
 	records    map[string]Record
 	nextOffset uint64 // all records before this offset are known
-	// removalsKnownFrom is the offset from which on all removals are known: a snapshot does
-	// not contain the removals from before it was read.
+	// removalsKnownFrom is the offset from which on this replica knows all removals. Earlier
+	// removals are unknown, because a snapshot does not contain the removals that happened
+	// before the snapshot was read.
 	removalsKnownFrom uint64
 	loaded            bool
 	permanent         bool
