--- a/agent/dispatchcheck.go
+++ b/agent/dispatchcheck.go
@@ -228,14 +228,16 @@
 //
 // If the entry list were first read when a key needs it, and the log were down by then, an
 // agent without requests since the last change would answer "may have run" for the whole
-// outage. Therefore the list is read as soon as a version is received. Only a version
-// accepted just before an outage is not covered: its keys stay uncertain.
+// outage. Therefore the list is read as soon as a version is received. One case is not
+// covered: if a version is accepted just before an outage, the keys of requests under this
+// version stay uncertain.
 func (a *Agent) maintainPresence() {
 	c := a.dispatches
 	if c.log == nil {
 		return
 	}
-	// If this reading of the entry list fails, the first request with a key waits for the next.
+	// If this first reading of the entry list fails, the first request with a key waits for the
+	// next reading.
 	_ = c.readEntries(a.ctx, 0)
 	ticker := time.NewTicker(presenceInterval)
 	defer ticker.Stop()
--- a/agent/dispatchreports.go
+++ b/agent/dispatchreports.go
@@ -13,7 +13,9 @@
 	// dispatchSlack is how much longer than the deduplication window an entry remembers a
 	// dispatch, because the run may begin that much later.
 	dispatchSlack = 2 * time.Minute
-	// presenceSlack covers the refresh interval of presence records and clock differences.
+	// presenceSlack is how much longer than the deduplication window an entry counts after its
+	// latest presence record. It covers the refresh interval of presence records and clock
+	// differences.
 	presenceSlack = 6 * time.Minute
 	// dispatchReportWait is how long a request waits for missing dispatch reports.
 	dispatchReportWait = time.Second
@@ -44,7 +46,7 @@
 	unresponsive    map[uint64]bool      // entries that sent no dispatch report in time
 	uncertainKeys   map[uint64]time.Time // key hash -> time of the latest report of a dispatch elsewhere
 	nextSweep       time.Time
-	homeHistory     []homeTargets // declared targets by version range; the ranges are contiguous, oldest first
+	homeHistory     []homeTargets // declared targets by range of configuration versions; contiguous ranges, oldest first
 	skipCheck       bool          // run requests with unknown keys at once; for tests that must detect the missing safeguard
 
 	entries        map[uint64]time.Time // entry incarnation -> time of the last presence, without entries that have gone
@@ -57,7 +59,7 @@
 	nextOffset uint64        // log offset to read from
 }
 
-// homeTargets holds the declared targets of the fleet over a range of versions.
+// homeTargets holds the declared targets of the fleet over a range of configuration versions.
 type homeTargets struct {
 	from, to uint64
 	names    []string
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -91,7 +91,7 @@
 	waited := q.admission.Remove(&slot.job)
 	q.mu.Unlock()
 	if !waited && !slot.job.Expired {
-		slot.finish(false) // the request was admitted at the moment of the cancellation
+		slot.finish(false) // the request was admitted just before the cancellation: free its slot
 	}
 	if context.Cause(ctx) != nil && result.From(context.Cause(ctx)).Code == result.DeadlinePast {
 		return nil, result.New(result.DeadlineUnmet, "deadline passed in the queue of the target")
--- a/control/leaser.go
+++ b/control/leaser.go
@@ -56,7 +56,7 @@
 func (n *Node) appendLeaseBatch() {
 	n.mu.Lock()
 	var batch *LeaseBatch
-	if n.fold.Next() > 0 || n.vmListSeen { // before the first read, an empty row may belong to a held resource
+	if n.fold.Next() > 0 || n.vmListSeen { // before the first read of the log, rows of held resources are empty too
 		batch = n.claimer.Next(time.Now())
 	}
 	n.mu.Unlock()
--- a/control/publish.go
+++ b/control/publish.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// isDue reports whether a process of a given rank should publish at now. Ranks become due
-// one after another, so that one process publishes; two snapshots at once do no harm.
+// isDue reports whether the process with this rank among the entries should publish a
+// snapshot at now. The processes become due one after another in the order of their ranks,
+// so that one of them publishes. Two snapshots at once do no harm.
 func (s *snapshotSchedule) isDue(rank int, every time.Duration, now time.Time) bool {
 	wait := every + time.Duration(rank)*every/snapshotRankDivisor
 	if s.oldestOffset > s.latestOffset {
@@ -89,7 +90,8 @@
 }
 
 // appendRecords appends records to the log, one per call so that no call is too large. It
-// ignores the offsets: the fold reads back the records that took effect.
+// ignores the log offsets that the calls return, because the fold reads the records that took
+// effect back from the log.
 func (n *Node) appendRecords(records [][]byte, kind string) {
 	for _, raw := range records {
 		ctx, cancel := context.WithTimeout(n.ctx, appendDeadline)
--- a/entry/control.go
+++ b/entry/control.go
@@ -133,7 +133,7 @@
 	snap      *config.Snapshot
 	common    wire.AgentConfig
 	policies  map[string][]wire.ServicePolicy // policies of the services of a fleet, by fleet
-	resources map[string][]string             // resources that concern a target, by target
+	resources map[string][]string             // lease resources of the target and of its groups, by target
 	floors    map[string]uint64               // fencing floors, by resource
 }
 
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// receiveNew returns bytes that Recv has not returned before. It returns none if an event
-// held only bytes that Recv has returned.
+// receiveNew receives one event and returns the bytes that are new, which Recv has not
+// returned before. It returns none if the event has no new bytes.
 func (x *Exchange) receiveNew() ([]byte, error) {
 	ev, err := x.stream.Recv(x.ctx)
 	if err != nil && x.textStream != nil {
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -19,7 +19,8 @@
 	// loadReportsPerPlan is the number of load collections for each plan.
 	loadReportsPerPlan = 2
 	loadsTimeout       = 5 * time.Second
-	// estimateHalfLifeReports is the half-life of the load estimate, in load collections.
+	// estimateHalfLifeReports is the half-life of the load estimate, as a number of load
+	// collections.
 	estimateHalfLifeReports = 1.0
 )
 
@@ -113,8 +114,8 @@
 	}
 }
 
-// recoverGroup resumes a group that is stalled because a decision is missing. The ballot of the
-// recovery keeps the map in use.
+// recoverGroup resumes a group that is stalled because the decision of a ballot is missing. It runs
+// a new ballot, which keeps the map in use.
 func (o *groupOwner) recoverGroup(ctx context.Context, g *config.Group) {
 	s := &mapSwitch{entry: o.entry, group: g, baseOrder: wire.RankOrder{Group: g.Name, Recovery: true}}
 	err := s.run(ctx)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -28,7 +28,7 @@
 	MethodRequest Method = 1 // carries a Request, answered by an Answer and chunks
 )
 
-// Notes on the load of targets.
+// Types of notes (one-way messages) on the load of targets.
 const (
 	NoteLoad Note = 1 // carries a Load, agent to entry
 )
--- a/wire/schema_control.go
+++ b/wire/schema_control.go
@@ -47,7 +47,7 @@
 type AgentConfig struct {
 	Version  uint64          `msg:"v"`
 	Digest   uint64          `msg:"d"`
-	Entries  int             `msg:"e"` // number of entries in the VM list; each of them can send fencing floors
+	Entries  int             `msg:"e"` // number of entries in the VM list; each of them can send the fencing floors in Floors
 	Policies []ServicePolicy `msg:"p"` // policies of the services that the target's fleet serves
 	Floors   []FenceFloor    `msg:"f"` // fencing floors (lowest fencing numbers still valid) of the resources that concern the target
 }
--- a/wire/schema_outcomes.go
+++ b/wire/schema_outcomes.go
@@ -19,9 +19,9 @@
 type DispatchReport struct {
 	Version uint64   `msg:"v"`
 	Targets []string `msg:"t"` // declared targets of the fleet of the agent under Version
-	// Keys are hashes of idempotency keys that the entry has dispatched to another
-	// target or incarnation, although the receiving agent is their home (the only one
-	// that may run them) under Version.
+	// Keys are hashes of idempotency keys. The entry has dispatched these keys to another
+	// target or incarnation. Under Version the receiving agent is the home of the keys
+	// (the only agent that may run them).
 	Keys []uint64 `msg:"k"`
 }
 
--- a/wire/schema_placement.go
+++ b/wire/schema_placement.go
@@ -4,7 +4,7 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// Notes of placement and admission.
+// Types of notes (one-way messages) for placement and admission.
 const (
 	NoteDemand Note = 41 // Demand, entry to entry
 )
