--- a/soak/callers.go
+++ b/soak/callers.go
@@ -10,7 +10,7 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Host, API key and team of the callers.
+// Host name and API key that the callers send, and the team that the key belongs to.
 const (
 	host = "kitchen.example"
 	key  = "k-1"
@@ -22,12 +22,13 @@
 const (
 	meanCallPause  = 30 * time.Millisecond
 	callTimeout    = 4 * time.Second
-	directoryTTL   = time.Second // how long a caller uses one response of the directory
+	directoryTTL   = time.Second // how long a caller uses the addresses from one directory response
 	resolveTimeout = 500 * time.Millisecond
 )
 
-// runCaller sends requests one after another until ctx ends. Like a real caller, it
-// reuses connections and queries the directory again after directoryTTL.
+// runCaller simulates one caller: it sends requests one after another until ctx ends.
+// Like a real caller, it reuses connections, and queries the directory for the addresses
+// of the entries again after directoryTTL.
 func (s *soak) runCaller(ctx context.Context, caller int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4, ResponseHeaderTimeout: callTimeout}
@@ -56,7 +57,7 @@
 	return standin.Resolve(ctx, e.address(portDirectory), host, "z")
 }
 
-// sendRequest sends one request and returns the record of its response.
+// sendRequest sends one request and returns a Record of the request and its response.
 func sendRequest(t *http.Transport, address, id string, k kind) Record {
 	rec := Record{ID: id, Kind: k, Sent: time.Now()}
 	rec.Response = standin.Send(t, address, standin.Request{
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -17,7 +17,7 @@
 	Sent time.Time
 }
 
-// kind says whether a request may run more than once, or is a stream.
+// kind is the kind of a request: non-idempotent, idempotent or a stream.
 type kind uint8
 
 const (
@@ -29,8 +29,8 @@
 
 func (k kind) String() string { return [...]string{"once", "idempotent", "stream"}[k] }
 
-// checker collects the callers' records and the targets' executions and compares
-// them after the run.
+// checker collects the responses that callers received and the requests that targets
+// ran, and compares the two after the run.
 type checker struct {
 	corrupt    func(Record) Record
 	mu         sync.Mutex
@@ -68,12 +68,12 @@
 	return false
 }
 
-// minServedShare is the least share of the requests sent after recovery that must be
-// served.
+// minServedShare is the minimum share of requests sent after recovery that must be
+// served: with a complete response of status 200, or with status 500.
 const minServedShare = 0.8
 
-// check compares the callers' records with the targets' executions. From recoveredAt
-// on, the system must serve requests again.
+// check compares the callers' records with the targets' executions. Of the requests
+// sent after recoveredAt, the system must serve at least minServedShare.
 func (c *checker) check(recoveredAt time.Time) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	return r
 }
 
-// violationsOf returns the guarantees that were violated for one request.
+// violationsOf describes each service guarantee that was violated for one request.
 func (c *checker) violationsOf(rec *Record) []string {
 	var violations []string
 	executions := c.executions[rec.ID]
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -9,7 +9,7 @@
 	"github.com/heatherrail/heatherrail/platform/standin"
 )
 
-// Duration of faults and the pause between them.
+// Durations of injected faults, and the pause between their starts.
 const (
 	meanFaultPause   = 400 * time.Millisecond // between the starts of two faults
 	minFaultDuration = 200 * time.Millisecond
@@ -75,8 +75,8 @@
 	}
 }
 
-// Timing of rate limits. Each limit lasts long enough for a window of the rule after
-// the settling time.
+// Timing of rate limits. Each limit outlasts rateSettleTime by at least half of
+// rateWindow, so that requests after the settling time are checked.
 const (
 	firstRateDelay  = 500 * time.Millisecond
 	meanRatePause   = 2 * time.Second // between the limits of two targets
@@ -84,7 +84,7 @@
 	maxRateDuration = 2*rateSettleTime + rateWindow
 
 	numRateSeries   = uint64(2)
-	firstRateStream = 20 // first PCG stream; the streams of the other generators are below it
+	firstRateStream = 20 // PCG stream of the first series of rate limits; other random generators use lower streams
 )
 
 // injectRateLimits sets rate limits on targets until ctx ends. Each target gets two
@@ -135,7 +135,7 @@
 func (s *soak) injectProxyFault(p *proxy, name string, d time.Duration, f proxyFaults) {
 	s.injectFor(name, d, func() { p.setFaults(f) }, func() {
 		p.setFaults(proxyFaults{})
-		p.reset() // the dropped bytes are lost, so the streams can't continue
+		p.reset() // bytes were dropped, so open connections can't continue
 	})
 }
 
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -26,7 +26,7 @@
 	portPeers
 )
 
-// fleet holds the gateway processes and the stand-ins of store and targets.
+// fleet holds the gateway processes and the stand-ins for the store and the targets.
 type fleet struct {
 	s             *soak
 	store         *standin.Store
@@ -36,7 +36,7 @@
 
 	mu               sync.Mutex
 	targets          []*targetProc
-	rateLimited      []*targetProc // targets that have set a rate limit, including removed ones
+	rateLimited      []*targetProc // targets that have had a rate limit during the run, including removed targets
 	lastTargetNumber int
 }
 
@@ -59,7 +59,7 @@
 // targetProc is one target with its record in the store. All entries reach the target
 // through its proxy.
 type targetProc struct {
-	lastSequence atomic.Uint64 // sequence number of the record written last
+	lastSequence atomic.Uint64 // sequence number of the target record last written to the store
 	*standin.Target
 	service string
 	server  *http.Server
@@ -99,7 +99,7 @@
 	return f, nil
 }
 
-// Time limits in the settings of the gateway processes.
+// Shutdown grace and drain time in the settings of the gateway processes.
 const (
 	graceSeconds = 4
 	drainSeconds = 2
@@ -210,7 +210,8 @@
 
 const heartbeatInterval = 400 * time.Millisecond
 
-// renewTargets renews the targets' records at each heartbeat.
+// renewTargets writes the record of each target to the store again every
+// heartbeatInterval, until ctx ends.
 func (f *fleet) renewTargets(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(heartbeatInterval)
@@ -291,14 +292,14 @@
 	return violations
 }
 
-// Requests that a target with a rate limit may receive from all entries together.
-// Source: the platform's rule. The rule exempts entries that were restarted or
-// suspended; this check exempts none.
+// Limits on the requests that a target with a rate limit may receive from all entries
+// together. Source: the platform's rule. The rule exempts entries that were restarted
+// or suspended; the soak's check exempts none.
 const (
 	rateWindow     = 4 * time.Second
 	rateSlack      = 1.5             // factor on the rate limit
 	rateBurst      = 5               // requests allowed in a window beyond the rate
-	rateSettleTime = 3 * time.Second // after a change of the rate limit, before the check applies
+	rateSettleTime = 3 * time.Second // time after a change of the rate limit that the check ignores
 )
 
 // proxyOf returns the proxy in front of a target.
@@ -330,7 +331,7 @@
 		e.signal(syscall.SIGKILL)
 		e.wait()
 		e.proxy.close()
-		_ = e.log.Close() // the directory of the log is removed with the run
+		_ = e.log.Close() // the log file is removed at the end of the run
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -18,7 +18,7 @@
 
 // proxyFaults lists the faults that apply to all connections, open ones included.
 type proxyFaults struct {
-	Delay       time.Duration // added to each chunk
+	Delay       time.Duration // added to each chunk of forwarded bytes
 	Refuse      bool          // new connections are reset
 	Blackhole   bool          // bytes of both directions are dropped; connections stay open
 	DropReplies bool          // bytes towards the client are dropped
@@ -48,7 +48,7 @@
 	return p.faults
 }
 
-// reset closes all open connections with a TCP reset.
+// reset closes all open connections of the proxy with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,8 +1,9 @@
-// Package soak runs the real programs as separate processes on loopback against
-// stand-ins. It injects faults into processes, connections and stand-ins while callers
-// send requests. Afterwards it checks the service guarantees against the records of
-// callers and targets. The seed determines the sequence of faults and their intervals.
-// Their exact timing relative to the work in the processes varies from run to run.
+// Package soak runs heatherrail-gateway in separate processes on loopback, with stand-ins
+// for the store and the targets. It injects faults into processes, connections and
+// stand-ins while callers send requests. Afterwards it checks the service guarantees
+// against the records of callers and targets. The seed determines the sequence of faults
+// and the intervals between them. The exact timing of a fault relative to the work in
+// the processes varies from run to run.
 package soak
 
 import (
@@ -23,12 +24,12 @@
 	Program  string // path of heatherrail-gateway
 	Seed     uint64
 	Duration time.Duration // length of the run
-	Entries  int           // gateway processes
-	Targets  int           // per service; there are two services
-	Callers  int           // concurrent callers
+	Entries  int           // number of gateway processes
+	Targets  int           // number of targets per service; there are two services
+	Callers  int           // number of concurrent callers
 	Out      io.Writer     // receives the summary and, after a violation, the timeline
-	// Corrupt, if set, alters each record before it is stored. Tests use it to
-	// verify that the checker detects violations.
+	// Corrupt, if set, alters each caller's record before the checker stores it. Tests
+	// use Corrupt to verify that the checker detects violations.
 	Corrupt func(r Record) Record
 }
 
@@ -38,7 +39,7 @@
 	Requests   int
 	Succeeded  int      // requests answered 200 with a complete body
 	Refused    int      // requests answered with a status that means "not run"
-	Faults     int      // injected faults
+	Faults     int      // number of injected faults
 	Violations []string // violated guarantees, each with the values seen
 }
 
@@ -55,7 +56,7 @@
 	faults   int
 }
 
-// ErrViolation is returned if at least one guarantee was violated.
+// ErrViolation is the error of a run in which at least one service guarantee was violated.
 var ErrViolation = errors.New("guarantee violated")
 
 // Run runs one soak and writes its summary to o.Out. It returns ErrViolation if a
@@ -76,8 +77,8 @@
 	return s.report(o.Out)
 }
 
-// faultFreePeriod is the time without faults at the end of a run. Requests sent in
-// it show whether the system has recovered.
+// faultFreePeriod is the time without faults at the end of a run. Requests sent in this
+// period show whether the system has recovered.
 const faultFreePeriod = 3 * time.Second
 
 func (s *soak) run(ctx context.Context) {
