--- a/story/cause.go
+++ b/story/cause.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Cause states in one sentence why a request was refused, failed or late, based on its
-// last line and its context. It returns an empty text for a request that was answered
-// on time without a failed attempt, and a text that starts with "unknown" if the lines
-// do not show the cause.
+// Cause states in one sentence why the request was refused, failed or late. It derives
+// the cause from the log lines of the request and from its context. It returns an empty
+// text for a request that was answered on time without a failed attempt, and a text that
+// starts with "unknown" if the log lines do not show the cause.
 func (s *Story) Cause() string {
 	if len(s.Lines) == 0 {
 		return ""
@@ -24,8 +24,8 @@
 	return "unknown: the log lines do not show it"
 }
 
-// lateCause states why a response was late or which attempt failed before it. It is
-// empty if the response was on time and no attempt failed.
+// lateCause states why a response was late, or which attempt failed before the response.
+// The text is empty if the response was on time and no attempt failed.
 func (s *Story) lateCause(last *Line) string {
 	failed := s.firstFailedAttempt()
 	switch last.Get("late") {
@@ -55,7 +55,8 @@
 	return ""
 }
 
-// causeSuffix formats a failed attempt for the end of a sentence.
+// causeSuffix formats the description of a failed attempt for the end of a sentence. It
+// returns an empty text for an empty description.
 func causeSuffix(failed string) string {
 	if failed == "" {
 		return ""
@@ -73,8 +74,9 @@
 	return ""
 }
 
-// groupContext describes the load of the request's group during the request: the
-// longest pass, and whether demand had shifted between experts.
+// groupContext describes the load on the request's group of engines during the request:
+// the longest pass of the group, or the target's load at placement if the log has no pass,
+// and whether demand had shifted between experts.
 func (s *Story) groupContext(last *Line) string {
 	if kind := last.Get("kind"); kind != "" && kind != "stream" {
 		return "" // plain services have no group
@@ -105,7 +107,8 @@
 	return text
 }
 
-// firstPlacement returns the line of the first placement, nil if there is none.
+// firstPlacement returns the log line of the request's first placement, or nil if there
+// is none.
 func (s *Story) firstPlacement() *Line {
 	for i := range s.Lines {
 		if s.Lines[i].Event == "placed" {
--- a/story/story.go
+++ b/story/story.go
@@ -17,9 +17,9 @@
 // Line is one parsed log line.
 type Line struct {
 	At     time.Time
-	Source string // last word before the time, where a log collector puts the name of the VM
+	Source string // name of the VM, which a log collector writes as the last word before the time
 	Event  string
-	Fields []Field // in the order of the line, without time, level and event
+	Fields []Field // key=value pairs in the order of the line, without time, level and event
 }
 
 // Field is one key=value pair.
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// cutValue splits a quoted or plain value off the start of a text.
+// cutValue splits a quoted or unquoted value off the start of a text, and returns the
+// value and the rest of the text.
 func cutValue(text string) (value, rest string, err error) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
@@ -122,11 +123,11 @@
 	return value, text[len(quoted):], nil
 }
 
-// contextWindow is the time before the start of a request from which on other events are
-// listed as its context. The context ends with the last line of the request.
+// contextWindow is how long before the arrival of a request its context begins (see
+// Story.Context). The context ends with the last log line of the request.
 const contextWindow = 2 * time.Second
 
-// contextEvents are events that concern all requests in progress at that time.
+// contextEvents are the log events that concern every request in progress when they occur.
 var contextEvents = []string{
 	"store lost", "store regained", "targets known again after an outage", "configuration in force", "target gone",
 	"entry lost", "stopping", "stopped", "started", "reload", "demand moved", "map switched", "group led",
@@ -177,8 +178,9 @@
 	return s, nil
 }
 
-// startTime returns when the request arrived. A line is written at the end of the
-// step that it reports, so its duration is subtracted from its time.
+// startTime returns the arrival time of the request. A log line is written at the end of
+// the step that it reports, so startTime subtracts the duration of the step from the time
+// of the request's first line.
 func (s *Story) startTime() time.Time {
 	first := &s.Lines[0]
 	for _, key := range []string{"ms", "wait_ms"} {
