--- a/losses/cause.go
+++ b/losses/cause.go
@@ -20,9 +20,9 @@
 	AfterRestart                   // most processes had just restarted
 	GroupBroken                    // a rank was lost
 	SlowRank                       // a rank took many times its usual step time
-	GroupHeld                      // a switch of the expert map was left incomplete
+	GroupHeld                      // an incomplete switch of the expert map left the group on hold
 	LoadReportStale                // placements used old load reports of the group
-	MapOutdated                    // the expert map was not adjusted to demand
+	MapOutdated                    // the expert map was not yet adapted to the demand
 	TargetSlow                     // a plain target answered slowly
 	Backlog                        // none of the above: the queue exceeded the capacity
 	causeCount
@@ -48,13 +48,13 @@
 	return true
 }
 
-// Thresholds from which a logged value counts as a cause.
+// Thresholds from which a logged value counts as the cause of a loss.
 const (
 	slowdownThreshold  = 2.0 // step time divided by the usual step time
 	imbalanceThreshold = 1.5 // load of the most loaded rank divided by the mean
 	staleReportAge     = 2 * time.Second
-	restartWindow      = 6 * time.Second // time to work off the backlog of a restart
-	restartShare       = 0.5             // least share of all processes that start within two seconds
+	restartWindow      = 6 * time.Second // losses in this time after a restart are attributed to its backlog
+	restartShare       = 0.5             // minimum share of all processes that start within two seconds in a restart
 )
 
 // causeByReason maps the logged reason of a refusal or failure to its cause.
@@ -66,8 +66,8 @@
 	"unreachable": TargetFailed, "rank_lost": GroupBroken, "target_limit": TargetRateLimited,
 }
 
-// cause returns why a request was lost. attemptFailed says that one of its attempts
-// failed.
+// cause returns the cause of a loss. line is the last log line of the request;
+// attemptFailed is true if one of the request's attempts failed.
 func (a *analyser) cause(line *story.Line, attemptFailed bool) Cause {
 	if c, ok := causeByReason[line.Get("reason")]; ok {
 		return c
@@ -97,7 +97,7 @@
 	return Backlog
 }
 
-// secondStats sums up the log lines of one second.
+// secondStats holds the worst values and the faults that the log lines of one second report.
 type secondStats struct {
 	slowdown, imbalance    float64
 	reportAge              time.Duration // age of the oldest load report used by a placement
@@ -106,13 +106,15 @@
 	starts                 int
 }
 
-// merge adds the stats of another second.
+// merge takes the larger of each value and sets each flag that o has set. It leaves
+// starts unchanged.
 func (s *secondStats) merge(o *secondStats) {
 	s.slowdown, s.imbalance, s.reportAge = max(s.slowdown, o.slowdown), max(s.imbalance, o.imbalance), max(s.reportAge, o.reportAge)
 	s.groupHeld, s.groupBroken, s.restarted = s.groupHeld || o.groupHeld, s.groupBroken || o.groupBroken, s.restarted || o.restarted
 }
 
-// recordStats adds what a line reports about the system to the stats of its second.
+// recordStats adds the system state that a log line reports to the stats of the second
+// of the line.
 func (a *analyser) recordStats(line *story.Line) {
 	stats := a.statsAt(line.At)
 	switch line.Event {
@@ -133,8 +135,8 @@
 	}
 }
 
-// markRestarts marks the seconds within restartWindow after most processes have started
-// within two seconds.
+// markRestarts sets restarted for the seconds within restartWindow after a restart. A
+// restart is at least restartShare of all processes starting within two seconds.
 func (a *analyser) markRestarts() {
 	first := a.firstSecond()
 	for second, stats := range a.statsBySecond {
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -35,7 +35,7 @@
 
 // Analysis holds the requests found in the logs and the cause of each loss.
 type Analysis struct {
-	Seconds       int // length of the logs
+	Seconds       int // length of the logs in seconds, up to the last finished request
 	Answered      int // requests answered on time
 	Losses        []Loss
 	UnparsedLines int // lines that could not be parsed
@@ -43,11 +43,11 @@
 
 // analyser collects log lines and derives an Analysis from them.
 type analyser struct {
-	finished       []story.Line           // last lines of requests
+	finished       []story.Line           // last log line of each request
 	failedRequests map[string]bool        // IDs of requests with a failed attempt
 	statsBySecond  map[int64]*secondStats // by Unix time in seconds
 	processes      map[string]bool        // by Line.Source; processes that logged a start
-	dataCentres    map[string]string      // by Line.Source
+	dataCentres    map[string]string      // data centre of each process, by Line.Source
 	unparsed       int
 }
 
@@ -79,7 +79,8 @@
 	return a.finish(), nil
 }
 
-// addLine records the context that a line gives and keeps the last lines of requests.
+// addLine adds a log line to the stats of its second. It keeps the line if it is the last
+// one of a request, and records the request if the line reports a failed attempt.
 func (a *analyser) addLine(line story.Line) {
 	a.recordStats(&line)
 	switch line.Event {
@@ -90,7 +91,8 @@
 	}
 }
 
-// statsAt returns the stats of the second of a time and creates them if necessary.
+// statsAt returns the stats of the second that contains a time, and creates them if
+// necessary.
 func (a *analyser) statsAt(at time.Time) *secondStats {
 	stats := a.statsBySecond[at.Unix()]
 	if stats == nil {
@@ -100,7 +102,7 @@
 	return stats
 }
 
-// statsBetween merges the stats of all seconds from one time to another.
+// statsBetween returns the merged stats of all seconds from one time to another.
 func (a *analyser) statsBetween(from, to time.Time) *secondStats {
 	sum := new(secondStats)
 	for s := from.Unix(); s <= to.Unix(); s++ {
@@ -111,7 +113,7 @@
 	return sum
 }
 
-// firstSecond returns the earliest second in the logs, 0 if there is none.
+// firstSecond returns the earliest second in the logs as Unix time, 0 if there is none.
 func (a *analyser) firstSecond() int64 {
 	first := int64(0)
 	for second := range a.statsBySecond {
@@ -122,7 +124,7 @@
 	return first
 }
 
-// startsIn returns how many processes started in a second.
+// startsIn returns how many processes started in a second, given as Unix time.
 func (a *analyser) startsIn(second int64) int {
 	if stats := a.statsBySecond[second]; stats != nil {
 		return stats.starts
--- a/losses/plot.go
+++ b/losses/plot.go
@@ -63,7 +63,8 @@
 	return err
 }
 
-// causeOf returns the cause with a name, Backlog if there is none.
+// causeOf returns the cause that has the given name in reports, or Backlog if no cause
+// has that name.
 func causeOf(name string) Cause {
 	for c := range NumCauses {
 		if Cause(c).String() == name {
--- a/losses/report.go
+++ b/losses/report.go
@@ -16,7 +16,7 @@
 	Savable int    `json:"savable"` // losses that a load balancer with perfect information could have avoided
 }
 
-// Report holds the numbers of losses of an Analysis.
+// Report holds the numbers of losses in an Analysis, by cause, kind, data centre and second.
 type Report struct {
 	Answered      int            `json:"answered_in_time"`
 	UnparsedLines int            `json:"lines_not_read"`
@@ -96,7 +96,7 @@
 	return err
 }
 
-// writeCounts writes one table of losses by name.
+// writeCounts writes a table with the number of losses for each name.
 func writeCounts(b *strings.Builder, title string, counts map[string]int) {
 	fmt.Fprintf(b, "\n%-28s %6s\n", title, "losses")
 	for _, name := range sortedKeys(counts) {
