--- a/bench/compare.go
+++ b/bench/compare.go
@@ -21,7 +21,7 @@
 	return s.summary().Write(w, FormatText)
 }
 
-// summary returns the medians and spreads of the set, with an empty set on the other side.
+// summary returns the medians and ranges of the set as a Comparison with an empty older set.
 func (s *Set) summary() *Comparison { return Compare(new(Set), s) }
 
 func writeJSON(w io.Writer, v any) error {
@@ -49,8 +49,8 @@
 	Unit  string `json:"unit"`
 	Old   Spread `json:"old"`
 	New   Spread `json:"new"`
-	// Disjoint is true if the two ranges do not overlap. Overlapping ranges are no
-	// evidence of a change.
+	// Disjoint is true if the ranges of the two sets do not overlap. Overlapping ranges are
+	// no evidence of a change.
 	Disjoint bool `json:"apart"`
 }
 
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// String returns the median followed by the range in brackets, or "-" without runs.
+// String returns the median followed by the range in brackets, or "-" if there are no runs.
 func (s Spread) String() string {
 	if s.Runs == 0 {
 		return "-"
--- a/bench/expert.go
+++ b/bench/expert.go
@@ -32,7 +32,7 @@
 	speedEstimate expert.SpeedEstimator
 
 	current     *expert.Map
-	next        *expert.Map // being loaded; becomes current in the next period
+	next        *expert.Map // map that is being loaded; becomes current in the next period
 	skewSamples []float64
 	movedBytes  float64
 	planCount   int
@@ -62,11 +62,11 @@
 	CostPolicy = expert.CostWeights{Skew: 0.6, Move: 1}
 )
 
-// curveMovePrices are the prices of a moved gigabyte (CostWeights.Move) along the curve of skew
-// against bytes moved.
+// curveMovePrices are the prices of a moved gigabyte (CostWeights.Move) for the points on the curve
+// of skew against bytes moved.
 var curveMovePrices = []float64{0.03, 0.1, 1, 4, 10, 30}
 
-// curveShape is the group size of the curve.
+// curveShape is the group size for which the curve of skew against bytes moved is drawn.
 var curveShape = ExpertShapes[1]
 
 // newPolicyRuns returns the policies under test. If curve is true, these include a policy that
@@ -157,8 +157,8 @@
 	}
 }
 
-// observe passes the reported loads to the load estimator, and the tokens of each rank with its
-// seconds before the barrier to the speed estimator.
+// observe passes the reported loads to the load estimator. It passes the tokens of each rank, and
+// the seconds that the rank needs to reach the barrier, to the speed estimator.
 func (c *policyRun) observe(now float64, report, loads, speeds []float64) {
 	c.loadEstimate.Observe(now, report)
 	tokens := rankTokens(c.current, loads)
@@ -244,7 +244,8 @@
 	return points
 }
 
-// loadReportBytes returns the encoded size of one rank's load report, at the largest values.
+// loadReportBytes returns the encoded size of one rank's load report in bytes, with all values at
+// their maximum.
 func loadReportBytes(s expert.Shape) int {
 	reply := wire.RankReply{
 		Incarnation: math.MaxUint64, Start: math.MaxUint32, Entered: true, Next: math.MaxUint32, Map: math.MaxUint64,
--- a/bench/experttrace.go
+++ b/bench/experttrace.go
@@ -19,17 +19,17 @@
 	basePopularity   []float64
 	phase            []float64
 	amplitude        []float64
-	burstPeriodsLeft []int // remaining periods of a burst, by expert
+	burstPeriodsLeft []int // remaining periods of the burst of each expert
 	period           int
 }
 
 // Parameters of the traces.
 const (
 	daySeconds         = 24 * 3600.0
-	minZipfExponent    = 0.4 // of the layer with the most even popularity
+	minZipfExponent    = 0.4 // Zipf exponent of the layer with the most even popularity
 	maxZipfExponent    = 0.8
-	maxDailyAmplitude  = 0.35 // of the natural logarithm of a load
-	popularityChanges  = 3    // number in a trace, as from changes of the menu
+	maxDailyAmplitude  = 0.35 // largest amplitude of the drift with the time of day, in the natural logarithm of a load
+	popularityChanges  = 3    // number of abrupt popularity changes in a trace, as from changes of the menu
 	swappedExpertShare = 0.15 // share of the experts in a layer that swap popularities at a change
 	burstProbability   = 0.01 // per period and layer
 	burstFactor        = 2.5
@@ -110,7 +110,7 @@
 	}
 }
 
-// IsReportLost draws whether the load reports of a period are lost.
+// IsReportLost draws at random whether all load reports of a period are lost.
 func (t *ExpertTrace) IsReportLost() bool { return t.rng.Float64() < reportLossShare }
 
 // ReportedLoads returns the loads that the owner receives from the ranks under a map: with
--- a/bench/group/clock.go
+++ b/bench/group/clock.go
@@ -15,7 +15,7 @@
 // timer is a function to run at an instant.
 type timer struct {
 	at       time.Time
-	sequence int // order among timers of the same instant
+	sequence int // order among timers that are due at the same instant
 	run      func()
 }
 
@@ -45,7 +45,7 @@
 	return last
 }
 
-// after runs f when d has passed.
+// after schedules f to run when d of virtual time has passed.
 func (c *clock) after(d time.Duration, f func()) {
 	c.lastSequence++
 	heap.Push(&c.queue, timer{at: c.now.Add(d), sequence: c.lastSequence, run: f})
--- a/bench/group/engine.go
+++ b/bench/group/engine.go
@@ -1,6 +1,7 @@
 // Package group simulates a group of lock-step model engines in virtual time. It compares the
-// placement of the gateway with simpler policies under several load patterns. Costs follow the
-// engines' published model; a pattern defines how demand shifts and when expert maps follow.
+// placement of the gateway with simpler policies under several load patterns. The duration of a
+// pass follows the engines' published cost model. A pattern defines how demand shifts between
+// experts, and when the expert map is adapted to a shift.
 package group
 
 import (
@@ -20,7 +21,7 @@
 	Model             serving.EngineModel
 	PrefillChunk      int // prompt tokens that a rank processes in one step
 	EventGapObjective time.Duration
-	LatencyObjective  time.Duration // limit for the first event
+	LatencyObjective  time.Duration // time limit for the first event
 	FirstEventTimeout time.Duration // callers disconnect if they get no first event in this time
 }
 
@@ -44,7 +45,7 @@
 	},
 }
 
-// job is one stream that a caller requests.
+// job is the state of one stream that a caller has requested.
 type job struct {
 	arrived     time.Time
 	prefillLeft float64 // prompt tokens still to be processed
@@ -138,8 +139,8 @@
 	}
 }
 
-// passWork returns the milliseconds that the tokens of a rank take in one pass, and the prompt
-// tokens of each stream that the pass processes.
+// passWork returns the milliseconds that the tokens of a rank take in one pass, and how many prompt
+// tokens of each stream the pass processes.
 func (e *rank) passWork(s *Shape) (ms float64, prefilled map[*job]float64) {
 	budget := float64(s.PrefillChunk * s.Model.StepsPerPass)
 	prefilled = make(map[*job]float64)
@@ -159,7 +160,7 @@
 }
 
 // finishPass applies a completed pass to one rank: prefill advances, and each decoding stream
-// has an event.
+// emits an event.
 func (e *rank) finishPass(now time.Time, prefilled map[*job]float64, stepsPerPass float64) {
 	var remaining []*job
 	for _, j := range e.running {
--- a/bench/group/entry.go
+++ b/bench/group/entry.go
@@ -25,10 +25,10 @@
 // Policies are the policies that are compared.
 var Policies = []Policy{PolicyRandom, PolicyLeast, PolicyHeatherrail, PolicyOracle}
 
-// Intervals and shares used by entries.
+// Intervals of load reports and load queries, and the split of the first-event timeout.
 const (
 	reportInterval = 100 * time.Millisecond // between load reports of the leader
-	pollInterval   = 184 * time.Millisecond // between load queries of an entry, if there are 46 entries
+	pollInterval   = 184 * time.Millisecond // between load queries of an entry; the value for 46 entries, used for all shapes
 	// firstEventShare is the share of the first-event timeout that is reserved for the
 	// engine; the rest is the maximum time in the queue.
 	firstEventShare = 0.25
@@ -40,7 +40,7 @@
 	tracker        *placing.Tracker
 	queue          placing.AdmissionQueue
 	queued         []queuedJob         // in order of arrival
-	reportedCounts placing.QueueCounts // sent with the latest load query
+	reportedCounts placing.QueueCounts // queue counts that the entry sent with its latest load query
 }
 
 // queuedJob is a request in the admission queue.
@@ -121,8 +121,8 @@
 	}
 }
 
-// dispatch sends a request to a target. startAttempt is true if the tracker has not yet counted
-// the attempt, as without the admission queue.
+// dispatch sends a request to a target. If startAttempt is true, dispatch also counts the attempt in
+// the tracker. For requests from the admission queue, the tracker has already counted it.
 func (e *entry) dispatch(t *serving.Target, j *job, size placing.Size, startAttempt bool) {
 	if startAttempt {
 		e.tracker.StartAttempt(t, size)
@@ -143,8 +143,8 @@
 	e.sim.group.enqueue(e.sim.rankOf[t.ID], j)
 }
 
-// applyReport is one load query of the entry. The query sends the queue counts to the leader, and the
-// answer is the latest load report, which the tracker applies.
+// applyReport simulates one load query of the entry. The query sends the queue counts of the entry to
+// the leader. The answer is the latest load report, and the tracker applies it.
 func (e *entry) applyReport() {
 	e.reportedCounts = e.queue.QueueCounts(e.sim.clock.now)
 	if e.sim.lastReport.state.ReportedAt.IsZero() {
--- a/bench/group/figures.go
+++ b/bench/group/figures.go
@@ -4,7 +4,7 @@
 	"github.com/heatherrail/heatherrail/bench"
 )
 
-// Figures holds the shares of requests by outcome, and times.
+// Figures holds the share of requests with each outcome, and times to the first event and of a pass.
 type Figures struct {
 	Requests          int
 	MetObjectives     float64 // complete, first event and event gaps within their objectives
@@ -14,15 +14,15 @@
 	Abandoned         float64
 	FirstEventP50     float64 // ms from arrival to the first event
 	FirstEventP95     float64
-	PassMS            float64 // mean time of a pass
+	PassMS            float64 // mean duration of a pass in ms
 }
 
-// Worth returns the value of the answers to callers. It is 1 if all requests are complete and within
-// their objectives.
+// Worth returns the mean value of an answer to its caller, from 0 to 1. It is 1 if all requests are
+// complete and within their objectives.
 func (f *Figures) Worth() float64 { return f.MetObjectives + lateWorth*f.Late }
 
-// lateWorth is the value of a complete stream that missed an objective, relative to one within
-// them. Source: the users' sheet.
+// lateWorth is the value of a complete stream that missed an objective, relative to a stream that
+// met all objectives. Source: the users' sheet.
 const lateWorth = 0.49
 
 func (sim *simulation) figures() Figures {
--- a/bench/group/pattern.go
+++ b/bench/group/pattern.go
@@ -6,8 +6,8 @@
 type Pattern struct {
 	Name          string
 	Load          float64       // relative to the capacity of the group with a balanced map
-	ShiftInterval time.Duration // between demand shifts; 0: none
-	MapSteps      []MapStep     // imbalance after each shift
+	ShiftInterval time.Duration // time between demand shifts; 0: no shifts
+	MapSteps      []MapStep     // imbalance over the time after each shift
 	BurstFactor   float64       // factor on Load in one second of every four; 0: none
 	// Frozen is the span in which the leader sends no load reports and no new map.
 	Frozen Span
@@ -21,8 +21,8 @@
 // MapStep is the imbalance until a given time after a demand shift.
 type MapStep struct {
 	Until     time.Duration // since the shift
-	Imbalance float64       // time of the most loaded rank, relative to even loads
-	Copying   bool          // experts are copied meanwhile, which slows passes
+	Imbalance float64       // time that the most loaded rank takes, relative to its time under even loads
+	Copying   bool          // expert weights are being copied, which slows passes
 }
 
 // Span is a part of the simulated time, including From and excluding To.
--- a/bench/group/plot.go
+++ b/bench/group/plot.go
@@ -17,8 +17,8 @@
 
 var plotColours = map[Policy]string{PolicyRandom: "#999", PolicyLeast: "#c80", PolicyHeatherrail: "#1f5fa8", PolicyOracle: "#393"}
 
-// Plot draws the worth of the answers against the load while demand shifts, for the largest
-// group and each policy, as SVG.
+// Plot draws the worth of the answers (Figures.Worth) against the load while demand shifts, for the
+// largest group and each policy, as SVG.
 func Plot(seed uint64, seeds int) string {
 	loads := []float64{0.4, 0.6, 0.8, 1, 1.25, 1.5, 2}
 	type line struct {
--- a/bench/group/simulation.go
+++ b/bench/group/simulation.go
@@ -10,7 +10,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// outcome is the result of a request at its caller.
+// outcome is the result of a request as its caller sees it.
 type outcome uint8
 
 const (
@@ -53,8 +53,8 @@
 }
 
 const (
-	arrivalTime   = 20 * time.Second            // requests arrive in this time
-	simulatedTime = arrivalTime + 4*time.Second // lets the last requests end
+	arrivalTime   = 20 * time.Second            // requests arrive in this time from the start
+	simulatedTime = arrivalTime + 4*time.Second // whole time; after arrivalTime the last requests can end
 )
 
 // simulate runs a pattern with a policy and returns its figures.
@@ -129,7 +129,8 @@
 	j.onEnd()
 }
 
-// reportLoads makes the periodic load report of the leader. It makes none while the leader is frozen.
+// reportLoads creates a load report of the leader and schedules the next one. While the leader is
+// frozen, reportLoads creates no report.
 func (sim *simulation) reportLoads() {
 	now := sim.clock.now
 	t := now.Sub(sim.group.startedAt)
--- a/bench/place/bench.go
+++ b/bench/place/bench.go
@@ -17,8 +17,8 @@
 	benchReportDelay    = time.Second
 	benchDuration       = 60 * time.Second
 	warmUpTime          = 10 * time.Second // requests that arrive in this time are not counted
-	unreachableDeadline = time.Hour        // for benchmarks without deadlines
-	deadline            = 10 * time.Second // for overload and teams
+	unreachableDeadline = time.Hour        // deadline of requests in benchmarks that do not test deadlines
+	deadline            = 10 * time.Second // deadline of requests in benchOverload and benchTeams
 )
 
 // overloadFactors are the loads of benchOverload, relative to the capacity.
@@ -44,7 +44,7 @@
 type suite struct {
 	report     *bench.Report
 	seed       uint64
-	capacities map[string]float64 // capacity in requests/s, by the options that it depends on
+	capacities map[string]float64 // capacity in requests/s, by the options that affect the capacity
 }
 
 func (b *suite) baseOptions() options {
@@ -155,7 +155,7 @@
 	}
 }
 
-// benchTeams measures how a team at ten times its share affects five small teams.
+// benchTeams measures how a team that sends ten times its share affects five small teams.
 func (b *suite) benchTeams() {
 	const small, largeName = 5, "large"
 	o := b.baseOptions()
--- a/bench/place/engine.go
+++ b/bench/place/engine.go
@@ -35,7 +35,7 @@
 	sim        *simulation
 	index      int
 	dataCentre int
-	speed      float64 // relative; 1: normal
+	speed      float64 // speed relative to a normal engine, which has 1
 	queue      *route.TargetQueue
 	running    []*sequence
 	waiting    map[*route.Job]*sequence
@@ -64,8 +64,8 @@
 	}
 }
 
-// admit offers a request that has arrived at the agent to the target queue. It also returns the wait
-// for the first token that the queue expected.
+// admit offers a request to the target queue of the engine's agent. It returns the decision of the
+// queue, and the wait for the first token that the queue expects.
 func (e *engine) admit(r *request, cached float64, bounds route.AdmissionBounds) (route.Admission, time.Duration) {
 	j := &route.Job{Cost: route.Cost{Prompt: max(0, float64(r.promptTokens)-cached), Decode: e.sim.expectedDecode()}}
 	j.Team, j.Weight, j.Priority = r.team, r.weight, r.priority
@@ -155,8 +155,8 @@
 	e.sim.finish(s.req)
 }
 
-// cachedBlocks returns how many leading blocks are in the prefix cache, and marks them as
-// recently used.
+// cachedBlocks returns how many leading blocks of a prompt are in the prefix cache, and marks these
+// blocks as recently used.
 func (e *engine) cachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		el, ok := e.cache[b]
@@ -208,8 +208,9 @@
 	return wait / e.speed
 }
 
-// oracleSlotWait returns the seconds until excess running or waiting requests have ended, from the
-// mean of their true remaining lengths. It assumes that steps use 0.3 of their prefill budget.
+// oracleSlotWait returns the seconds until a number of requests (excess) have ended at the engine. It
+// uses the mean of the true remaining lengths of all running and waiting requests, and assumes that
+// steps use 0.3 of their prefill budget.
 func (e *engine) oracleSlotWait(excess int, decode time.Duration) float64 {
 	decodeLeft := 0
 	for _, s := range e.running {
@@ -223,8 +224,8 @@
 	return float64(excess) * float64(decodeLeft) / float64(total) / engineSlots * stepSeconds
 }
 
-// peekCachedBlocks returns how many leading blocks are in the prefix cache, and does not mark
-// them as used.
+// peekCachedBlocks returns how many leading blocks of a prompt are in the prefix cache, without
+// marking these blocks as used.
 func (e *engine) peekCachedBlocks(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache[b]; !ok {
--- a/bench/place/entry.go
+++ b/bench/place/entry.go
@@ -22,11 +22,11 @@
 	name       string
 	dataCentre int
 	nearCount  int
-	order      []int // engine indices, those of the data centre of the entry first
+	order      []int // engine indices; engines in the entry's data centre come first
 	views      []*targetView
 	cache      *route.CacheIndex
 	rng        *rand.Rand
-	lastEngine int // latest engine in round-robin order
+	lastEngine int // index of the engine that was chosen last in round-robin order
 	decision   route.Decision
 	means      route.LoadMeans
 }
@@ -95,8 +95,8 @@
 	return -1
 }
 
-// applyReport applies a load report that the agent made at the given time. Superseded reports
-// are ignored.
+// applyReport applies the load report of an agent to the entry's view of its engine. reportedAt is
+// when the agent made the report. A report that is older than the view is ignored.
 func (en *entry) applyReport(engine int, report route.LoadReport, reportedAt time.Duration) {
 	v := en.views[engine]
 	if reportedAt < v.reportedAt {
@@ -173,8 +173,8 @@
 // maxAttempts limits the attempts at a request.
 const maxAttempts = 4
 
-// handleRejection handles a rejection by the agent, where the request did not run. The entry places
-// the request again, until it has had maxAttempts attempts.
+// handleRejection handles a request that an agent rejected and did not run. It applies the load report
+// of the agent and places the request again, unless the request has had maxAttempts attempts.
 func (en *entry) handleRejection(v *targetView, r *request, c choice, report route.LoadReport, reportedAt time.Duration) {
 	en.releaseRequest(r)
 	en.applyReport(c.engine, report, reportedAt)
@@ -189,20 +189,20 @@
 	en.place(r)
 }
 
-// recordFirstToken removes the prompt of a request from the work at its engine.
+// recordFirstToken subtracts the prompt cost of a request from the entry's own work at the engine.
 func (en *entry) recordFirstToken(r *request) {
 	en.views[r.target].target.Own.Prompt -= r.cost.Prompt
 	r.cost.Prompt = 0
 }
 
-// recordToken removes one output token of a request from the work at its engine.
+// recordToken subtracts one output token of a request from the entry's own work at the engine.
 func (en *entry) recordToken(r *request) {
 	n := min(1, r.cost.Decode)
 	en.views[r.target].target.Own.Decode -= n
 	r.cost.Decode -= n
 }
 
-// releaseRequest removes a request and its remaining cost from the work at its engine.
+// releaseRequest subtracts a request and its remaining cost from the entry's own work at the engine.
 func (en *entry) releaseRequest(r *request) {
 	ownWork := &en.views[r.target].target.Own
 	ownWork.Requests--
@@ -214,5 +214,5 @@
 type choice struct {
 	engine  int
 	cached  float64       // prompt tokens that the entry expects in the prefix cache
-	maxWait time.Duration // longest wait for the first token at which the agent may admit; 0: no limit
+	maxWait time.Duration // the agent rejects the request if the expected wait for the first token is longer; 0: no limit
 }
--- a/bench/place/figures.go
+++ b/bench/place/figures.go
@@ -7,12 +7,12 @@
 // figures summarises the requests of one run that arrived after the warm-up. Times are in
 // milliseconds.
 type figures struct {
-	p50, p95, p99            float64 // from arrival to the first token
+	p50, p95, p99            float64 // time from arrival to the first token
 	meanTokenGap, tokenGap95 float64
 	cacheHitShare            float64
 	attempts                 float64
 	rejectedShare            float64
-	rejection99              float64 // from arrival to rejection
+	rejection99              float64 // 99th percentile of the time from arrival to rejection
 	goodput                  float64 // tokens/s of answers that were complete before their deadline
 }
 
--- a/bench/place/policy.go
+++ b/bench/place/policy.go
@@ -53,7 +53,7 @@
 	return choice{engine: a}
 }
 
-// oracle chooses the engine with the shortest wait, from the exact state of all engines without
+// oracle chooses the engine with the shortest wait. It reads the exact state of all engines without
 // delay.
 func oracle(en *entry, r *request) choice {
 	best, bestWait := -1, 0.0
@@ -94,7 +94,8 @@
 	return policy{name: name, learnsCache: true, choose: choose}
 }
 
-// chooseByName chooses the engine of a named target, to which the request has been sent before.
+// chooseByName chooses the engine with the given target name. The request has been sent to that
+// engine before.
 func (en *entry) chooseByName(name string, r *request) choice {
 	for i, v := range en.views {
 		if v.target.Name == name {
--- a/bench/place/reports.go
+++ b/bench/place/reports.go
@@ -29,7 +29,8 @@
 
 var reportPeerCounts = []int{8, 16, 32, 64}
 
-// reportCase is one number of entries, all idle or all sending requests.
+// reportCase is one measurement of the load reports of an agent, with a number of entries that are
+// all idle or all send requests.
 type reportCase struct {
 	peers          int
 	active         bool
--- a/bench/place/simulation.go
+++ b/bench/place/simulation.go
@@ -8,7 +8,7 @@
 	"github.com/heatherrail/heatherrail/route"
 )
 
-// options of one simulation.
+// options are the parameters of one simulation.
 type options struct {
 	seed            uint64
 	engines         int
@@ -38,7 +38,7 @@
 	promptTokens int
 	outputTokens int
 	blocks       []uint64
-	deadline     time.Duration // for the whole answer, from arrivedAt
+	deadline     time.Duration // time limit for the whole answer, from arrivedAt
 
 	cost         route.Cost // remaining cost, as the entry estimates it
 	rejections   route.RejectionHistory
@@ -150,14 +150,14 @@
 	sim.endedRequests = append(sim.endedRequests, r)
 }
 
-// event is a function to run at a time.
+// event is a function to run at an instant of virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// after runs do when d has passed.
+// after schedules do to run when d of virtual time has passed.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.sequence++
 	heap.Push(&sim.queue, &event{at: sim.now + d, sequence: sim.sequence, run: do})
--- a/bench/relay/client.go
+++ b/bench/relay/client.go
@@ -26,7 +26,7 @@
 	addr            string
 	nc              net.Conn
 	br              *bufio.Reader
-	eventDelays     []time.Duration // of events, from the stand-in to the client
+	eventDelays     []time.Duration // time that each event took from the stand-in to the client
 	firstEventTimes []time.Duration // from sending a request to its first event
 	totalTimes      []time.Duration // from sending a request to the end of its answer
 	events          int
--- a/bench/relay/relay.go
+++ b/bench/relay/relay.go
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// measureMemory returns the memory in use, by variant, in the middle of one round each. Reading
-// it stops the world, so the delays of these rounds are discarded.
+// measureMemory runs one round of each variant and returns the memory in use in the middle of the
+// round, by variant. The measurement stops the world, so the delays of these rounds are discarded.
 func measureMemory(ctx context.Context, pair []*variant, request streamRequest, o Options) (map[string]float64, error) {
 	memory := make(map[string]float64)
 	for _, v := range pair {
--- a/bench/relay/standin.go
+++ b/bench/relay/standin.go
@@ -17,12 +17,12 @@
 	Bytes           int    `json:"bytes"`    // size of an event
 }
 
-// standin is an engine that streams events. Each event has the time of sending, from which the
-// receiver computes its delay.
+// standin is a stand-in for an engine that streams events. Each event contains the time at which it
+// was sent, so that the client can compute the delay of the event.
 type standin struct {
 	base           time.Time
 	activeRequests atomic.Int64
-	disconnects    chan time.Duration // times since base at which disconnects of callers were seen
+	disconnects    chan time.Duration // times since base at which the stand-in detected that a caller had disconnected
 }
 
 const (
