--- a/demo/demo.go
+++ b/demo/demo.go
@@ -16,9 +16,9 @@
 )
 
 // Run demonstrates a running fleet and prints each step to w. It reads the addresses of the
-// entries, requests a streamed draft, and posts an entry to the plain service logbook, which must
-// not run twice. It shows an expert map switch if a group plans at least once a second. It fails if
-// a response is incomplete or the log entry did not run exactly once.
+// entries, requests a streamed draft, and posts a log entry to the plain service logbook. It shows
+// an expert map switch if a group plans at least once a second. Run fails if a response is
+// incomplete or if the log entry, which must not run twice, did not run exactly once.
 func Run(ctx context.Context, f *Fleet, w io.Writer) error {
 	p := &printer{out: w}
 	entryAddr := f.Entries[0].Addr()
@@ -137,8 +137,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// showLogEntry posts an entry to the plain service logbook, as a request that must not run twice.
-// It fails unless the plain targets ran exactly one request.
+// showLogEntry posts a log entry to the plain service logbook, as a request that must not run
+// twice. It fails unless the plain targets ran exactly one request.
 func showLogEntry(ctx context.Context, p *printer, base string, f *Fleet) error {
 	headers := map[string]string{entry.HeaderRepeatable: "no", entry.HeaderKey: "opening-check-7"}
 	resp, err := post(ctx, base+"/v1/services/logbook/entries", `{"check":"fridge 3","degrees":9}`, headers)
--- a/demo/description.go
+++ b/demo/description.go
@@ -13,15 +13,15 @@
 // scripts.
 type Description struct {
 	Entries  []string            `json:"entries"`  // addresses for callers
-	Agents   map[string]string   `json:"agents"`   // address by target
+	Agents   map[string]string   `json:"agents"`   // address of each agent, by target
 	Standins StandinsDescription `json:"standins"` // see docs/STANDINS.md
-	Teams    map[string]string   `json:"teams"`    // key by team
+	Teams    map[string]string   `json:"teams"`    // API key of each team, by name of the team
 }
 
 // StandinsDescription holds the addresses of the stand-ins.
 type StandinsDescription struct {
 	Platform string                       `json:"platform"` // address of the log service and the VM list
-	Control  string                       `json:"control"`  // address that injects faults
+	Control  string                       `json:"control"`  // address for requests that inject faults
 	Targets  map[string]TargetDescription `json:"targets"`
 }
 
@@ -54,7 +54,8 @@
 	return d
 }
 
-// teamKeys returns the demo key of each team whose configuration has the hash of that key.
+// teamKeys returns the demo key of each team for which the configuration contains the hash of
+// that key.
 func teamKeys(c *config.Config) map[string]string {
 	keys := make(map[string]string, len(c.Teams))
 	for _, t := range c.Teams {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -26,7 +26,7 @@
 	Entries        int           // number of entries
 	StepTime       time.Duration // duration of one engine step
 	DirectoryTTL   time.Duration // TTL of the list of entries that callers read
-	RequestTimeout time.Duration // timeout for receiving a whole request; zero: the entry's default
+	RequestTimeout time.Duration // timeout for receiving a whole request; 0: the default of the entry
 	Logger         logr.Logger
 }
 
@@ -48,7 +48,7 @@
 	maxCallers = 8192
 )
 
-// Start starts stand-ins, agents and entries, and applies the configuration.
+// Start starts the stand-ins, agents and entries of a fleet, and applies the configuration.
 func Start(o Options) (*Fleet, error) {
 	standins, err := StartStandins(o.Config, o.StepTime)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return f.Agents[target]
 }
 
-// controlAgent handles requests of scenarios to kill, restart or drain an agent.
+// controlAgent handles a request to the control address to kill, restart or drain an agent.
 func (f *Fleet) controlAgent(r *http.Request) (any, error) {
 	name := r.PathValue("name")
 	a := f.Agent(name)
--- a/demo/hosted/callers.go
+++ b/demo/hosted/callers.go
@@ -23,12 +23,12 @@
 	logTimeout          = 4 * time.Second
 	firstEventObjective = 500 * time.Millisecond
 	eventGapObjective   = 120 * time.Millisecond
-	directoryTTL        = 500 * time.Millisecond // how long callers use a directory answer
+	directoryTTL        = 500 * time.Millisecond // how long callers use the addresses from one directory answer
 	maxAttempts         = 3
 )
 
-// loadGenerator acts as the callers: it requests drafts as streams, posts entries to the plain
-// service logbook ("log entries"), and counts the results.
+// loadGenerator simulates the callers: it requests drafts as streams, posts log entries to the
+// plain service logbook, and counts the results.
 type loadGenerator struct {
 	fleet     *Fleet
 	transport http.Transport
@@ -46,7 +46,7 @@
 	Drafts, DraftsOnTime, DraftsComplete int
 	Logs, LogsAnswered                   int
 	Retries                              int           // attempts after the first, each at another entry
-	LongestGap                           time.Duration // between two events of a stream, since the latest takeStats
+	LongestGap                           time.Duration // longest gap between two events of a stream since the latest takeStats
 }
 
 func newLoadGenerator(f *Fleet) *loadGenerator {
@@ -62,7 +62,7 @@
 	l.tasks.Wait()
 }
 
-// sendEvery calls send with a new request id every interval until ctx ends.
+// sendEvery calls send with a new request ID every interval until ctx ends.
 func (l *loadGenerator) sendEvery(ctx context.Context, interval time.Duration, send func(id string)) {
 	for sleep(ctx, interval) {
 		l.mu.Lock()
@@ -93,8 +93,8 @@
 	return usable[rand.IntN(len(usable))]
 }
 
-// sendLogEntry posts a log entry, which must not run twice. It retries at another entry, with a new
-// request id, only if the attempt got no response status.
+// sendLogEntry posts a log entry, which must not run twice. Only if an attempt got no response status,
+// it retries at another entry with a new request ID.
 func (l *loadGenerator) sendLogEntry(id string) {
 	answered := false
 	var failed []string
@@ -143,7 +143,7 @@
 	})
 }
 
-// streamResult is one attempt at a stream as its caller sees it.
+// streamResult is the result of one attempt at a stream, as its caller sees it.
 type streamResult struct {
 	firstEvent time.Time
 	longestGap time.Duration // between two events
@@ -188,7 +188,7 @@
 	return result
 }
 
-// updateStats calls update on the counts while it holds the lock.
+// updateStats calls update on the callers' counts while it holds the lock.
 func (l *loadGenerator) updateStats(update func(*callerStats)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,6 +220,6 @@
 	if err != nil {
 		return false
 	}
-	_ = nc.Close() // nothing was sent on it
+	_ = nc.Close() // the connection was only opened as a check; nothing was sent
 	return true
 }
--- a/demo/hosted/fleet.go
+++ b/demo/hosted/fleet.go
@@ -1,6 +1,6 @@
-// Package hosted runs a complete small system of the hosted deployment in one process: the programs
-// of the users' machines (entries, and agents next to a group of lock-step engines), plain services,
-// and a stand-in for the platform's store. Each VM has its own loopback address.
+// Package hosted runs a complete small system of the hosted deployment in one process: entries, a
+// group of lock-step engines with an agent next to each, plain services, and a stand-in for the
+// platform's store. Each simulated VM has its own loopback address.
 package hosted
 
 import (
@@ -51,13 +51,13 @@
 	BasePass: 20 * time.Millisecond, PassPerStream: 4 * time.Millisecond, CopyTime: 15 * time.Millisecond, Events: 16,
 }
 
-// Fleet is a running system.
+// Fleet is a running system of the hosted deployment.
 type Fleet struct {
 	log          logr.Logger
 	store        *standin.Store
 	storeAddr    string
 	engineGroup  *standin.Group
-	mu           sync.Mutex // guards entries, which callers read while entries start and crash
+	mu           sync.Mutex // guards entries, which the load generator reads while entries start and crash
 	entries      []*entryVM
 	agents       []*lockstep.Agent
 	plainTargets []*standin.Target
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// nextHost returns the loopback address of a new VM.
+// nextHost returns the loopback address of a new simulated VM.
 func (f *Fleet) nextHost() string {
 	f.hostCount++
 	return fmt.Sprintf("127.0.0.%d", hostNumberBase+f.hostCount)
@@ -295,7 +295,8 @@
 	vm.gateway.Abort()
 }
 
-// aliveEntry returns the first entry from index n on that has not crashed, or entry n if all have.
+// aliveEntry returns the first entry, from index n on, that has not crashed. It returns entry n if all
+// entries have crashed.
 func (f *Fleet) aliveEntry(n int) *entryVM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -307,7 +308,7 @@
 	return f.entries[n%len(f.entries)]
 }
 
-// directoryAddresses returns the entry addresses that an alive entry serves to callers.
+// directoryAddresses returns the entry addresses that the directory of an alive entry lists for callers.
 func (f *Fleet) directoryAddresses() []string {
 	return f.aliveEntry(0).gateway.Entries("z").Addresses
 }
--- a/demo/hosted/show.go
+++ b/demo/hosted/show.go
@@ -32,8 +32,8 @@
 }
 
 // Run starts a system and writes a report on it to w. Callers send streams and log entries
-// throughout, while demand shifts to other experts, an entry crashes and a configuration adds
-// a route. Run returns an error if a step times out or a guarantee is violated.
+// throughout, while demand shifts to other experts, an entry crashes and a new configuration
+// adds a route. Run returns an error if a step times out or a guarantee is violated.
 func Run(ctx context.Context, log logr.Logger, w io.Writer) error {
 	f, err := Start(log)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return r.checkGuarantees()
 }
 
-// show runs the steps of the demonstration under load.
+// show runs the steps of the demonstration while callers send requests.
 func (f *Fleet) show(ctx context.Context) (*Report, error) {
 	r := &Report{}
 	var err error
@@ -109,7 +109,8 @@
 // planned for the current demand stays below it.
 const maxBalancedImbalance = 1.3
 
-// isBalanced reports whether the group has a planned map and its imbalance is low.
+// isBalanced reports whether the group has a planned map with an imbalance below
+// maxBalancedImbalance.
 func (f *Fleet) isBalanced() bool {
 	version, imbalance, _, _ := f.engineGroup.State()
 	return version != 0 && imbalance < maxBalancedImbalance
@@ -140,8 +141,8 @@
 
 var errTimeout = errors.New("condition not met before the timeout")
 
-// waitFor polls condition until it is true, and returns the time from the call until then. It fails
-// after timeout, or when ctx ends. what names the condition in the error.
+// waitFor polls condition until it is true, and returns how long that took. It fails after timeout, or
+// when ctx ends. The error contains what, a description of the condition.
 func waitFor(ctx context.Context, timeout time.Duration, what string, condition func() bool) (time.Duration, error) {
 	start := time.Now()
 	for !condition() {
--- a/demo/ranks.go
+++ b/demo/ranks.go
@@ -36,7 +36,7 @@
 }
 
 // showSwitch makes some experts of the group popular and requests drafts until the group has
-// switched to another map. It fails if a draft fails or a step ran with two maps.
+// switched to another map. It fails if a draft fails or if ranks used different maps in one step.
 func (f *Fleet) showSwitch(ctx context.Context, p *printer, base string, g *config.Group) error {
 	group := f.LockSteps[g.Name]
 	loads := make([]float64, g.Layers*g.Experts)
--- a/demo/standins.go
+++ b/demo/standins.go
@@ -14,8 +14,8 @@
 	"github.com/heatherrail/heatherrail/internal/fake"
 )
 
-// Standins replace the platform and all targets that a configuration declares. Each listens
-// on a loopback port of its own.
+// Standins holds the stand-ins for the platform and for all targets that a configuration
+// declares. Each stand-in listens on a loopback port of its own.
 type Standins struct {
 	Config  *config.Config
 	Log     *fake.Log
@@ -27,9 +27,9 @@
 	Control *fake.Control
 
 	Platform    string // address of the log service and the VM list
-	ControlAddr string // address that injects faults
+	ControlAddr string // address for requests that inject faults
 
-	singleEngines []*fake.RankGroup // engines outside the rank groups, each as a group of one
+	singleEngines []*fake.RankGroup // engines outside the rank groups, each in a group of its own
 	// LockSteps holds the rank groups by name.
 	LockSteps map[string]*fake.LockStep
 	servers   []*fake.Server
@@ -131,7 +131,7 @@
 	return ""
 }
 
-// startRankGroups runs the engines of each rank group in lock-step, and each other engine alone.
+// startRankGroups runs the engines of each rank group in lock-step, and every other engine alone.
 func (s *Standins) startRankGroups(stepTime time.Duration) {
 	grouped := make(map[string]bool)
 	for _, g := range s.Config.Groups {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Apply appends the configuration to the log as the first version.
+// Apply appends the configuration to the stand-in log as the first version.
 func (s *Standins) Apply() error {
 	raw, err := config.NewChange(ulid.Make().String(), 0, s.Config)
 	if err != nil {
