--- a/cmd/heatherrail-entry/main.go
+++ b/cmd/heatherrail-entry/main.go
@@ -1,5 +1,5 @@
 // Command heatherrail-entry is the process that callers connect to. It admits requests and
-// relays them to targets.
+// relays them to the agents next to targets.
 package main
 
 import (
--- a/cmd/heatherrail-gateway/main.go
+++ b/cmd/heatherrail-gateway/main.go
@@ -14,8 +14,8 @@
 
 func main() { os.Exit(hosted.Run(serve)) }
 
-// serve serves callers, peers, the directory and readiness checks, and waits for the end of
-// the process. It returns the exit code.
+// serve starts the listeners for callers, peers, the directory and readiness checks, and waits
+// for the end of the process. It returns the exit code.
 func serve(p *hosted.Process) int {
 	callers, err := tcp.Listen(p.Settings.CallerAddr)
 	if err != nil {
--- a/cmd/heatherrail/apply.go
+++ b/cmd/heatherrail/apply.go
@@ -16,9 +16,9 @@
 
 // Exit codes of apply in addition to the common ones.
 const (
-	exitRefused    = 3 // refused: another change was accepted first
-	exitUnknown    = 4 // the outcome is unknown; --resume settles it
-	exitNotInForce = 5 // accepted, but not yet in force at all entries
+	exitRefused    = 3 // the change was refused: another change was accepted first
+	exitUnknown    = 4 // the outcome of the change is unknown; --resume settles it
+	exitNotInForce = 5 // the change was accepted, but is not yet in force at all entries
 )
 
 type applyCommand struct {
@@ -56,14 +56,14 @@
 		return outcomeError(err)
 	}
 	if out.Version == 0 {
-		return nil // no change was sent
+		return nil // no change was sent, because the files equal the version in force
 	}
 	fmt.Printf("accepted: version %d\n", out.Version)
 	return c.waitInForce(ctx, client, out.Version)
 }
 
-// outcomeError wraps err with the exit code of its kind, for scripts: the change was refused, its
-// outcome is unknown, or another failure.
+// outcomeError wraps err with an exit code, so that scripts can distinguish a refused change, a change
+// whose outcome is unknown, and any other failure.
 func outcomeError(err error) error {
 	switch {
 	case result.From(err).Code == result.ChangeRefused:
@@ -75,8 +75,8 @@
 	}
 }
 
-// apply sends the configuration in c.Args.Dir as a change on the base version. Without --base,
-// it sends nothing if the configuration equals the version in force; the outcome then has
+// apply sends the configuration in c.Args.Dir as a change to the base version. Without --base,
+// apply sends nothing if the configuration equals the version in force. The outcome then has
 // version 0.
 func (c *applyCommand) apply(ctx context.Context, op *control.Operator) (config.Outcome, error) {
 	cfg, err := config.LoadDir(c.Args.Dir)
@@ -106,8 +106,8 @@
 	return op.Apply(ctx, id, base, cfg)
 }
 
-// waitInForce waits until the version is in force at all entries. It prints the entries that have
-// not reported it before ctx ends, and returns an error with exitNotInForce for them.
+// waitInForce waits until the configuration version is in force at all entries. If ctx ends first, it
+// prints the entries that have not reported the version, and returns an error with exitNotInForce.
 func (c *applyCommand) waitInForce(ctx context.Context, client *control.Client, version uint64) error {
 	behind, err := client.WaitInForce(ctx, version)
 	if err != nil {
@@ -123,7 +123,8 @@
 	return &exitError{exitNotInForce, fmt.Errorf("accepted, but %d entries have not reported version %d", len(behind), version)}
 }
 
-// processState returns the name of a process with its version, or with the error of the query.
+// processState returns the name of a process with its configuration version, or with the error of the
+// status query.
 func processState(a control.Answer) string {
 	if a.Err != nil {
 		return a.VM.Name + ": " + a.Err.Error()
--- a/cmd/heatherrail/bench.go
+++ b/cmd/heatherrail/bench.go
@@ -24,8 +24,8 @@
 	Seed   uint64 `long:"seed" default:"1" description:"seed of everything random"`
 }
 
-// reportSink, if set, receives the reports instead of standard output. "bench all" sets it
-// while it runs.
+// reportSink, if set, receives the benchmark reports instead of standard output. "bench all"
+// sets reportSink while it runs.
 var reportSink func(*bench.Report)
 
 // print writes a report to standard output, or passes it to reportSink if that is set.
--- a/cmd/heatherrail/demo.go
+++ b/cmd/heatherrail/demo.go
@@ -51,8 +51,8 @@
 	return logging.New(os.Stderr, 0)
 }
 
-// startAndWait starts entries and agents of the project's own form, not of the hosted deployment,
-// in front of stand-ins, and waits for a signal.
+// startAndWait starts entries and agents in front of stand-ins, and waits for a signal. They are those
+// of heatherrail-entry and heatherrail-agent, not of the hosted deployment.
 func (c *demoCommand) startAndWait() error {
 	cfg, err := exampleConfig(c.Example)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return describeAndWait(s.Describe())
 }
 
-// describeAndWait prints the description and returns after SIGTERM or SIGINT.
+// describeAndWait prints the description of a fleet, and returns after SIGTERM or SIGINT.
 func describeAndWait(d demo.Description) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/heatherrail/diff.go
+++ b/cmd/heatherrail/diff.go
@@ -20,7 +20,7 @@
 // Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// errDifferences has no text because diff has already printed the differences.
+// errDifferences has no text, because the diff command has already printed the differences.
 var errDifferences = fmt.Errorf("")
 
 type diffCommand struct {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// printDiff prints the differences between the directory and the version in force, and
-// returns whether there are any.
+// printDiff prints the differences between the configuration in the directory and the version
+// in force, and returns whether there are any.
 func (c *diffCommand) printDiff() (bool, error) {
 	cfg, err := config.LoadDir(c.Args.Dir)
 	if err != nil {
--- a/cmd/heatherrail/explain.go
+++ b/cmd/heatherrail/explain.go
@@ -15,8 +15,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// teamKeyEnv is the environment variable with a key of the team that sent the request.
-// Entries show placement decisions to that team alone.
+// teamKeyEnv is the environment variable with an API key of the team that sent the request.
+// Entries show the placement decisions for a request to that team alone.
 const teamKeyEnv = "HEATHERRAIL_TEAM_KEY"
 
 var errNoDecision = errors.New("no entry has a placement decision for this request; each entry keeps its latest few hundred")
--- a/cmd/heatherrail/status.go
+++ b/cmd/heatherrail/status.go
@@ -27,7 +27,7 @@
 
 var errStatusArgument = errors.New("status takes no argument, or maps")
 
-// writeMaps prints the map status that each owner of a group reports.
+// writeMaps prints the expert map status that the owner of each group reports.
 func writeMaps(w io.Writer, answers []control.Answer) error {
 	found := false
 	for _, a := range answers {
@@ -69,8 +69,8 @@
 	return writeStatus(os.Stdout, answers)
 }
 
-// writeStatus prints the state of each process, then leases, targets and summaries as the
-// entry with the newest version reports them.
+// writeStatus prints the state of each process. It then prints the leases, targets and
+// summaries that the entry with the newest configuration version reports.
 func writeStatus(w io.Writer, answers []control.Answer) error {
 	newest := newestStatus(answers)
 	version := uint64(0)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// newestStatus returns the status of the entry with the newest version; nil if no entry
-// answered.
+// newestStatus returns the status of the entry with the newest configuration version, nil if
+// no entry answered.
 func newestStatus(answers []control.Answer) *wire.StatusReply {
 	var best *wire.StatusReply
 	for _, a := range answers {
@@ -106,8 +106,8 @@
 	return best
 }
 
-// processRow returns the row of one process, with tabs between cells. version is the newest
-// version in force.
+// processRow returns the table row of one process, with tabs between cells. version is the
+// newest configuration version in force.
 func processRow(a *control.Answer, version uint64) string {
 	if a.Err != nil {
 		return fmt.Sprintf("%s\t%s\t%s\t-\t-\t-\tno answer: %v", a.VM.Name, a.VM.Role, a.VM.DataCentre, a.Err)
--- a/cmd/heatherrail/version.go
+++ b/cmd/heatherrail/version.go
@@ -6,7 +6,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// version names the release that this source tree leads to.
+// version is the version of the next release.
 const version = "0.1.0-dev"
 
 type versionCommand struct{}
