--- a/internal/ablate/ablate.go
+++ b/internal/ablate/ablate.go
@@ -13,7 +13,7 @@
 
 // Mechanisms. Each comment describes the behaviour without the mechanism.
 const (
-	Limit            Mechanism = "limit"         // streams fill all slots of an engine
+	Limit            Mechanism = "limit"         // the limit on streams of an engine is the number of its slots
 	Headroom         Mechanism = "room"          // each entry uses all the headroom that it sees
 	LateShare        Mechanism = "late-share"    // late streams use all remaining headroom
 	Breaker          Mechanism = "breaker"       // requests are sent to a broken group
@@ -28,7 +28,7 @@
 	Resume           Mechanism = "resume"        // a broken stream is not resumed
 	TwoMeans         Mechanism = "two-means"     // demand is estimated by one mean
 	Urgency          Mechanism = "urgency"       // plans price copies as for a busy group
-	FastHoldRecovery Mechanism = "held-soon"     // a group left on hold is queried with the usual time limits
+	FastHoldRecovery Mechanism = "held-soon"     // ranks of a group left on hold are queried with the usual time limits
 	StoreTurns       Mechanism = "store-turns"   // every entry reads the store as often as the first one
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon contains the code that the daemons' main functions share: command
-// line, signal handling and exit codes.
+// Package daemon contains the code that the main functions of the daemons share: parsing
+// of the command line, signal handling and exit codes.
 package daemon
 
 import (
@@ -27,7 +27,8 @@
 	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
-// Parse parses the command line. It exits the process after --help or a usage error.
+// Parse parses the command line of a daemon. It exits the process after --help or a usage
+// error.
 func Parse(about string) Flags {
 	var f Flags
 	p := flags.NewParser(&f, flags.HelpFlag|flags.PassDoubleDash)
--- a/internal/fake/completion.go
+++ b/internal/fake/completion.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// engineBody is the response body of a completion. It encodes tokens as the engine
-// produces them, as one JSON document or as a stream of events.
+// engineBody is the response body of a completion: one JSON document, or a stream of
+// events in which each token is sent when the engine has generated it.
 type engineBody struct {
 	engine *Engine
 	gen    *generation
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// nextToken waits for the next token. The second result is false after the last one.
+// nextToken waits for the next token. The second result is false after the last token.
 func (b *engineBody) nextToken() (string, bool, error) {
 	select {
 	case token, ok := <-b.gen.tokens:
@@ -117,7 +117,7 @@
 	return out
 }
 
-// Close implements io.Closer. It cancels the request if it is unfinished.
+// Close implements io.Closer. It cancels the request if the response is unfinished.
 func (b *engineBody) Close() error {
 	b.cancel()
 	return nil
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -23,7 +23,7 @@
 // ErrUnknown is returned for an unknown target, group, relay or action.
 var ErrUnknown = errors.New("unknown name")
 
-// NewControl returns a Control that only has the requests for relays.
+// NewControl returns a Control that handles only the requests for relays.
 func NewControl() *Control {
 	c := &Control{mux: http.NewServeMux()}
 	c.Handle("POST /relays", c.addRelay)
@@ -51,7 +51,7 @@
 // doneReply is the response to requests that only change state.
 var doneReply = map[string]bool{"done": true}
 
-// AddLog adds requests for the state and faults of the log.
+// AddLog adds handlers of requests for the state and faults of the log.
 func (c *Control) AddLog(l *Log) {
 	c.Handle("GET /log", func(*http.Request) (any, error) { return l.State(), nil })
 	c.Handle("POST /log", func(r *http.Request) (any, error) {
@@ -69,7 +69,7 @@
 	})
 }
 
-// AddVMs adds requests that change the VM list.
+// AddVMs adds handlers of requests that change the VM list.
 func (c *Control) AddVMs(l *VMList) {
 	c.Handle("POST /vms/lag", func(r *http.Request) (any, error) {
 		f := formReader{r: r}
@@ -93,12 +93,12 @@
 // GroupState is the progress of a rank group in lockstep.
 type GroupState struct {
 	Steps uint64 `json:"steps"` // completed steps
-	Idle  uint64 `json:"idle"`  // ticks without a completed step although all engines could run
+	Idle  uint64 `json:"idle"`  // ticks without a completed step although no engine was stalled or down
 	Map   string `json:"map"`   // ID of the current expert map, hexadecimal
 	Mixed string `json:"mixed"` // error of the first step with two maps or with a map that was not loaded; empty: none
 }
 
-// AddGroups adds requests for the state and expert loads of rank groups.
+// AddGroups adds handlers of requests for the state and expert loads of rank groups.
 func (c *Control) AddGroups(groups map[string]*LockStep) {
 	c.Handle("GET /groups", func(*http.Request) (any, error) {
 		states := make(map[string]GroupState, len(groups))
@@ -170,14 +170,14 @@
 	err error
 }
 
-// addError records an invalid value unless there is an error already.
+// addError records the error for an invalid form value, unless an error is already recorded.
 func (f *formReader) addError(name, value, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s=%q: want %s", name, value, want)
 	}
 }
 
-// isYes parses yes or no. It returns false if the value is absent.
+// isYes parses a form value that is yes or no. It returns false if the value is absent.
 func (f *formReader) isYes(name string) bool {
 	v := f.r.FormValue(name)
 	if v != "" && v != "yes" && v != "no" {
@@ -186,7 +186,7 @@
 	return v == "yes"
 }
 
-// number parses a non-negative integer; 0 if the value is absent.
+// number parses a form value that is a non-negative integer; 0 if the value is absent.
 func (f *formReader) number(name string) int {
 	v := f.r.FormValue(name)
 	if v == "" {
@@ -199,7 +199,7 @@
 	return n
 }
 
-// duration parses a non-negative duration; 0 if the value is absent.
+// duration parses a form value that is a non-negative duration; 0 if the value is absent.
 func (f *formReader) duration(name string) time.Duration {
 	v := f.r.FormValue(name)
 	if v == "" {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -23,21 +23,21 @@
 }
 
 // Engine is a stand-in for a model engine. Each token is a function of the complete text
-// before it. Tests can therefore verify a generated text, and a text that is continued on
-// another engine equals an uninterrupted one.
+// before the token. Tests can therefore verify a generated text, and a text that is
+// continued on another engine equals a text that is generated without interruption.
 type Engine struct {
 	Name  string
 	Model string
 
 	mu         sync.Mutex
-	maxRunning int           // requests decoded per step
-	requests   []*generation // running first, then queued
+	maxRunning int           // number of requests that one step decodes
+	requests   []*generation // running requests first, then queued ones
 	runs       []*Run
 	stalled    bool
 	down       bool
 	delay      time.Duration
 	kill       chan struct{} // closed by Kill
-	rank       *Rank         // nil unless the engine is in a LockStep
+	rank       *Rank         // rank of the engine; nil unless the engine is in a LockStep
 }
 
 // NewEngine returns an engine that decodes up to maxRunning requests per step.
@@ -100,7 +100,7 @@
 	return text[len(prompt):]
 }
 
-// Stall stops the engine's steps if on is true and resumes them otherwise.
+// Stall stops the engine's steps if on is true, and resumes the steps otherwise.
 func (e *Engine) Stall(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// setRank makes the engine a rank of a LockStep.
+// setRank makes the engine the engine of a rank in a LockStep.
 func (e *Engine) setRank(r *Rank) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,7 +197,7 @@
 	e.requests = unfinished
 }
 
-// emit generates the next token.
+// emit generates the next token of the request.
 func (g *generation) emit() {
 	token := NextToken(g.text)
 	g.text += token
--- a/internal/fake/group.go
+++ b/internal/fake/group.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// step runs one step on all ranks, or none if a rank is stalled.
+// step runs one step on all ranks. If a rank is stalled, it runs no step on any rank.
 func (g *RankGroup) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fake/lockstep.go
+++ b/internal/fake/lockstep.go
@@ -8,35 +8,35 @@
 	"github.com/heatherrail/heatherrail/expert"
 )
 
-// LockStep is a rank group that uses expert maps. In each tick, every rank that is
-// allowed to enters its next step; a step completes when all live ranks have entered it.
-// An engine that is down does not block the group. A restarted engine blocks the group
-// until it gets the step at which it is to join.
+// LockStep is a rank group that uses expert maps. In each tick, every rank whose position
+// allows it enters its next step. A step completes when all live ranks have entered the
+// step. An engine that is down does not block the group. A restarted engine blocks the
+// group until the engine gets the number of the step at which it is to join.
 type LockStep struct {
-	ExpertBytes int64 // size of the weights of one expert
+	ExpertBytes int64 // size of the weights of one expert, in bytes
 
 	weights   *WeightStore
 	mu        sync.Mutex
 	shape     expert.Shape
 	ranks     []*Rank
-	loads     []float64 // per expert, in tokens per step
-	speeds    []float64 // per rank; 1 is normal
+	loads     []float64 // load of each expert of each layer, in tokens per step
+	speeds    []float64 // computing speed of each rank; 1 is normal
 	steps     uint64
 	idle      uint64 // ticks without a completed step although no engine was stalled or down
 	mapOfStep map[uint64]expert.MapID
-	mixed     error // first error in the use of maps, see Mixed
+	mixed     error // error of the first step with two maps or with a map that was not loaded, see Mixed
 	stop      chan struct{}
 	done      chan struct{}
 }
 
-// retainedSteps is the number of recent steps whose maps are recorded.
+// retainedSteps is the number of recent steps for which LockStep keeps the map that ranks used.
 const retainedSteps = 1024
 
-// firstStep is the number of a group's first step. Ranks that know no step use 0.
+// firstStep is the number of a group's first step. A rank that does not know its step uses 0.
 const firstStep = 1
 
-// NewLockStep starts a group that takes a step every step interval. All ranks have
-// loaded the initial map.
+// NewLockStep starts a group that tries to complete one step every step interval. All
+// ranks have loaded the initial map.
 func NewLockStep(step time.Duration, s expert.Shape, w *WeightStore, engines ...*Engine) *LockStep {
 	g := &LockStep{
 		ExpertBytes: 1 << 20,
@@ -96,7 +96,7 @@
 	}
 }
 
-// live returns the ranks whose engines are not down. impaired reports that at least one
+// live returns the ranks whose engines are not down. impaired is true if at least one
 // engine of the group is stalled or down.
 func (g *LockStep) live() (live []*Rank, impaired bool) {
 	for _, r := range g.ranks {
@@ -110,8 +110,9 @@
 	return live, impaired
 }
 
-// enterStep lets a rank enter its next step if its position allows it. It sets mixed if the
-// rank has not loaded its map, or uses another map in that step than other ranks.
+// enterStep lets a rank enter its next step if the rank's position allows that. It sets
+// g.mixed if the rank has not loaded its map, or uses another map than other ranks in that
+// step.
 func (g *LockStep) enterStep(r *Rank) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,8 +131,8 @@
 	delete(g.mapOfStep, step-retainedSteps)
 }
 
-// completeStep completes the lowest step that all live ranks have entered. It reports
-// whether the ranks completed a step and are all at the same position.
+// completeStep completes the lowest step that all live ranks have entered. It returns
+// true if a step was completed and all live ranks are at the same step.
 func (g *LockStep) completeStep(live []*Rank) bool {
 	minStep, maxStep := ^uint64(0), uint64(0)
 	for _, r := range live {
@@ -162,16 +163,16 @@
 	return g.steps
 }
 
-// Idle returns the number of ticks without a completed step although every engine could
-// run. That is the delay caused by holds, in steps.
+// Idle returns the number of ticks without a completed step although no engine was stalled
+// or down. That is the delay caused by holds, in steps.
 func (g *LockStep) Idle() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle
 }
 
-// Mixed returns an error for the first step in which ranks used two maps or a map whose
-// weights were not loaded, nil if there was none.
+// Mixed returns an error for the first step in which ranks used two maps, or a map whose
+// weights were not loaded. It returns nil if there was no such step.
 func (g *LockStep) Mixed() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,7 +219,8 @@
 	g.speeds[rank] = speed
 }
 
-// loadsOfRank returns the loads of a rank under a map, and the rank's speed.
+// loadsOfRank returns the loads of a rank under a map in tokens per step, and the rank's
+// computing speed.
 func (g *LockStep) loadsOfRank(rank int, m *expert.Map) (tokens []float64, speed float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -14,10 +14,10 @@
 // ErrDown is the error of a stand-in that is down.
 var ErrDown = errors.New("stand-in is down")
 
-// LogFaults configures the faults of a Log.
+// LogFaults defines the faults that a Log simulates.
 type LogFaults struct {
 	Down          bool          // every call fails
-	DropResponses int           // number of appends that take effect but return an error
+	DropResponses int           // number of further appends that take effect but return an error
 	Delay         time.Duration // added to each call
 }
 
@@ -28,7 +28,7 @@
 	records [][]byte
 	changed chan struct{} // closed and replaced at each append
 	faults  LogFaults
-	appends int // calls that took effect
+	appends int // number of Append calls that took effect
 }
 
 // NewLog returns an empty log.
@@ -120,8 +120,8 @@
 	}
 }
 
-// page returns the records from an offset on and the channel that is closed at the next
-// append.
+// page returns up to max records from an offset on, and the channel that is closed at the
+// next append.
 func (l *Log) page(from uint64, max int) (outside.Page, chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,7 +141,7 @@
 	}, l.changed, nil
 }
 
-// delay waits for the configured delay or until ctx ends.
+// delay waits for the delay set in LogFaults, or until ctx ends.
 func (l *Log) delay(ctx context.Context) error {
 	l.mu.Lock()
 	d := l.faults.Delay
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -11,7 +11,7 @@
 // errAnswerLost is the error of an order that took effect but whose response was lost.
 var errAnswerLost = errors.New("answer lost")
 
-// OrderedEngine is a stand-in for the order interface of an engine.
+// OrderedEngine is a stand-in for the interface of an engine that executes orders.
 type OrderedEngine struct {
 	// Fenced makes the engine refuse orders with a fencing number lower than the highest
 	// one it has seen. Without it the engine executes every order.
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -10,8 +10,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// Plain is a stand-in for a plain service. POST adds an entry. The response to every
-// request contains the number of entries.
+// Plain is a stand-in for a plain service that stores log entries. POST adds an entry. The
+// response to every request contains the number of entries.
 type Plain struct {
 	Name string
 
@@ -23,7 +23,7 @@
 	resume chan struct{} // non-nil while stalled; closed at the end of the stall
 }
 
-// NewPlain returns a service without entries.
+// NewPlain returns a stand-in without entries.
 func NewPlain(name string) *Plain { return &Plain{Name: name} }
 
 // Kill makes the service refuse connections until Restart.
@@ -35,7 +35,7 @@
 // SetDelay delays each call by d.
 func (p *Plain) SetDelay(d time.Duration) { p.update(func() { p.delay = d }) }
 
-// Stall blocks all calls if on is true and resumes them otherwise.
+// Stall blocks all calls if on is true, and resumes the calls otherwise.
 func (p *Plain) Stall(on bool) {
 	p.update(func() {
 		switch {
@@ -55,7 +55,7 @@
 	return p.active
 }
 
-// update runs a change of the state under the lock.
+// update calls change, which changes the state, while it holds the lock.
 func (p *Plain) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/rank.go
+++ b/internal/fake/rank.go
@@ -10,8 +10,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// maxMaps is the number of maps whose weights fit in memory: the current map, the next
-// map, and one map left over from a completed switch.
+// maxMaps is the number of maps whose weights fit in an engine's memory: the current map,
+// the next map, and one map left over from a completed switch.
 const maxMaps = 3
 
 // Rank is a stand-in for the rank interface of an engine in a LockStep.
@@ -20,7 +20,7 @@
 	index  int
 	engine *Engine
 
-	mu   sync.Mutex    // locked after the mutex of the group if both are needed
+	mu   sync.Mutex    // locked after the mutex of the group if both locks are needed
 	maps []*expert.Map // maps whose weights are loaded, oldest first
 	pos  expert.Position
 }
@@ -144,7 +144,7 @@
 	return append([]*expert.Map(nil), r.maps...), ctx.Err()
 }
 
-// restart drops the loaded maps and the position, like a new process.
+// restart drops the loaded maps and the position of the rank, like a new engine process.
 func (r *Rank) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -18,14 +18,14 @@
 	freezePollInterval = 5 * time.Millisecond
 )
 
-// RelayFaults configures the faults of a Relay.
+// RelayFaults defines the faults that a Relay simulates.
 type RelayFaults struct {
-	Delay     time.Duration // added to each frame, in order
+	Delay     time.Duration // added to each frame; the order of frames is kept
 	Freeze    bool          // no frame is forwarded; connections stay open
-	Duplicate int           // number of frames that are forwarded twice
+	Duplicate int           // number of further frames that are forwarded twice
 }
 
-// Relay forwards frames between two heatherrail processes and injects faults.
+// Relay forwards frames between two heatherrail processes and simulates network faults.
 type Relay struct {
 	Addr     string // IP address and port of the listener
 	upstream string
@@ -86,7 +86,7 @@
 	}
 }
 
-// track records open connections for Cut.
+// track records open connections, so that Cut can close them.
 func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// closeConns closes connections and removes their records.
+// closeConns closes connections and removes them from the open connections.
 func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/targets.go
+++ b/internal/fake/targets.go
@@ -32,8 +32,8 @@
 	crashes   atomic.Int64
 }
 
-// crashRestart is the time from a crash to the restart. It stands for a platform that
-// restarts crashed engines and services.
+// crashRestart is the time from the crash of a target to its restart. It simulates a
+// platform that restarts crashed engines and services.
 const crashRestart = 300 * time.Millisecond
 
 // ServeTarget starts an HTTP server for an *Engine or a *Plain.
@@ -55,8 +55,8 @@
 // disables crashes.
 func (t *TargetServer) CrashOn(text string) { t.crashText.Store(&text) }
 
-// Run implements outside.Backend. It passes the call to the stand-in unless the call
-// crashes the target.
+// Run implements outside.Backend. It passes the call to the stand-in, unless the body of
+// the call contains the text set by CrashOn, which crashes the target.
 func (t *TargetServer) Run(ctx context.Context, call *outside.Call) (*outside.Reply, error) {
 	text := t.crashText.Load()
 	if text != nil && *text != "" && bytes.Contains(call.Body, []byte(*text)) {
@@ -93,7 +93,7 @@
 	return TargetState{Name: t.Name, Active: t.backend.Active(), Crashes: t.crashes.Load(), Runs: t.backend.Runs()}
 }
 
-// AddTargets adds requests for the state and faults of targets.
+// AddTargets adds handlers of requests for the state and faults of targets.
 func (c *Control) AddTargets(targets map[string]*TargetServer) {
 	c.Handle("GET /targets", func(*http.Request) (any, error) {
 		var all []TargetState
--- a/internal/fake/vms.go
+++ b/internal/fake/vms.go
@@ -9,7 +9,8 @@
 	"github.com/heatherrail/heatherrail/outside"
 )
 
-// VMList is a stand-in for the platform's VM list. Readers see each change after a lag.
+// VMList is a stand-in for the platform's VM list. Readers see each change to the list only
+// after a lag.
 type VMList struct {
 	mu      sync.Mutex
 	lag     time.Duration
@@ -22,7 +23,7 @@
 	vms []outside.VM
 }
 
-// NewVMList returns an empty list with a lag.
+// NewVMList returns an empty list whose changes readers see after a lag.
 func NewVMList(lag time.Duration) *VMList {
 	return &VMList{lag: lag}
 }
@@ -34,7 +35,7 @@
 	l.lag = lag
 }
 
-// Put adds a VM or replaces the VM with the same ID.
+// Put adds a VM to the list, or replaces the VM with the same ID.
 func (l *VMList) Put(vm outside.VM) {
 	l.update(func(vms []outside.VM) []outside.VM {
 		vms = slices.DeleteFunc(vms, func(v outside.VM) bool { return v.ID == vm.ID })
@@ -42,14 +43,14 @@
 	})
 }
 
-// Remove removes a VM.
+// Remove removes the VM with an ID from the list.
 func (l *VMList) Remove(id string) {
 	l.update(func(vms []outside.VM) []outside.VM {
 		return slices.DeleteFunc(vms, func(v outside.VM) bool { return v.ID == id })
 	})
 }
 
-// update appends a new version of the list, made from the newest one.
+// update appends a new version of the list, which change derives from the newest version.
 func (l *VMList) update(change func([]outside.VM) []outside.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/weights.go
+++ b/internal/fake/weights.go
@@ -10,8 +10,8 @@
 // to its transfer rate.
 type WeightStore struct {
 	mu       sync.Mutex
-	rate     float64   // bytes per second over all readers
-	nextFree time.Time // end of the queued transfers
+	rate     float64   // bytes per second, shared by all readers
+	nextFree time.Time // time at which all queued transfers have ended
 	isDown   bool
 }
 
@@ -20,14 +20,15 @@
 	return &WeightStore{rate: rate}
 }
 
-// SetDown makes all fetches fail, or succeed again.
+// SetDown makes all fetches fail if down is true, and succeed again otherwise.
 func (w *WeightStore) SetDown(down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.isDown = down
 }
 
-// Fetch waits for the transfer of size bytes, after all transfers already queued.
+// Fetch waits until size bytes have been transferred. The transfer starts after all queued
+// transfers.
 func (w *WeightStore) Fetch(ctx context.Context, size int64) error {
 	w.mu.Lock()
 	if w.isDown {
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -1,5 +1,5 @@
-// Package hosted contains the code that the main functions of the programs on the users'
-// machines share: settings, log, metrics and the listener for peers.
+// Package hosted contains the code that the main functions of the hosted deployment's
+// programs share: settings, log, metrics and the listener for peers.
 package hosted
 
 import (
@@ -28,12 +28,12 @@
 	Peers     net.Listener
 }
 
-// memoryLimitDivisor is the memory limit of the process divided by the soft limit of
-// the Go runtime. The garbage collector works harder above the soft limit; the rest is
-// left for kernel buffers.
+// memoryLimitDivisor is the memory limit of the process divided by the soft memory limit
+// of the Go runtime. The garbage collector works harder above the soft limit. The
+// rest of the memory is left for kernel buffers.
 const memoryLimitDivisor = 2
 
-// metricsPort is the port for metrics in the deploy file.
+// metricsPort is the port on which a program serves metrics, as in the deploy file.
 const metricsPort = "9464"
 
 // Run sets up a process, calls serve and returns the exit code of serve. If the setup
--- a/internal/ini/decode.go
+++ b/internal/ini/decode.go
@@ -67,7 +67,7 @@
 	d.errs = append(d.errs, &Error{File: d.sec.File, Line: line, Where: where, What: fmt.Sprintf(format, args...)})
 }
 
-// decodeField sets one field from its key or its default.
+// decodeField sets one field from its key in the section, or from its default.
 func (d *decoder) decodeField(name string, field reflect.StructField, v reflect.Value) {
 	key, found := d.sec.findKey(name)
 	if !found {
--- a/internal/ini/ini.go
+++ b/internal/ini/ini.go
@@ -143,7 +143,7 @@
 	sec.Keys = append(sec.Keys, Key{Name: name, Value: strings.TrimSpace(value), Line: n})
 }
 
-// Title returns "kind name", or "kind" for a section without a name.
+// Title returns the title of a section: "kind name", or "kind" for a section without a name.
 func (s *Section) Title() string {
 	if s.Name == "" {
 		return s.Kind
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -1,6 +1,6 @@
 // Package safeguard lists the safeguards that a test can disable in order to verify
-// that its checker detects the resulting violations. The package is internal, so users
-// of the module can't disable a safeguard.
+// that the test's checker detects the resulting violations. The package is internal, so
+// users of the module can't disable a safeguard.
 package safeguard
 
 // Off selects the safeguards that are disabled. In production it has its zero value: all
@@ -8,10 +8,10 @@
 type Off struct {
 	Deduplication    bool // agent: keep the deduplication table of idempotency keys
 	DispatchCheck    bool // agent: ask the entries that may have dispatched an unknown key
-	EntryList        bool // agent: ask entries without a connection to the agent, too
+	EntryList        bool // agent: also ask the entries that have no connection to the agent
 	Incarnation      bool // agent: refuse requests sent to an earlier incarnation
 	DispatchLog      bool // entry: record dispatches and report them to agents that ask
-	Supersede        bool // entry: send nothing to a superseded agent
+	Supersede        bool // entry: send nothing to an agent that a newer one of the same target supersedes
 	UncertainOutcome bool // entry: a later "not run" does not clear an earlier "may have run"
 	Home             bool // entry: route each key to its home target
 	Deadline         bool // entry: end a request at its deadline
--- a/internal/tcp/dial.go
+++ b/internal/tcp/dial.go
@@ -36,7 +36,7 @@
 }
 
 // Listen listens on an IP address and port. Accepted connections detect unreachable
-// peers as dialled ones do.
+// peers in the same way as connections from Dial.
 func Listen(addr string) (net.Listener, error) {
 	l := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return l.Listen(context.Background(), "tcp4", addr)
--- a/internal/tcp/stillopen.go
+++ b/internal/tcp/stillopen.go
@@ -7,8 +7,8 @@
 )
 
 // StillOpen reports whether an idle connection is still usable: the peer has neither
-// closed it nor sent anything. It peeks without blocking, because a read with a short
-// deadline would delay each request by a timer.
+// closed the connection nor sent anything. StillOpen peeks without blocking, because a
+// read with a short deadline would delay each request until the deadline.
 func StillOpen(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/testkeys/testkeys.go
+++ b/internal/testkeys/testkeys.go
@@ -48,7 +48,7 @@
 	return &Authority{cert: cert, key: key}, nil
 }
 
-// Files holds the paths of PEM files.
+// Files holds the paths of the PEM files that Authority.Write has written.
 type Files struct {
 	Cert, Key, CA string
 }
--- a/internal/tools/gendocs/settings.go
+++ b/internal/tools/gendocs/settings.go
@@ -77,7 +77,7 @@
 	fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", name, typeName(f), def, allowedValues(f.Tag), capitalise(f.Tag.Get("doc")))
 }
 
-// typeName names the type of a field for operators.
+// typeName returns the name of a field's type as the page shows it to operators.
 func typeName(f reflect.StructField) string {
 	if f.Tag.Get("format") == "address" {
 		return "IP number and port"
