--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -21,7 +21,7 @@
 // Set holds the metrics of one process. It is safe for concurrent use.
 type Set struct {
 	scope         tally.TestScope
-	results       sync.Map // tally.Counter by result.Code
+	results       sync.Map // counter of each result: tally.Counter by result.Code
 	firstToken    tally.Histogram
 	betweenTokens tally.Histogram
 }
@@ -42,7 +42,7 @@
 )
 
 // New returns an empty set. It uses tally's test scope, which has no reporter and keeps
-// running totals. An endpoint that collectors poll needs totals.
+// running totals, because an endpoint that collectors poll must return totals.
 func New() *Set {
 	scope := tally.NewTestScope("heatherrail", nil)
 	return &Set{
@@ -72,10 +72,10 @@
 	s.scope.Tagged(map[string]string{"reason": c.Info().Name}).Counter("retries_total").Inc(1)
 }
 
-// Count adds n to a counter.
+// Count adds n to the counter with the given name.
 func (s *Set) Count(name string, n int64) { s.scope.Counter(name).Inc(n) }
 
-// Gauge sets the value of a gauge.
+// Gauge sets the value of the gauge with the given name.
 func (s *Set) Gauge(name string, v float64) { s.scope.Gauge(name).Update(v) }
 
 // Write writes the current values of all metrics as sorted text lines.
--- a/metrics/serve.go
+++ b/metrics/serve.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Addr returns the address of the listener.
+// Addr returns the IP address and port on which the server listens.
 func (m *Server) Addr() string { return m.ln.Addr().String() }
 
-// Close closes the listener. Open connections are not closed.
+// Close closes the listener of the server. Open connections are not closed.
 func (m *Server) Close() { _ = m.ln.Close() }
