--- a/logging/async.go
+++ b/logging/async.go
@@ -21,8 +21,8 @@
 
 const (
 	asyncQueueLines = 2048
-	// asyncBatchDelay is the pause between batches. Lines collect during it, so that one
-	// system call writes about a dozen of them.
+	// asyncBatchDelay is the pause between batches. Lines collect during the pause, so
+	// that one system call writes about a dozen lines.
 	asyncBatchDelay = 50 * time.Millisecond
 	asyncBatchBytes = 64 << 10
 )
@@ -91,9 +91,9 @@
 	return batch
 }
 
-// Close writes the queued lines and stops the goroutine. Lines written after Close are
-// lost but cause no error, because other goroutines may still log while the process
-// exits.
+// Close writes the queued lines and stops the goroutine that writes. Lines passed to Write
+// after Close are lost but cause no error, because other goroutines may still log while the
+// process exits.
 func (a *Async) Close() {
 	close(a.quit)
 	<-a.done
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -36,7 +36,7 @@
 	out       *lockedWriter
 	verbosity int
 	name      string
-	pairs     string // formatted pairs of WithValues
+	pairs     string // formatted pairs that were added by WithValues
 }
 
 // Init implements logr.LogSink.
