--- a/result/codes.go
+++ b/result/codes.go
@@ -106,7 +106,7 @@
 	WirePlain         Code = 410
 )
 
-// shortRetryAfter is the delay before a retry if the reason of the refusal usually ends soon.
+// shortRetryAfter is the delay before a retry if the reason for the refusal usually ends soon.
 const shortRetryAfter = time.Second
 
 var table = []Info{
--- a/result/result.go
+++ b/result/result.go
@@ -46,7 +46,7 @@
 	Name       string        // metric tag and JSON "type"
 	Status     int           // HTTP status of the response to the caller
 	Run        Run           // whether the request ran
-	RetryAfter time.Duration // least delay before a retry; zero: a delay does not help
+	RetryAfter time.Duration // minimum delay before a retry; 0: a delay does not help
 	Meaning    string        // explanation for the caller
 	Operator   string        // advice for operators
 }
@@ -86,7 +86,7 @@
 // Run returns whether the request ran, according to the table entry of the code.
 func (e *Error) Run() Run { return e.Code.Info().Run }
 
-// Wait returns the least delay before a retry; zero: a delay does not help.
+// Wait returns the minimum delay before a retry; 0 means that a delay does not help.
 func (e *Error) Wait() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -94,9 +94,9 @@
 	return e.Code.Info().RetryAfter
 }
 
-// From returns err as an Error. An err without an Error in its chain means that some code
-// failed to assign a result. It becomes Internal, which states "may have run" because
-// nothing is known about execution.
+// From returns err as an Error. If the chain of err contains no Error, some code has failed
+// to assign a result code. From then returns the code Internal, which states "may have run",
+// because nothing is known about execution.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
