--- a/settings/settings.go
+++ b/settings/settings.go
@@ -46,7 +46,7 @@
 	Slots      int           `ini:"slots" default:"0" min:"0" max:"65536" doc:"requests that the engine decodes at once; others wait in the agent, by shares and priority; 0: as many as queue-limit"`
 }
 
-// Values of Agent.Kind.
+// Values of Agent.Kind: the kind of the agent's target.
 const (
 	KindEngine = "engine"
 	KindPlain  = "plain"
@@ -62,16 +62,16 @@
 }
 
 // TLS holds the [tls] section: certificate and key files for connections between
-// heatherrail processes. Without them, processes use plain TCP and only on loopback
-// addresses.
+// heatherrail processes. Without these files, processes use plain TCP, and only on
+// loopback addresses.
 type TLS struct {
 	Cert string `ini:"cert" doc:"PEM file of this process's certificate, with the DNS names of its roles, see SECURITY.md"`
 	Key  string `ini:"key" doc:"PEM file of its private key"`
 	CA   string `ini:"ca" doc:"PEM file of the authorities that peers' certificates are accepted from; two during a rotation"`
 }
 
-// Network loads the keys and returns the transport for connections to other processes.
-// An empty TLS gives plain TCP.
+// Network loads the certificate and key files and returns the transport for connections
+// to other processes. For an empty TLS, the transport uses plain TCP.
 func (t *TLS) Network() (*wire.Network, error) {
 	if *t == (TLS{}) {
 		return new(wire.Network), nil
@@ -88,7 +88,7 @@
 	Entry    Entry
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // derived from TLS
+	Network  *wire.Network // transport for connections to other processes, derived from TLS
 }
 
 // AgentFile holds the settings file of heatherrail-agent.
@@ -96,18 +96,18 @@
 	Agent    Agent
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // derived from TLS
+	Network  *wire.Network // transport for connections to other processes, derived from TLS
 }
 
 // ToolFile holds the settings file of the operators' tool.
 type ToolFile struct {
 	Platform Platform
 	TLS      TLS
-	Network  *wire.Network // derived from TLS
+	Network  *wire.Network // transport for connections to other processes, derived from TLS
 }
 
-// toolListenAddr is the listen address in the check of [tls] for the tool, which has no
-// listener. It is on loopback, so that plain TCP is allowed.
+// toolListenAddr is the listen address that the check of [tls] gets for the operators' tool,
+// which has no listener. The address is on loopback, so that plain TCP is allowed.
 const toolListenAddr = "127.0.0.1:0"
 
 // LoadTool reads and validates the settings file of the operators' tool. The error lists all faults.
@@ -134,7 +134,7 @@
 	return &f, l.err()
 }
 
-// settingsFile is a parsed file with its faults.
+// settingsFile is a parsed settings file with all faults that were found in it.
 type settingsFile struct {
 	path     string
 	readErr  error
@@ -160,8 +160,8 @@
 	l.errs = append(l.errs, &ini.Error{File: l.path, Line: line, Where: section + "." + key, What: message})
 }
 
-// network loads the keys of [tls] and checks that they suffice for the listen address in
-// the given section. It returns nil if the file or its keys have a fault.
+// network loads the files of [tls] and checks that they suffice for the listen address in
+// the given section. It returns nil if the settings file or a file of [tls] has a fault.
 func (l *settingsFile) network(t *TLS, section, listen string) *wire.Network {
 	if l.err() != nil {
 		return nil
