--- a/bench/expert.go
+++ b/bench/expert.go
@@ -55,8 +55,8 @@
 	storeBytesPerSecond = 2e9
 )
 
-// Cost weights of the two kinds of operator: SkewPolicy favours low skew, CostPolicy few
-// bytes moved.
+// Cost weights of the two kinds of operator: SkewPolicy favours low skew (step time relative
+// to that of a perfectly balanced map), CostPolicy few bytes moved.
 var (
 	SkewPolicy = expert.CostWeights{Skew: 3, Move: 1}
 	CostPolicy = expert.CostWeights{Skew: 0.6, Move: 1}
--- a/cmd/heatherrail/bench_load.go
+++ b/cmd/heatherrail/bench_load.go
@@ -7,7 +7,7 @@
 	"github.com/heatherrail/heatherrail/bench/group"
 )
 
-// benchLoadCommand runs load patterns against an emulated group of engines.
+// benchLoadCommand runs load patterns against a simulated group of engines.
 type benchLoadCommand struct {
 	benchFlags
 	Seeds   int    `long:"seeds" default:"3" description:"plays of each pattern and policy; the report has their means"`
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// GroupState is the progress of a rank group in lockstep.
+// GroupState is the progress of a rank group that runs in lock-step.
 type GroupState struct {
 	Steps uint64 `json:"steps"` // completed steps
 	Idle  uint64 `json:"idle"`  // ticks without a completed step although no engine was stalled or down
--- a/internal/fake/group.go
+++ b/internal/fake/group.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RankGroup runs engines in lockstep. In each step, every rank computes one token for
+// RankGroup runs engines in lock-step. In each step, every rank computes one token for
 // each of its running requests. A stalled rank blocks the whole group.
 type RankGroup struct {
 	mu    sync.Mutex
