--- a/internal/fake/group.go
+++ b/internal/fake/group.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RankGroup runs engines in lockstep. In each step, every rank computes one token for
+// RankGroup runs engines in lock-step. In each step, every rank computes one token for
 // each of its running requests. A stalled rank blocks the whole group.
 type RankGroup struct {
 	mu    sync.Mutex
@@ -36,7 +36,7 @@
 	}
 }
 
-// step runs one step on all ranks, or none if a rank is stalled.
+// step runs one step on all ranks. If a rank is stalled, it runs no step on any rank.
 func (g *RankGroup) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
