--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -8,8 +8,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// One entry reaches the store; the other never does and knows the first only by its record. It
-// must get the configuration, the targets and all later changes from the first.
+// An entry cannot reach the store and knows a peer only by its presence record. It must get the
+// configuration, the targets and all later changes from that peer.
 func TestEntryWithoutStoreGetsTopicsFromPeer(t *testing.T) {
 	g := NewWithT(t)
 	store := new(memStore)
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,7 +11,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Guards against a cold target that gets all requests at once.
+// Guards against a cold target that gets requests at more than its cold rate.
 func TestColdTargetStaysWithinColdRate(t *testing.T) {
 	g := NewWithT(t)
 	const rate = 4.0
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -68,8 +68,8 @@
 	return serving.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// Another writer puts invalid records into the targets topic, one under the key of a target. Each must
-// be counted, and only that target may disappear, until its own next record.
+// Another writer puts invalid records into the targets topic, one under the key of a target. Each
+// must be counted, and only that target may disappear, until it writes its next record.
 func TestInvalidTargetRecordsAffectOnlyTheirKey(t *testing.T) {
 	g := NewWithT(t)
 	s := testReplicaState()
@@ -106,8 +106,8 @@
 	g.Expect(changed).To(BeTrue())
 }
 
-// Only this entry loses the store, and a peer reports that a target was removed. As this is no
-// outage for the targets, the target must be removed at once.
+// Only this entry loses the store, and a peer reports that a target was removed. Targets can still
+// reach the store, so the removal must take effect at once.
 func TestTargetIsRemovedAtOnceIfOnlyThisEntryLostStore(t *testing.T) {
 	g := NewWithT(t)
 	s := testReplicaState()
@@ -135,8 +135,8 @@
 	g.Expect(update.Records).To(HaveLen(1))
 }
 
-// Three entries keep passing on the freshness of a topic that one of them read once. If acks or
-// late probes overstated it, they would keep each other from reading a store that only they reach.
+// Three entries exchange the age of a topic that one of them has read. If acks or late probes
+// understated the age, each entry would rely on the others and none would read the store again.
 func TestPropagatedFreshnessIsNeverOverstated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -195,8 +195,8 @@
 	}
 }
 
-// An entry that the store refuses must come last in the read order whatever its name; otherwise
-// the other entries would wait for its updates.
+// An entry without access to the store must come last in the order of readers, whatever its name;
+// otherwise the other entries would wait for its updates.
 func TestEntryWithoutStoreIsLastInReadOrder(t *testing.T) {
 	g := NewWithT(t)
 	e := startEntry(t, "b", new(memStore))
@@ -213,8 +213,8 @@
 	g.Expect(position).To(Equal(2))
 }
 
-// The clock of a VM is set back before its entry restarts, so the new incarnation looks older.
-// The entry's own presence must be accepted, an older record in the store must not.
+// The clock of a VM is set back before its entry restarts, so the new incarnation looks older. A
+// presence sent by the entry itself must be accepted, an older record in the store must not.
 func TestEntryWithLowerIncarnationAfterRestartIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	e := startEntry(t, "a", new(memStore))
--- a/gateway/evacuate_test.go
+++ b/gateway/evacuate_test.go
@@ -12,7 +12,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// isEvacuatedAt returns a function that reports whether an entry knows a target as evacuated.
+// isEvacuatedAt returns a function that reports whether an entry has marked a target as evacuated.
 func isEvacuatedAt(gw *Gateway, id string) func() bool {
 	return func() bool {
 		for _, list := range gw.state.snapshot().targets {
@@ -27,7 +27,7 @@
 }
 
 // Guards against requests, first attempts or retries, that reach an evacuated data centre, and
-// against targets that stay without requests after the order is withdrawn.
+// against targets that stay without requests after the evacuation order is withdrawn.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	evacuated := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool { return reply(w, r, 200, sealHeader, "x") })
@@ -54,8 +54,8 @@
 	}, "5s", "5ms").Should(Equal(200))
 }
 
-// Guards against an order that an entry never learns because it was disconnected from the store
-// or not started yet when the order was given.
+// Guards against an evacuation order that never reaches an entry because the entry had no access to
+// the store, or was not started yet, when the order was given.
 func TestEvacuationReachesEntriesThroughPeers(t *testing.T) {
 	g := NewWithT(t)
 	s, lagging := testReplicaState(), testReplicaState()
@@ -68,8 +68,8 @@
 	}
 	g.Expect(lagging.snapshot().targets["plain"][0].Evacuated).To(BeTrue())
 
-	// The order is withdrawn while the lagging entry receives nothing. By then the store has only
-	// the newest records.
+	// The order is withdrawn while the lagging entry receives no updates. Afterwards the store
+	// contains only the newest records.
 	s.applyNewest(serving.TopicConfig, []serving.Record{targetRecord(1, "config", config)}, 5, now)
 	g.Expect(s.snapshot().targets["plain"][0].Evacuated).To(BeFalse())
 	next, _ := lagging.readOffset(serving.TopicConfig)
@@ -77,7 +77,8 @@
 	g.Expect(lagging.snapshot().targets["plain"][0].Evacuated).To(BeFalse())
 }
 
-// Guards against effects of an order that is invalid or names a data centre without targets.
+// Guards against effects of an evacuation order that is invalid or names a data centre without
+// targets.
 func TestInvalidEvacuationChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	s := testReplicaState()
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A target may repeat events after a resumption, leave events out or stop within one. Only
-// complete events with the next id may reach the caller.
+// A target may repeat events after a resumption, omit events or stop in the middle of an event.
+// Only complete events with the next id may reach the caller.
 func TestScannerForwardsOnlyConsecutiveEvents(t *testing.T) {
 	g := NewWithT(t)
 	s := eventScanner{lastID: -1}
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -20,8 +20,8 @@
 	return newLoadFollower(&Gateway{state: s}, "s"), targets
 }
 
-// A service has two groups. While engines remain outside the group of the first reader, a second
-// reader must poll these, and each group must have one reader.
+// A service has two groups. Each group must have one reader of its load reports; while some engines
+// are in no group with a reader, another reader must poll these engines.
 func TestEachGroupOfServiceHasOneReader(t *testing.T) {
 	g := NewWithT(t)
 	f, targets := testLoadFollower()
--- a/gateway/kit_test.go
+++ b/gateway/kit_test.go
@@ -23,8 +23,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// testHeaders has header names of its own, as the package must not depend on the names of one
-// platform.
+// testHeaders are header names that no platform uses, as the package must not depend on the names
+// of a platform.
 var testHeaders = HeaderNames{
 	RequestID: "Rid", Deadline: "Left", Key: "Key", Team: "Team", Instance: "Run-Id", NotRun: "Not-Run",
 	FaultAt: "Fault-At", RateLimit: "Rate", Seal: "Seal", ResumeAfter: "After", Priority: "Prio", Tokens: "Tokens", LengthHint: "Hint",
@@ -221,15 +221,15 @@
 		Name: "stream", Host: "h", Prefix: "/s/", Kind: serving.KindStream, Timeout: 5 * time.Second,
 		ServiceWeights: []serving.ServiceWeight{{Service: "llm", Weight: 1}}, MaxAttempts: 3, Resumable: true, FirstEventTimeout: 2 * time.Second,
 	}
-	cut := stream
-	cut.Name, cut.Prefix, cut.Resumable = "cut", "/cut/", false
+	nonResumable := stream
+	nonResumable.Name, nonResumable.Prefix, nonResumable.Resumable = "cut", "/cut/", false
 	once := stream
 	once.Name, once.Prefix, once.Kind, once.ServiceWeights = "once", "/once/", serving.KindOnce, []serving.ServiceWeight{{Service: "plain", Weight: 1}}
 	idem := once
 	idem.Name, idem.Prefix, idem.Kind = "idem", "/idem/", serving.KindIdempotent
 	return serving.Config{
 		Version:  7,
-		Routes:   []serving.Route{stream, cut, once, idem},
+		Routes:   []serving.Route{stream, nonResumable, once, idem},
 		Services: []serving.Service{{Name: "llm"}, {Name: "plain"}},
 		Teams:    []serving.Team{{Name: "kitchen", Keys: []string{"k1"}}},
 	}
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -42,8 +42,8 @@
 	g.Expect(string(sent)).To(Equal("payload"))
 }
 
-// Without a configuration no request is known to be invalid: the response must say that the request
-// did not run and when to retry. With one, unknown keys and paths must be refused permanently.
+// Without a configuration no request is known to be invalid: the response must say that the request did
+// not run and when to retry. With a configuration, unknown keys and paths must be refused permanently.
 func TestRequestsAreRefusedPermanentlyOnlyWithConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	store := new(memStore)
@@ -118,8 +118,8 @@
 	g.Expect(len(other.received())).To(BeNumerically("<=", 1), "a replaced target gets no further requests")
 }
 
-// Responses without a seal, broken, or for another request must not be delivered. A repeatable
-// request must get a response from another target, another request must get 502.
+// Responses without a seal, broken, or for another request must not be delivered. An idempotent
+// request must get a response from another target, a non-idempotent one must get 502.
 func TestInvalidResponsesAreNotDelivered(t *testing.T) {
 	invalid := map[string]func(w net.Conn, r *http.Request) bool{
 		"no proof": func(w net.Conn, r *http.Request) bool { return reply(w, r, 200, "", "forged") },
@@ -158,8 +158,8 @@
 	}
 }
 
-// A target fails within the fourth event. The stream must resume at another target after the
-// third, so that the caller receives each event once.
+// A target fails in the middle of the fourth event. The stream must resume at another target after
+// the third event, so that the caller receives each event once.
 func TestStreamResumesAfterLastCompleteEvent(t *testing.T) {
 	g := NewWithT(t)
 	serve := func(w net.Conn, r *http.Request) bool {
@@ -185,8 +185,8 @@
 	g.Expect(after).To(Equal("2"))
 }
 
-// A stream that may not resume must be cut before the end of the body, so that the partial stream
-// does not look complete to the caller.
+// A stream that may not resume must be cut off before the end of the body, so that the partial
+// stream does not look complete to the caller.
 func TestStreamThatCannotResumeIsCut(t *testing.T) {
 	g := NewWithT(t)
 	target := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool {
@@ -218,8 +218,8 @@
 	}
 }
 
-// A first event and an invalid chunk in one read end the attempt before the response header. The event
-// must be sent under its target's header, the stream resume or be cut, and the process not crash.
+// A target sends its first event and an invalid chunk in one packet. The caller must get the event
+// with that target's header, the stream must resume or be cut off, and the gateway must not crash.
 func TestFirstEventIsDeliveredDespiteStreamErrorInSameRead(t *testing.T) {
 	g := NewWithT(t)
 	a, b := startTarget(t, "i1", malformedStream("i1")), startTarget(t, "i2", malformedStream("i2"))
@@ -331,7 +331,7 @@
 
 	part := startTarget(t, "i1", func(w net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(w, strings.Replace(head, "%s", r.Header.Get("Rid"), 1)+"to the")
-		time.Sleep(20 * time.Millisecond) // lets the part arrive before the reset
+		time.Sleep(20 * time.Millisecond) // lets the partial body arrive before the reset
 		return resetConn(w)
 	})
 	e = startEntryWithTargets(t, "plain", part)
--- a/gateway/ratelimit_test.go
+++ b/gateway/ratelimit_test.go
@@ -143,7 +143,7 @@
 	c.entries = append(c.entries, e)
 }
 
-// crashEntry ends an entry without notice.
+// crashEntry stops an entry without a shutdown.
 func (c *rateLimitCluster) crashEntry(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +214,8 @@
 	}
 }
 
-// All targets of a service report rate limits. Guards against callers that wait in vain or are
-// refused without a Retry-After, and against entries that miss the end of a rate limit.
+// All targets of a service report rate limits. Guards against callers that time out or are refused
+// without a Retry-After, and against entries that keep a rate limit that the target no longer reports.
 func TestRequestsOverAllRateLimitsAreRefusedWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/gateway/register_test.go
+++ b/gateway/register_test.go
@@ -25,8 +25,8 @@
 	return g
 }
 
-// learnEntries adds other entries to an entry, and applies the store records of the first of
-// them.
+// learnEntries adds a number of other entries to the membership of a gateway, and applies the
+// records that the first ones have in the store.
 func learnEntries(g *Gateway, others, records int) {
 	var read []serving.Record
 	for n := range others {
@@ -44,7 +44,7 @@
 }
 
 // A large fleet starts at once, and each call to the store is billed. Entries must write no record
-// if enough live entries have one; otherwise only the first by name write theirs.
+// if enough live entries have one; otherwise only the first ones by name may write theirs.
 func TestOnlyFewEntriesWriteRecords(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -53,7 +53,7 @@
 	}{
 		{"entry-100", 5, 5, true},
 		{"entry-100", 149, minEntryRecords, false},
-		{"entry-100", 149, minEntryRecords - 2, false}, // two others come first
+		{"entry-100", 149, minEntryRecords - 2, false}, // two entries that come first by name write theirs
 		{"entry-014", 149, minEntryRecords - 2, true},
 	} {
 		g := NewWithT(t)
@@ -78,8 +78,8 @@
 	g.Expect(needsRecord).To(BeFalse())
 }
 
-// When many entries start at once, an entry must not read topics from the store that a peer sends
-// before its turn, and must not wait longer than its turn and the wait for peers.
+// When many entries start at once, an entry must not read a topic from the store that a peer sends
+// in time, and must wait for peers no longer than its startup delay plus startupWait.
 func TestFirstReadWaitsForTurnAndPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -111,8 +111,8 @@
 
 var _ members.Piggyback = (*cluster)(nil)
 
-// Callers connect to a starting entry without a configuration. Their requests must wait for it
-// for a moment, and must be refused well before callers give up if it does not arrive.
+// Callers connect to a starting entry without a configuration. Their requests must wait briefly for
+// the configuration and, if none arrives, be refused well before callers time out.
 func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -23,7 +23,7 @@
 )
 
 // scaleCluster simulates many entries in virtual time, with their calls to the store and to each
-// other. Links only add delays; there are no callers, and no target responds.
+// other. Links only add delays. There are no callers, and targets get no requests.
 type scaleCluster struct {
 	store     *scaleStore
 	entries   map[string]*scaleEntry // by address
@@ -31,8 +31,8 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// Numbers of calls between entries and of the bytes of these calls and their responses, in total
-	// and between data centres.
+	// Calls between entries and bytes of these calls and their responses: in total, and between
+	// data centres.
 	callCount, crossCentreCalls atomic.Int64
 	byteCount, crossCentreBytes atomic.Int64
 	dialCount                   atomic.Int64
@@ -54,7 +54,7 @@
 	crossCentreLinkDelay   = time.Millisecond
 	storeDelay             = 4 * time.Millisecond
 	startSpan              = 20 * time.Millisecond
-	firstRecordsDelay      = 600 * time.Millisecond // after all entries have started
+	firstRecordsDelay      = 600 * time.Millisecond // time from the start of all entries to the first records
 )
 
 // scaleStore counts calls to the store.
@@ -159,7 +159,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// scalePeerClient calls one entry from another.
+// scalePeerClient sends requests from one entry to another over a simulated link.
 type scalePeerClient struct {
 	cluster *scaleCluster
 	from    *scaleEntry
@@ -221,7 +221,8 @@
 	}
 }
 
-// scaleCost is the cost of one entry per second; storeCallRate is that of all entries.
+// scaleCost is the traffic that one entry causes per second; storeCallRate counts the store calls
+// of all entries.
 type scaleCost struct{ callRate, byteRate, crossCentreByteRate, dialRate, storeCallRate float64 }
 
 // measure returns the cost over a period of time.
@@ -292,7 +293,7 @@
 	maxStartBytes   = 20e3 // bytes for the configuration, the targets and the first probes
 	maxStartTables  = 14   // limit on membership gossip, in multiples of the full membership table: twelve as updates, two as full state
 	presenceBytes   = 75
-	largeFleetSize  = 16 // number of entries above which most are not probed in the first moment
+	largeFleetSize  = 16 // number of entries above which an entry does not probe most others right after the start
 )
 
 // Guards against idle traffic that grows with the fleet, at each entry and between data centres, and
