--- a/placing/cold_test.go
+++ b/placing/cold_test.go
@@ -10,14 +10,14 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// Requests that a cold target takes within any second, as its operators state: its rate times
-// coldBurstFactor plus coldSlack.
+// A cold target accepts at most its rate times coldBurstFactor plus coldSlack requests within any
+// second. Source: its operators.
 const (
 	coldBurstFactor = 1.5
 	coldSlack       = 5
 )
 
-// Many entries must not overload a cold target together, although each entry sends at less than the
+// Many entries together must not overload a cold target, although each entry sends at less than the
 // target's rate and the permit owner crashes.
 func TestColdTargetStaysWithinItsRateAtAnyFleetSize(t *testing.T) {
 	for _, entries := range []int{8, 46, 410, 1000} {
@@ -31,7 +31,7 @@
 					f.generateRequests(e, offeredRate/float64(entries))
 				}
 				f.run(3 * time.Second)
-				f.restart(0, 2*time.Second) // the permit owner
+				f.restart(0, 2*time.Second) // entry 0 is the permit owner
 				f.run(5 * time.Second)
 				g.Expect(float64(maxInWindow(f.target.received, time.Second))).To(BeNumerically("<=", f.coldRate*coldBurstFactor+coldSlack))
 				g.Expect(float64(len(f.target.received))).To(BeNumerically(">=", f.coldRate*8*0.5), "the target gets enough requests")
--- a/placing/evacuate_test.go
+++ b/placing/evacuate_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A third of the ranks is evacuated, but these engines still do their experts' work. The capacity
-// of the group must not fall by a third.
+// A third of the ranks is evacuated and gets no streams, but still runs its experts for the other
+// ranks. The capacity of the group must not fall by a third.
 func TestStreamLimitRisesWhenADataCentreIsEvacuated(t *testing.T) {
 	g := NewWithT(t)
 	m := testModel()
--- a/placing/failurereport_test.go
+++ b/placing/failurereport_test.go
@@ -19,7 +19,7 @@
 	return list
 }
 
-// excludeNone excludes no target.
+// excludeNone is an exclusion function for Place that excludes no target.
 func excludeNone(*serving.Target) bool { return false }
 
 // placementShare returns the share of placements that go to one target.
@@ -71,7 +71,7 @@
 }
 
 // The entries of one data centre are partitioned from a target that responds to all other entries.
-// The newer successes of the others must prevent an ejection there.
+// Newer successes at these other entries must prevent an ejection at them.
 func TestTargetThatRespondsToOtherEntriesIsNotEjected(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -182,8 +182,8 @@
 	}
 }
 
-// Single timeouts and successes go with the next regular message. Notifying others of each at once
-// would flood the links between data centres.
+// Single timeouts and successes are sent with the next regular message. Notifying other entries of
+// each one at once would flood the links between data centres.
 func TestOnlyFailuresNearEjectionArePropagatedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/late_test.go
+++ b/placing/late_test.go
@@ -9,8 +9,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// A group returns empty after an outage, and twenty late requests wait. They must leave slots for
-// the four on-time requests a second that arrive, or those become late too.
+// A group is idle again after an outage, and twenty late requests wait. They must leave slots for
+// the four on-time requests that arrive each second, or these become late too.
 func TestLateStreamsLeaveSlotsForArrivals(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/permits_test.go
+++ b/placing/permits_test.go
@@ -90,7 +90,8 @@
 	g.Expect(maxInWindow(granted, permitWindow)).To(BeNumerically("<=", 10), "the permits of the rate, and one more for each side")
 }
 
-// Many callers are refused at once. They must not all return at the time of the same permit.
+// Many callers are refused at once. Their Retry-After values must be spread, or all of them would
+// return at the time of the same permit.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
@@ -127,7 +128,7 @@
 }
 
 // All targets need permits, which are granted outside the admission queue. No request may be left
-// waiting there.
+// waiting in that queue.
 func TestQueueIsReleasedWhenAllTargetsAreRateLimited(t *testing.T) {
 	g := NewWithT(t)
 	tr, q, now := permitTracker(), new(AdmissionQueue), time.Unix(1000, 0)
@@ -154,8 +155,8 @@
 	g.Expect(ownerRetry).To(Equal(time.Second))
 }
 
-// Messages must not grow with the number of rate limits, and each limit must be propagated at some
-// time.
+// Messages must not grow with the number of rate limits, and each limit must be propagated
+// eventually.
 func TestAllRateLimitsArePropagatedInBoundedMessages(t *testing.T) {
 	g := NewWithT(t)
 	tr, now := permitTracker(), time.Unix(1000, 0)
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -56,8 +56,8 @@
 	g.Expect(streamLimit(m, 120*time.Millisecond, 100, 1)).To(Equal(float64(m.Slots)))
 }
 
-// More requests wait than the targets sustain. A new one goes before those that are already late,
-// so it must not be refused for their number.
+// More requests wait than the targets sustain. A new request is admitted before those that are
+// already late, so their number must not lead to its refusal.
 func TestOnTimeRequestIsNotRefusedBecauseOfLateOnes(t *testing.T) {
 	g := NewWithT(t)
 	q, now := queueAtTenPerSecond()
@@ -102,7 +102,7 @@
 	return []groupPool{{TargetPool: pool, key: groupKey{service: pool.Service.Name}, maxStreams: maxStreams}}
 }
 
-// sendAll sends the waiting requests of an entry as far as its share of the headroom goes.
+// sendAll sends waiting requests of an entry until its share of the headroom is used.
 func sendAll(tr *Tracker, target *serving.Target, waiting int, now time.Time) (sent int) {
 	pool := testPool(fullGroupEntries, target)
 	pools := singlePool(pool, 10)
@@ -115,8 +115,8 @@
 	return sent
 }
 
-// One target has headroom for four, and 46 entries with five requests each have the same report.
-// Together they may send about four, not one or more each.
+// One target has headroom for four requests, and 46 entries with five waiting requests each have
+// the same report. Together they may send about four requests, not one or more each.
 func TestEntriesShareGroupHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -131,8 +131,8 @@
 	g.Expect(float64(sent) / rounds).To(BeNumerically("~", 4, 1.5))
 }
 
-// Only two entries have waiting requests. Divided by the number of entries, the headroom would stay
-// unused while requests wait.
+// Only two entries have waiting requests. If the headroom were divided by the number of all
+// entries, most of it would stay unused while requests wait.
 func TestHeadroomGoesToEntriesWithDemand(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -315,8 +315,8 @@
 	g.Expect(tr.Snapshot(restarted, now).Requests).To(BeZero())
 }
 
-// The leader agent has stalled; the map is not rebalanced. With the usual limit a group of 12 exceeded
-// the event-gap objective for 4 s, all its streams late; the recent peak of imbalance must count.
+// The leader agent stalls, so the map is not rebalanced. At the usual limit all streams of a group
+// of 12 missed the event-gap objective for 4 s; the limit must use the recent peak of imbalance.
 func TestStreamLimitWithoutReportsUsesPeakImbalance(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/placing/ratefleet_test.go
+++ b/placing/ratefleet_test.go
@@ -32,7 +32,7 @@
 	name    string
 	tracker *Tracker
 	down    bool
-	runs    int // number of starts of its process
+	runs    int // number of starts of the entry's process
 }
 
 type rateTarget struct {
@@ -127,7 +127,7 @@
 		return
 	}
 	e.tracker.StopIssuingPermits(limitedRun)
-	f.denyPermit(e, 500*time.Millisecond) // unless a response arrives
+	f.denyPermit(e, 500*time.Millisecond) // applies unless the response arrives earlier
 	rate, reportedAt := e.tracker.RateLimitOf(limitedRun)
 	age := f.now.Sub(reportedAt)
 	f.deliver(func() {
@@ -224,7 +224,7 @@
 	f.after(after, func() {
 		e.down, e.tracker = false, f.newTracker(i)
 		e.runs++
-		f.notify(f.entries[cmp.Or(i, 1)-1], e) // it asks another entry for its state
+		f.notify(f.entries[cmp.Or(i, 1)-1], e) // the entry gets the state of another entry
 	})
 }
 
@@ -252,7 +252,7 @@
 					f.run(6 * time.Second)
 					f.restart(f.rng.IntN(entries), 2*time.Second)
 					f.run(6 * time.Second)
-					f.restart(0, 3*time.Second) // the permit owner
+					f.restart(0, 3*time.Second) // entry 0 is the permit owner
 					f.run(8 * time.Second)
 					received := f.target.received[from:]
 					g.Expect(maxInWindow(received, permitWindow)).To(BeNumerically("<=", int(rate*permitWindow.Seconds())+2), "rate %g", rate)
--- a/placing/shortage_test.go
+++ b/placing/shortage_test.go
@@ -31,7 +31,7 @@
 }
 
 // The size of the group is no longer reported, or its engines run requests although fewer targets
-// are listed than it has ranks. Neither may refuse callers.
+// are listed than it has ranks. Neither is a shortage, so no caller may be refused.
 func TestEngineShortageNeedsCurrentSizeAndRefusals(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
--- a/placing/slow_test.go
+++ b/placing/slow_test.go
@@ -11,8 +11,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// One rank is many times slower than usual, and each of its streams delays all others. It gets no
-// requests although it is idle, until it has recovered or unless most ranks are slow.
+// One rank is many times slower than usual, and each of its streams delays all others. The slow
+// rank must get no requests, even if it is idle, until it has recovered or most ranks are slow.
 func TestVerySlowRankGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -43,7 +43,7 @@
 }
 
 // With a slow rank passes take half a second, so a stream of twenty events can't end within eight
-// seconds. It must be refused on arrival with the longest honoured Retry-After.
+// seconds. It must be refused on arrival with the longest Retry-After that callers honour.
 func TestStreamThatCannotFinishIsRefusedOnArrival(t *testing.T) {
 	g := NewWithT(t)
 	q := new(AdmissionQueue)
