--- a/lockstep/changes_test.go
+++ b/lockstep/changes_test.go
@@ -11,8 +11,8 @@
 	"github.com/heatherrail/heatherrail/peers"
 )
 
-// A rank with other experts than the leader assumes would make every later plan wrong, so decoding
-// must return exactly the encoded changes.
+// Decoding must return exactly the encoded changes: if a rank held other experts than the leader
+// assumes, every later plan would be wrong.
 func TestPackedChangesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	changes := []listChange{
@@ -40,7 +40,7 @@
 }
 
 // Passes of a new group are slow until it has its first map for the demand. If that map were sent in
-// full, a large group's link would be busy for many passes and agents would seem lost.
+// full, the leader's link would be busy for many passes and agents of a large group would seem lost.
 func TestFirstMapIsSentAsChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/largegroup_test.go
+++ b/lockstep/largegroup_test.go
@@ -22,7 +22,8 @@
 	maxSwitchDelay = 500 * time.Millisecond
 )
 
-// timeToSwitch waits until a group switches to another map and returns how long that took.
+// timeToSwitch waits until a group switches to another map and returns the time from the call to
+// the switch.
 func timeToSwitch(g *simGroup) time.Duration {
 	version := func() uint64 {
 		g.mu.Lock()
@@ -36,8 +37,8 @@
 	return time.Since(start)
 }
 
-// On small VMs a leader that asks each rank itself and sends full maps follows a shift in demand
-// after a second or never: its link and processor are full, so agents seem lost.
+// Guards against a leader that polls each rank itself and sends full maps. On small VMs its link and CPU
+// are then saturated, agents seem lost, and maps follow a shift in demand after a second or never.
 func TestAVeryLargeGroupFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -59,8 +60,8 @@
 	})
 }
 
-// Agents inside a tree of three levels freeze during switches, so relayed orders arrive late or
-// never, and engines execute some orders late. No pass may begin with two maps, and passes continue.
+// Agents inside a tree of three levels freeze during switches, so relayed orders arrive late or never,
+// and engines execute some orders late. No pass may begin with two maps, and passes must continue.
 func TestFrozenTreeAgentsNeverMixMaps(t *testing.T) {
 	const ranks = 60
 	for seed := range uint64(4) {
--- a/lockstep/leader_test.go
+++ b/lockstep/leader_test.go
@@ -14,8 +14,8 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// After a restart of all agents, the new leader assigns a version that some ranks take for an old one
-// and refuse. It must replace that map soon, not after prepareTimeout: passes are slow until then.
+// After a restart of all agents, the new leader assigns a map version that some ranks take for old
+// and refuse. It must replace the map soon, not after prepareTimeout: passes are slow until then.
 func TestRefusedVersionIsReplacedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -31,8 +31,8 @@
 	})
 }
 
-// Agents remember which versions they received, so a new leader continues from there even if no
-// rank reports them.
+// Agents remember the map versions that they received. A new leader must continue from these
+// versions even if no rank reports them.
 func TestNewLeaderContinuesFromVersionsReceivedByAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -50,8 +50,8 @@
 	})
 }
 
-// A switch has succeeded unseen by its leader, because the response to its last order was lost. The
-// leader must restore the map from its own history without asking any rank.
+// A switch succeeds without the leader noticing, because the response to its last order is lost.
+// The leader must restore the map from its own history without asking any rank.
 func TestLeaderRestoresItsOwnRecentMap(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(newSimGroup(4, 1, 8, 1))
@@ -86,8 +86,8 @@
 	})
 }
 
-// The holder's agent answers nothing for a second, as after a restart of the whole fleet. The leader
-// must hold and release the group through the engines, without waiting for that agent.
+// The agent of the rank that holds the group does not respond for a second, as after a restart of the
+// fleet. The leader must hold and release the group through the engines without waiting for that agent.
 func TestBusyHolderAgentDoesNotDelayASwitch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -121,7 +121,7 @@
 	})
 }
 
-// busyClient times out until busyUntil.
+// busyClient is a client of an agent whose requests time out until busyUntil.
 type busyClient struct {
 	PeerClient
 	busyUntil time.Time
@@ -136,8 +136,8 @@
 	return b.PeerClient.Ask(ctx, kind, q, answer, limit)
 }
 
-// In a fleet that has shrunk, 21 ranks of five places cannot hold 252 experts, and engines refuse
-// every map. The leader must send none, and still report the imbalance to entries.
+// In a fleet that has shrunk, 21 ranks with five places each cannot hold 252 experts, and engines
+// refuse every map. The leader must send no map, and still report the imbalance to entries.
 func TestGroupWithTooFewPlacesKeepsItsMap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -156,7 +156,7 @@
 }
 
 // Ranks refuse every map for a reason unknown to the leader. It must not plan and send maps without
-// pause: each map occupies its processor and all links.
+// pause: each map occupies the leader's CPU and all links.
 func TestRefusedMapsAreSentWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -171,8 +171,8 @@
 	})
 }
 
-// A leader may read the store while engines are still registering, as after a power loss. It must
-// not take seconds to lead its group after the last engine has registered.
+// A leader reads the store while engines are still registering, as after a power loss. It must
+// begin to lead its group soon after the last engine has registered, not seconds later.
 func TestLeaderFindsEnginesThatRegisterAfterItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/loads_test.go
+++ b/lockstep/loads_test.go
@@ -22,7 +22,7 @@
 }
 
 // If only the leader served loads, each of a hundred entries could ask only twice a second and would
-// place requests by stale loads. Every agent must serve loads, hardly a quarter of a second old.
+// place requests by stale loads. Every agent must serve loads, at most 5 % of them older than 250 ms.
 func TestAnyAgentOfALargeGroupServesFreshLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -51,7 +51,7 @@
 }
 
 // Entries report their queue counts to different agents, and divide the group's headroom by the
-// total. If an entry saw only its own count, all entries would take the same headroom.
+// total. If an entry knew only its own count, all entries would use the same headroom.
 func TestQueueCountsOfAllEntriesAreSummed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/lockstep/order_test.go
+++ b/lockstep/order_test.go
@@ -14,7 +14,7 @@
 // unansweringEngine does not answer its first orders.
 type unansweringEngine struct {
 	Engine
-	unanswered int // number of orders without an answer
+	unanswered int // number of first orders that get no answer
 	orders     int
 }
 
@@ -27,8 +27,8 @@
 	return peers.OrderResult{Accepted: true}, nil
 }
 
-// If an engine leaves an arm order unanswered while its group is held, its agent repeats the order at
-// once. If the leader had to notice and repeat it, every stream would pause for that long.
+// An engine does not answer an arm order while its group is held. Its agent must repeat the order
+// at once: every stream would pause until the leader had detected the loss and repeated the order.
 func TestUnansweredOrderIsRepeatedLocally(t *testing.T) {
 	g := NewWithT(t)
 	for unanswered, accepted := range map[int]bool{0: true, 1: true, localOrderAttempts - 1: true, localOrderAttempts: false} {
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -40,8 +40,8 @@
 	return other
 }
 
-// Each measurement of constant demand differs by chance. Each switch pauses every stream, so a
-// planner that follows chance pauses them several times a second for no better map.
+// Each measurement of constant demand differs by chance. Each switch pauses every stream, so a planner
+// that follows random variation would pause streams several times a second for no better map.
 func TestRandomVariationCausesFewSwitches(t *testing.T) {
 	g := NewWithT(t)
 	m := planModel()
@@ -61,8 +61,8 @@
 	g.Expect(switches).To(BeNumerically("<=", 4), "in 40 plans")
 }
 
-// While a map is copied, the leader waits for all ranks to have it. If it kept the usual round
-// interval and collected counts, the switch would come later and passes stay slow longer.
+// While a map is copied, the leader waits for all ranks to have it. If the leader kept the usual round
+// interval and collected counts, the switch would be later and passes would stay slow for longer.
 func TestRoundsAreShortWhileAMapIsCopied(t *testing.T) {
 	g := NewWithT(t)
 	l := new(leader)
@@ -76,8 +76,8 @@
 	g.Expect(l.roundDelay()).To(Equal(pendingInterval))
 }
 
-// With rounds every 60 ms and passes of 48 ms, one or two passes begin per round. Measured by single
-// rounds passes would seem to take 60 and 30 ms in turn, and plans would change with that.
+// With rounds every 60 ms and passes of 48 ms, one or two passes begin per round. Measured over single
+// rounds, passes would seem to take 60 and 30 ms in turn, and plans would alternate with them.
 func TestPassTimeIsSmoothedOverRounds(t *testing.T) {
 	g := NewWithT(t)
 	const pass = 48 * time.Millisecond
@@ -92,8 +92,8 @@
 	}
 }
 
-// With passes at two fifths of the event-gap objective, a better map brings no response on time and
-// costs gigabytes of copies. With passes near the objective the same small shift is worth a switch.
+// With passes at two fifths of the event-gap objective, a better map gets no further response on time
+// and costs gigabytes of copies. With passes near the objective the same small shift is worth a switch.
 func TestLowUrgencyGroupIgnoresSmallShift(t *testing.T) {
 	g := NewWithT(t)
 	m := planModel()
@@ -112,8 +112,8 @@
 	g.Expect(calm.best(layouts, shifted).copies).To(BeZero())
 }
 
-// A group with hardly any streams stays within its objective on any map, so copies serve no request.
-// With a few streams on each rank the same shift is worth a switch.
+// A group with hardly any streams stays within its objective on any map, so copying weights
+// improves no response. With a few streams on each rank the same shift is worth a switch.
 func TestIdleGroupDoesNotCopyMaps(t *testing.T) {
 	g := NewWithT(t)
 	m := planModel()
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -59,7 +59,7 @@
 // serialResource serves one message at a time.
 type serialResource struct {
 	mu     sync.Mutex
-	freeAt time.Time // end of the last reservation
+	freeAt time.Time // end of the latest use that was reserved
 }
 
 // occupy waits for the resource and uses it for d.
--- a/lockstep/simfleet_test.go
+++ b/lockstep/simfleet_test.go
@@ -22,7 +22,7 @@
 	from *simVM
 }
 
-// reach waits while the calling VM is frozen, and fails if the engine's VM is.
+// reach waits while the calling VM is frozen, and fails if the VM of the engine is frozen.
 func (e *simEngine) reach() error {
 	e.from.waitUntilThawed()
 	if e.vm != e.from && e.vm.isFrozen() {
@@ -97,8 +97,8 @@
 
 // Cost of messages on a small VM.
 const (
-	smallVMMessageTime = 150 * time.Microsecond // CPU time of a whole core to send or receive one
-	smallVMCoreShare   = 0.24                   // of a core
+	smallVMMessageTime = 150 * time.Microsecond // time to send or receive one message on a whole core
+	smallVMCoreShare   = 0.24                   // share of a core that a small VM has
 	smallVMLinkRate    = 6e6 / 8                // bytes per second
 )
 
@@ -120,7 +120,7 @@
 // simFleet is a group with its agents.
 type simFleet struct {
 	group            *simGroup
-	leaderOrders     atomic.Int64 // sent by rank 0's agent to other agents
+	leaderOrders     atomic.Int64 // orders that the agent of rank 0 sent to other agents
 	storeDown        atomic.Bool
 	storeSlow        atomic.Bool
 	lateRegistration atomic.Bool // only the first engine is registered
--- a/lockstep/switch_test.go
+++ b/lockstep/switch_test.go
@@ -15,7 +15,7 @@
 	"github.com/heatherrail/heatherrail/serving"
 )
 
-// runGroup runs a group with its agents for d, with during in parallel.
+// runGroup runs a group and its agents for d and calls during in parallel.
 func runGroup(t *testing.T, g *simGroup, d time.Duration, during func(f *simFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -44,8 +44,8 @@
 	g.Expect(group.passes).To(BeNumerically(">", 250), "of 300")
 }
 
-// Engines leave a third of the orders unanswered and execute them 2 to 12 s later, after newer ones.
-// A late arm must be refused, a late hold must not stall the group, and no pass may see two maps.
+// Engines execute a third of the orders 2 to 12 s late, without an answer and after newer orders. Late
+// arms must be refused, late holds must not stall the group, and no pass may begin with two maps.
 func TestLateOrdersNeverMixMaps(t *testing.T) {
 	for seed := range uint64(12) {
 		g := NewWithT(t)
@@ -63,8 +63,8 @@
 	}
 }
 
-// VMs freeze for four seconds at random moments, the leader's during a switch among them, and orders
-// go unanswered. Agents continue where they stopped. No pass may begin with two maps.
+// VMs freeze for four seconds at random moments, the leader's VM also during a switch, and orders
+// go unanswered. Agents then continue where they stopped. No pass may begin with two maps.
 func TestFrozenVMsNeverMixMaps(t *testing.T) {
 	for seed := range uint64(16) {
 		g := NewWithT(t)
@@ -128,8 +128,8 @@
 	group.ranks[0].vm.unfreeze()
 }
 
-// The leader's VM freezes after its hold, so its rank's state is unreachable. Since that rank is armed
-// last, the other agents must release the hold within about a second, before the VM is back.
+// The leader's VM freezes after the hold, so the state of the leader's rank is unreachable. As that rank
+// is armed last, the other agents must release the hold within about a second, before the VM is back.
 func TestFrozenLeaderDoesNotStopTheGroup(t *testing.T) {
 	g := NewWithT(t)
 	group := newSimGroup(12, 4, 72, 3)
@@ -142,8 +142,8 @@
 	g.Expect(group.longestStall).To(BeNumerically("<", 1500*time.Millisecond))
 }
 
-// The leader's VM freezes while the group is held, and the store is slow. Every stream is stalled, so
-// the group must go on within 0.35 s: other agents must not wait for usual timeouts in sequence.
+// The leader's VM freezes while the group is held, and the store is slow. All streams stall, so the
+// group must continue within 0.35 s: other agents must not wait for several timeouts in sequence.
 func TestGroupHeldByAFrozenLeaderResumesSoon(t *testing.T) {
 	g := NewWithT(t)
 	group := newSimGroup(12, 4, 72, 3)
@@ -154,8 +154,8 @@
 	g.Expect(group.longestStall).To(BeNumerically("<=", 360*time.Millisecond))
 }
 
-// Eight ranks are armed when their leader freezes. The group is stalled until they are disarmed, so
-// that must happen in parallel.
+// Eight ranks are armed when their leader freezes. The group is stalled until these ranks are
+// disarmed, so they must be disarmed in parallel.
 func TestRanksAreDisarmedInParallel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -178,8 +178,8 @@
 	})
 }
 
-// The group is held, no rank is armed, and one agent has not confirmed the fence. It may still arm its
-// rank, so the hold must stay until the agent confirms, and no longer.
+// The group is held, no rank is armed, and one agent has not confirmed the fence. This agent may
+// still arm its rank, so the hold must stay until the agent confirms, and no longer.
 func TestHoldIsNotReleasedBeforeAllAgentsAreFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -191,7 +191,7 @@
 		members.refresh()
 		members.addMember(a.opts.EngineAddr)
 		slow := f.agents[3]
-		slow.armToken <- struct{}{} // an arm order is in progress there
+		slow.armToken <- struct{}{} // an arm order is in progress at this agent
 		seenAt := time.Now()
 		recoverGroup(a, members, members.members[a.opts.EngineAddr], "g", seenAt)
 		g.Expect(rank.heldAt).To(BeEquivalentTo(1))
@@ -203,8 +203,8 @@
 	})
 }
 
-// The other agents have released the hold of a frozen leader. When it wakes up and sends arm orders for
-// that pass, agents must refuse them, and only them.
+// The other agents have released the hold of a frozen leader. When the leader resumes and sends arm
+// orders for that pass, agents must refuse these orders and no others.
 func TestFencedPassIsNotArmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -227,7 +227,8 @@
 	})
 }
 
-// An agent that lacks the base of changes must say so and must not build a map from them.
+// An agent without the map on which changes are based must report that and must not build a map
+// from the changes.
 func TestChangesWithUnknownBaseAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	var h mapHistory
@@ -245,8 +246,8 @@
 	g.Expect(ok).To(BeFalse(), "another epoch starts with other maps")
 }
 
-// Selections vary by chance while demand is constant: that is no shift. A real shift must be detected
-// within two observations.
+// Random variation of expert selections under constant demand must not count as a demand shift. A
+// real shift must be detected within two observations.
 func TestDemandShiftIsDistinguishedFromNoise(t *testing.T) {
 	g := NewWithT(t)
 	m := &serving.EngineModel{LayerSets: 1, Experts: 12}
@@ -301,8 +302,8 @@
 	})
 }
 
-// A fence arrives before the engine's first report. It must hold for the run that the engine then
-// reports.
+// A fence arrives before the engine's first report. The fence must apply to the engine run that is
+// then reported.
 func TestFenceBeforeFirstEngineReportHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -320,8 +321,8 @@
 	})
 }
 
-// After a power loss the agents are up before the store. The group must be led and have a fitting map
-// soon after the store is back, not only after the usual read interval.
+// After a power loss the agents are up before the store. The group must have a leader and a map for
+// its demand soon after the store is back, not only after the usual read interval.
 func TestGroupIsLedSoonAfterStoreRecovery(t *testing.T) {
 	g := NewWithT(t)
 	group := newSimGroup(12, 4, 72, 5)
@@ -341,8 +342,8 @@
 	g.Expect(version).NotTo(BeZero())
 }
 
-// A read of the store may be stale or lack most targets right after an outage. The group keeps its
-// members until they have been missing for LapsedGrace.
+// A read of the store may be stale or lack most targets right after an outage. The group must keep
+// its members until they have been missing for LapsedGrace.
 func TestSingleStoreReadDoesNotEmptyAGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -361,8 +362,8 @@
 	})
 }
 
-// A frozen leader holds a large group. The recovering agent must already know which member leads: with
-// the leader in its tree, the ranks below would answer late while every stream is stalled.
+// A frozen leader holds a large group. The agent that recovers the group must leave the leader out
+// of its tree: ranks below the leader would respond late while every stream is stalled.
 func TestLargeGroupHeldByAFrozenLeaderResumesSoon(t *testing.T) {
 	for seed := range uint64(4) {
 		g := NewWithT(t)
--- a/lockstep/tree_test.go
+++ b/lockstep/tree_test.go
@@ -23,15 +23,15 @@
 	}
 }
 
-// collectCounts collects a group's selection counts as its leader does. It returns the selections made
-// during between, and how many other agents' states carried counts.
+// collectCounts collects selection counts as a leader does, before and after it calls between. It
+// returns the selections made in that time and how many states of other agents carried counts.
 func collectCounts(f *simFleet, between func()) (sum []float64, remoteCounts int, complete bool) {
 	l := newLeader(f.agents[0])
 	l.group.refresh()
 	l.group.addMember(engineAddress(0))
 	q := &peers.Collect{Counts: true}
 	for range 2 {
-		l.group.collect("g", q) // the first finds the rank of each member
+		l.group.collect("g", q) // the first call finds the rank of each member
 	}
 	between()
 	ranks, complete := l.group.collect("g", q)
@@ -39,7 +39,7 @@
 	for _, r := range ranks {
 		if int(r.state.Experts) == len(sum) {
 			if r.localAgent == nil {
-				remoteCounts++ // the leader's own counts do not cross its link
+				remoteCounts++ // the leader's own counts are not sent over its link
 			}
 			addSelections(sum, &r.state)
 		}
@@ -54,8 +54,8 @@
 	return f
 }
 
-// The ranks select different experts. A map made for the selections of some ranks fits the group
-// badly, so the leader must learn those of all ranks, though only a few agents send them.
+// The ranks select different experts. A map made for the selections of some ranks fits the group badly,
+// so the leader must get the selections of all ranks, although only a few agents send counts to it.
 func TestLeaderCollectsSelectionsOfAllRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -69,8 +69,8 @@
 	})
 }
 
-// One rank's VM is frozen. Only its own counts may be missing, and the leader must not wait for it
-// much longer than askTimeout.
+// One rank's VM is frozen. Only the counts of this rank may be missing, and the leader must not
+// wait for it much longer than askTimeout.
 func TestFrozenAgentLosesOnlyItsOwnCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -149,8 +149,8 @@
 	})
 }
 
-// A service has two groups. If each leader asked all engines in every round, agents would do nothing
-// else, so other groups' engines are only asked periodically, and sooner while a rank is missing.
+// A service has two groups. Agents would be busy if each leader polled all engines in every round, so it
+// polls those of the other group only periodically, and sooner while one of its ranks is missing.
 func TestLeaderAsksOnlyItsOwnGroupBetweenSearches(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(newSimGroup(6, 1, 12, 1))
