--- a/members/fleet_test.go
+++ b/members/fleet_test.go
@@ -65,7 +65,7 @@
 
 func address(n int) string { return fmt.Sprintf("10.0.%d.%d:1", n/200, n%200) }
 
-// add creates an entry without starting it.
+// add creates the n-th entry of the fleet without starting it.
 func (f *fleet) add(n int, incarnation uint64) *entry {
 	e := &entry{fleet: f, name: fmt.Sprintf("entry-%03d", n), address: address(n), ready: true}
 	e.membership = New(Options{
@@ -315,7 +315,8 @@
 	})
 }
 
-// maxStaleShare of the rows may be wrong, since updates reach some entries late.
+// maxStaleShare is the share of table rows that may be wrong, since updates reach some entries
+// late.
 const maxStaleShare = 0.01
 
 // In an idle fleet, the requests, bytes and connections of an entry must not grow with the size of
