--- a/expert/history_test.go
+++ b/expert/history_test.go
@@ -66,7 +66,7 @@
 	replyLost := w.rng.IntN(20) == 0
 	switch {
 	case attempt.withdrawn:
-		_ = w.agents[r].Withdraw(engine, attempt.Ballot) // the rank may refuse it
+		_ = w.agents[r].Withdraw(engine, attempt.Ballot) // the rank may refuse the withdrawal
 	case attempt.decision != nil:
 		reply := attempt.Replies[r]
 		if w.agents[r].Decide(engine, *attempt.decision, reply.Incarnation, reply.EngineRun) == nil {
--- a/expert/model_test.go
+++ b/expert/model_test.go
@@ -34,16 +34,16 @@
 	ignoreHold          variant = "a rank passes its hold"
 )
 
-// bounds limits one search.
+// bounds are the limits of one search of the model.
 type bounds struct {
 	variant        variant
 	steps          uint64
-	holdAt         []uint64 // by ballot
-	wantedMaps     []MapID  // by ballot
+	holdAt         []uint64 // step of the hold, by ballot
+	wantedMaps     []MapID  // map that the coordinator wants, by ballot
 	agentRestarts  int
 	engineRestarts int
 	noWithdrawals  bool
-	maxStates      int // the search fails if it finds more
+	maxStates      int // the search fails if it finds more states
 }
 
 // modelAttempt is the state of one ballot at its coordinator.
@@ -183,7 +183,7 @@
 	s.trail = s.trail[:len(s.trail)-1]
 }
 
-// engineActions tries a step and the restarts of one rank.
+// engineActions visits the states after a step and after the restarts of one rank.
 func (s *search) engineActions(w *world, r int) {
 	pos := &w.engine[r]
 	if (pos.CanEnterStep() || s.ignoresHold(pos)) && pos.Next < s.steps {
@@ -219,9 +219,9 @@
 	return s.variant == ignoreHold && pos.Joined && !pos.Inside
 }
 
-// restartEngine tries a restart of one engine. The data that its previous run sent into an unfinished
-// step either counts for the ranks that were in the step with it, or is lost. It never counts for
-// ranks that enter the step later.
+// restartEngine visits the states after a restart of one engine. The data that its previous run
+// sent into an unfinished step either counts for the ranks that were in the step with it, or is
+// lost. It never counts for ranks that enter the step later.
 func (s *search) restartEngine(w *world, r int) {
 	next := s.takeCopy(w)
 	next.engineRestarts++
@@ -277,7 +277,7 @@
 	w.finished[step] = w.used[r][step]
 }
 
-// coordinatorActions tries the withdrawal and the decision of one ballot.
+// coordinatorActions visits the states after the withdrawal and after the decision of one ballot.
 func (s *search) coordinatorActions(w *world, b int) {
 	a := &w.attempt[b]
 	if a.decision != nil {
@@ -342,7 +342,7 @@
 
 func ballot(b int) Ballot { return Ballot{Round: uint64(b) + 1} }
 
-// messageActions tries the delivery of the messages of one ballot to one rank.
+// messageActions visits the states after the delivery of each message of one ballot to one rank.
 func (s *search) messageActions(w *world, b, r int) {
 	a := &w.attempt[b]
 	next := s.takeCopy(w)
@@ -383,7 +383,7 @@
 	}
 }
 
-// deliverDecision tries the delivery of a decision to one rank.
+// deliverDecision visits the state after the delivery of a decision to one rank.
 func (s *search) deliverDecision(w *world, b, r int) {
 	next := s.takeCopy(w)
 	a := &w.attempt[b]
--- a/expert/modelkey_test.go
+++ b/expert/modelkey_test.go
@@ -48,7 +48,7 @@
 	key = appendSchedule(key, pos.Plan)
 	key = append(key, byte(agent.Incarnation), byte(agent.Promised.Round), byte(agent.HeldBy.Round), bit(agent.WasRunning))
 	if n := int(agent.HeldBy.Round); n > 0 && !w.attempt[n-1].repliesComplete {
-		key = appendReply(key, &agent.lastReply) // the rank may send it again
+		key = appendReply(key, &agent.lastReply) // the rank may send this reply again
 	}
 	for b := range ballots {
 		key = w.attempt[b].replyKey(key, r)
--- a/expert/plan_test.go
+++ b/expert/plan_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// A plan must be deterministic, contain every expert, keep to its limits and gain more than it costs.
+// A plan must be deterministic, contain every expert, stay within its limits and gain more time
+// than its moves cost.
 func TestPlansAreWholeBoundedAndPay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/expert/report_test.go
+++ b/expert/report_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A coarse band is off by up to 19 %. The errors must cancel out in the sum over many ranks, or maps
-// are planned for wrong loads.
+// A load that is reported as a coarse band is off by up to 19 %. These errors must cancel out in
+// the sum over many ranks, or maps would be planned for wrong loads.
 func TestSumOfCoarseBandsIsCloseToTheLoads(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 3))
