--- a/route/limit_test.go
+++ b/route/limit_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// The callers of a team move from one entry to another at once. While both entries hold a
-// share the team gets at most twice its limit, and then its limit within 5%.
+// The callers of a team move from one entry to another at once. While both entries have a share of
+// the limit, the team gets at most twice its limit; afterwards it gets its limit within 5%.
 func TestLimitIsAtMostDoubledWhenDemandMoves(t *testing.T) {
 	g := NewWithT(t)
 	r := newLimitRun(route.Limits{Requests: 100}, "a", "b")
@@ -143,8 +143,8 @@
 	}
 }
 
-// Entries that are not members of the team admit a small part of its limit together,
-// whatever the demand.
+// Entries that are not among the members that share a team's limit together admit only a small part
+// of it, whatever the demand.
 func TestNonMembersAdmitSmallPartOfLimit(t *testing.T) {
 	g := NewWithT(t)
 	admitted := 0
@@ -192,8 +192,8 @@
 // benchmarkSink makes the limiter escape to the heap, as in an entry.
 var benchmarkSink *route.TeamLimiter
 
-// BenchmarkTeamState measures the memory of one team at an entry that keeps its limits, and
-// in the queue of a target.
+// BenchmarkTeamState measures the memory of one team at an entry that enforces the team's limits,
+// and in the queue of a target.
 func BenchmarkTeamState(b *testing.B) {
 	b.Run("limits", func(b *testing.B) {
 		b.ReportAllocs()
--- a/route/outcomes_test.go
+++ b/route/outcomes_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// A non-repeatable request that may have run is never retried, except at its home after a
-// lost connection.
+// A non-repeatable request that may have run is never retried, except at its home target (the only
+// one that may run it) after a lost connection.
 func TestNonRepeatableRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	g := NewWithT(t)
 	for _, info := range result.All() {
@@ -77,7 +77,7 @@
 	}
 	q := route.NewQuarantine()
 	q.RecordCrash(1, false, []uint64{10, 11}, now, now)
-	q.RecordCrash(1, false, []uint64{10, 11}, now, now) // repeated report
+	q.RecordCrash(1, false, []uint64{10, 11}, now, now) // repeated report of the same crash
 	g.Expect(check(q, 10)).To(Equal(route.QuarantineRunAlone))
 	q.Clear(11)
 	g.Expect(check(q, 11)).To(Equal(route.QuarantineAllow))
--- a/route/place_test.go
+++ b/route/place_test.go
@@ -110,8 +110,8 @@
 	g.Expect(picked).NotTo(Equal("t17"))
 }
 
-// By a report one second old a target has slightly less load than the mean. If eight entries acted on
-// it in full, it would get all requests. An idle target's report among full ones keeps its weight.
+// A report one second old shows slightly less load than the mean. If eight entries acted on it in full,
+// its target would get all requests. An idle target's report among full ones keeps its weight.
 func TestStaleReportsAreDiscounted(t *testing.T) {
 	g := NewWithT(t)
 	var m route.LoadMeans
--- a/route/targetqueue_test.go
+++ b/route/targetqueue_test.go
@@ -167,8 +167,8 @@
 	g.Expect(admission).To(Equal(route.Admitted))
 }
 
-// An engine meets no deadline for some minutes and then recovers. If the old estimate still rejected
-// all requests, none would run that could correct it, and the target would stay unused.
+// An engine meets no deadline for some minutes and then recovers. If the old estimate still
+// rejected all requests, no run could correct the estimate, and the target would stay unused.
 func TestRecoveredEngineIsUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	queue := route.NewTargetQueue(4, 100)
