--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -51,7 +51,7 @@
 services = drafter, logbook
 `}
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer is a log in memory that can be read while it is written.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -76,7 +76,7 @@
 	return startArrival(t, 0)
 }
 
-// startArrival is startSmall with an arrival timeout for requests.
+// startArrival starts a fleet as startSmall does, with an arrival timeout for requests.
 func startArrival(t *testing.T, arrival time.Duration) (*demo.Fleet, string, *logBuffer) {
 	t.Helper()
 	cfg, err := config.Load(smallConfig)
@@ -97,6 +97,7 @@
 	return f, f.Entries[0].Addr(), logged
 }
 
+// draft returns the body of a completion request.
 func draft(prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":"drafter","stream":true,"max_tokens":%d,"prompt":%q}`, tokens, prompt)
 }
@@ -246,8 +247,8 @@
 	return nil
 }
 
-// A caller disconnects in the middle of its answer or before it begins. Nothing is written to it in
-// the second case, so only the watch on its connection can free the engine slot.
+// A caller disconnects in the middle of its answer or before the answer begins. In the second case
+// nothing is written to the caller, so only the watch on its connection can free the engine slot.
 func TestCallerDisconnectFreesEngineSlot(t *testing.T) {
 	g := NewWithT(t)
 	f, addr, _ := startSmall(t)
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -74,8 +74,8 @@
 	return resp, body
 }
 
-// A team reads the placement decisions of its request. Another team that knows the request's id
-// must get nothing.
+// A team reads the placement decisions of its request. Another team that knows the id of the
+// request must not get them.
 func TestExplainAnswersOnlyTheOwningTeam(t *testing.T) {
 	g := NewWithT(t)
 	_, addr := startPlacementFleet(t)
--- a/entry/ranks_test.go
+++ b/entry/ranks_test.go
@@ -8,7 +8,7 @@
 )
 
 // The owner of a group dies and its ranks stall. Agents report twice a second, the entry checks four
-// times, so every other check sees no new report. The stall must still count from the first report.
+// times, so every other check has no new report. The stall must still be timed from the first report.
 func TestStallCountsFromFirstReport(t *testing.T) {
 	g := NewWithT(t)
 	var s stalledRanks
--- a/entry/slowcaller_test.go
+++ b/entry/slowcaller_test.go
@@ -94,7 +94,7 @@
 		NoCallers:   true,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	time.Sleep(5 * time.Second) // virtual
+	time.Sleep(5 * time.Second) // virtual time
 	g.Expect(e.Linked()).To(Equal(1))
 	return e, func() { e.Close(); a.Close() }
 }
--- a/entry/smuggling_test.go
+++ b/entry/smuggling_test.go
@@ -41,7 +41,7 @@
 			_, err = io.WriteString(nc, tc.input)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(nc.(*net.TCPConn).CloseWrite()).To(Succeed())
-			answer, _ := io.ReadAll(nc) // a closed connection is as good as an answer
+			answer, _ := io.ReadAll(nc) // an error is accepted, as the entry may close the connection
 			g.Expect(strings.Count(string(answer), "HTTP/1.1 200")).To(BeNumerically("<=", 1))
 		})
 	}
@@ -51,7 +51,7 @@
 		g.Expect(r.Key).NotTo(ContainSubstring("\r"))
 	}
 	g.Expect(metricsText(f)).To(ContainSubstring(`reason="bad_request"`))
-	// The entry keeps serving.
+	// The entry must still serve requests.
 	resp, err := http.DefaultClient.Do(newRequest(t, "POST", addr, "/v1/services/logbook/open", "after"))
 	g.Expect(err).NotTo(HaveOccurred())
 	_ = resp.Body.Close()
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -35,7 +35,7 @@
 	l.applyLoad(old, loadOf(4, 9, 0)) // reordered
 	g.Expect(requestsAt(l)).To(Equal(5.0))
 	first.StreamEnded()
-	first.StreamEnded() // the stream ends and is closed too
+	first.StreamEnded() // the end and the close of one stream count once
 	g.Expect(requestsAt(l)).To(Equal(4.0))
 	second.ChunkReceived([]byte("data: a\n\ndata: b\n\n"))
 	var target route.Target
