--- a/control/apply_test.go
+++ b/control/apply_test.go
@@ -120,8 +120,8 @@
 	if code == result.ChangeUnknown {
 		end = 1 << 40 // the change may still take effect at any later time
 	}
-	// Resume voided the change although its base may have been right: the outcome
-	// says nothing about the version.
+	// Resume may void a change whose base was in force, so this outcome does not tell which version
+	// was in force.
 	if code == result.ChangeRefused && out.Reason == config.ReasonVoided {
 		return nil
 	}
@@ -142,7 +142,7 @@
 		records, err := config.ChangeRecords(&config.Change{ID: id, Base: v, Digest: config.Digest(big), Delta: config.NewDelta(teams(1), big)})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(len(records)).To(BeNumerically(">", 3))
-		_, err = c.log.Append(t.Context(), records[:len(records)-1]) // all parts but not the commit
+		_, err = c.log.Append(t.Context(), records[:len(records)-1]) // all parts without the commit
 		g.Expect(err).NotTo(HaveOccurred())
 		next := c.apply(2)
 		g.Expect(next).To(Equal(v + 1))
@@ -157,8 +157,8 @@
 	})
 }
 
-// An append takes effect but its answer is lost. The operator must find the change by
-// reading back and see it accepted exactly once.
+// An append takes effect but its answer is lost. The operator must find the change by reading the
+// log back, accepted exactly once.
 func TestChangeIsAcceptedOnceAfterLostAppendResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -18,7 +18,7 @@
 	"github.com/heatherrail/heatherrail/wire"
 )
 
-// logEndpoint is the name of the log service in cuts.
+// logEndpoint is the name of the log service in downLinks.
 const logEndpoint = "log"
 
 // cluster is a set of nodes on a network of pipes. It runs inside a synctest bubble.
@@ -31,13 +31,13 @@
 	mu          sync.Mutex
 	nodes       map[string]*Node
 	peers       map[string]Peer
-	cuts        map[[2]string]bool // (from, to) pairs whose bytes are lost
+	downLinks   map[[2]string]bool // (from, to) pairs whose bytes are lost
 	incarnation uint64
 	downgraded  []string // processes that installed an older version after a newer one
 }
 
 func newCluster(t *testing.T, centres map[string]int) *cluster {
-	c := &cluster{t: t, log: fake.NewLog(), timing: DefaultTiming, nodes: make(map[string]*Node), peers: make(map[string]Peer), cuts: make(map[[2]string]bool)}
+	c := &cluster{t: t, log: fake.NewLog(), timing: DefaultTiming, nodes: make(map[string]*Node), peers: make(map[string]Peer), downLinks: make(map[[2]string]bool)}
 	for dc, n := range centres {
 		for i := range n {
 			name := fmt.Sprintf("%s-%d", dc, i)
@@ -62,7 +62,7 @@
 	n := New(Options{
 		Self:        c.peers[name],
 		Incarnation: inc,
-		Log:         &cutLog{c, name},
+		Log:         &linkedLog{c, name},
 		Dial:        func(ctx context.Context, addr string) (net.Conn, error) { return c.dial(ctx, name, addr) },
 		Logger:      logr.Discard(),
 		Metrics:     metrics.New(),
@@ -113,27 +113,27 @@
 	return c.nodes[name]
 }
 
-// cut drops all bytes from one process to another, or, with on false, restores the link.
-func (c *cluster) cut(from, to string, on bool) {
+// setLinkDown drops all bytes from one process to another, or restores the link if down is false.
+func (c *cluster) setLinkDown(from, to string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cuts[[2]string{from, to}] = on
+	c.downLinks[[2]string{from, to}] = down
 }
 
-// isolate cuts a process off from all others and from the log, in both directions, or
-// restores its links.
-func (c *cluster) isolate(name string, on bool) {
+// isolate interrupts the links of a process to all others and to the log, in both directions, or
+// restores them if isolated is false.
+func (c *cluster) isolate(name string, isolated bool) {
 	for other := range c.peers {
-		c.cut(name, other, on)
-		c.cut(other, name, on)
+		c.setLinkDown(name, other, isolated)
+		c.setLinkDown(other, name, isolated)
 	}
-	c.cut(name, logEndpoint, on)
+	c.setLinkDown(name, logEndpoint, isolated)
 }
 
-func (c *cluster) isCut(from, to string) bool {
+func (c *cluster) isLinkDown(from, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cuts[[2]string{from, to}]
+	return c.downLinks[[2]string{from, to}]
 }
 
 var errNoRoute = errors.New("no route")
@@ -143,7 +143,7 @@
 	if n == nil {
 		return nil, errNoRoute
 	}
-	if c.isCut(from, to) || c.isCut(to, from) {
+	if c.isLinkDown(from, to) || c.isLinkDown(to, from) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -157,7 +157,7 @@
 	return &lossyConn{a, c, from, to}, nil
 }
 
-// lossyConn drops written bytes while the link is cut.
+// lossyConn is a connection that drops written bytes while its link is down.
 type lossyConn struct {
 	net.Conn
 	c        *cluster
@@ -165,33 +165,33 @@
 }
 
 func (l *lossyConn) Write(p []byte) (int, error) {
-	if l.c.isCut(l.from, l.to) {
+	if l.c.isLinkDown(l.from, l.to) {
 		return len(p), nil
 	}
 	return l.Conn.Write(p)
 }
 
-// cutLog is the log as seen by one process, through its link.
-type cutLog struct {
+// linkedLog is the log as one process reaches it, over a link that can be down.
+type linkedLog struct {
 	c    *cluster
 	name string
 }
 
-func (l *cutLog) Append(ctx context.Context, records [][]byte) (uint64, error) {
-	if l.c.isCut(l.name, logEndpoint) {
+func (l *linkedLog) Append(ctx context.Context, records [][]byte) (uint64, error) {
+	if l.c.isLinkDown(l.name, logEndpoint) {
 		<-ctx.Done()
 		return 0, outside.ErrUnknownOutcome
 	}
 	return l.c.log.Append(ctx, records)
 }
 
-func (l *cutLog) Read(ctx context.Context, from uint64, max int, wait time.Duration) (outside.Page, error) {
-	if l.c.isCut(l.name, logEndpoint) {
+func (l *linkedLog) Read(ctx context.Context, from uint64, max int, wait time.Duration) (outside.Page, error) {
+	if l.c.isLinkDown(l.name, logEndpoint) {
 		<-ctx.Done()
 		return outside.Page{}, ctx.Err()
 	}
 	page, err := l.c.log.Read(ctx, from, max, wait)
-	if l.c.isCut(l.name, logEndpoint) { // the answer is lost
+	if l.c.isLinkDown(l.name, logEndpoint) { // the answer is lost
 		<-ctx.Done()
 		return outside.Page{}, ctx.Err()
 	}
--- a/control/fence_test.go
+++ b/control/fence_test.go
@@ -21,7 +21,7 @@
 		return result.OK
 	}
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
-	f.RecordFloors("entry-1", 3, []Floor{{res, 6}}) // entry-1 is cut off from the log: its floor is old
+	f.RecordFloors("entry-1", 3, []Floor{{res, 6}}) // entry-1 does not reach the log, so its floor is out of date
 	f.RecordFloors("entry-1", 3, []Floor{{res, 6}})
 	g.Expect(code(7)).To(Equal(result.FenceUnknown))
 	f.RecordFloors("entry-2", 3, []Floor{{res, 8}})
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -168,8 +168,8 @@
 	})
 }
 
-// A holder that drops its lease hands over without waiting for the TTL, and one record
-// renews 30 resources of a holder.
+// A lease that its holder releases must be taken by another node without waiting for the TTL. One
+// record must renew 30 leases of a holder.
 func TestReleasedLeaseIsTakenAtOnceAndRenewalsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/control/members_test.go
+++ b/control/members_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A process is down only if two observers miss it and none hears it.
+// A process counts as down only if two observers no longer receive its heartbeats and no other
+// observer still receives them.
 func TestProcessIsDownOnlyWhenTwoObserversMissIt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) Observation { return Observation{Name: "x", Incarnation: 1, Age: d} }
@@ -71,12 +72,12 @@
 			}
 			return n
 		}
-		c.cut(x, relays[0], true) // the first observer no longer hears x
+		c.setLinkDown(x, relays[0], true) // the first observer receives nothing from x
 		for range 600 {
 			time.Sleep(time.Second)
 			g.Expect(usable()).To(Equal(4))
 		}
-		c.cut(x, relays[0], false)
+		c.setLinkDown(x, relays[0], false)
 		c.isolate(x, true)
 		time.Sleep(3 * DefaultFailureTimeout)
 		g.Expect(usable()).To(BeZero())
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -15,8 +15,8 @@
 // everywhere.
 const applyDeadline = 11 * time.Second
 
-// An attacker on a target's VM asks an entry for the whole state. It must not get the key
-// hashes of the teams, and its heartbeats must not count.
+// An attacker on a target's VM asks an entry for the whole state. The attacker must not get the key
+// hashes of the teams, and its heartbeats must be ignored.
 func TestAgentsCannotReadState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -72,7 +72,7 @@
 		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		time.Sleep(time.Minute)
 		before := c.apply(2)
-		time.Sleep(100 * time.Millisecond) // the log readers have version 2
+		time.Sleep(100 * time.Millisecond) // lets the log readers receive version 2
 		c.log.SetFaults(fake.LogFaults{Down: true})
 		c.waitForVersion(applyDeadline, before, c.names()...)
 
@@ -220,7 +220,7 @@
 		c.waitForVersion(applyDeadline, c.apply(1), c.names()...)
 		relays := c.node("a-0").topology.Ranked[:RelayCount]
 		for _, name := range relays {
-			c.cut(name, logEndpoint, true)
+			c.setLinkDown(name, logEndpoint, true)
 		}
 		time.Sleep(time.Minute)
 		c.waitForVersion(time.Minute, c.apply(2), c.names()...)
