--- a/agent/control_test.go
+++ b/agent/control_test.go
@@ -31,8 +31,8 @@
 	return result.From(err).Code
 }
 
-// A request under version 7 passes for the grace after version 8 arrives and is refused
-// after it. Version 9 must not renew the grace.
+// A request under version 7 must pass during the grace period after version 8 arrives, and be
+// refused later. The arrival of version 9 must not extend the grace period.
 func TestSupersededVersionIsRefusedAfterGrace(t *testing.T) {
 	g := NewWithT(t)
 	a := newTestAgent(nil, 1)
@@ -52,8 +52,8 @@
 	g.Expect(len(a.config.versions)).To(Equal(maxVersions))
 }
 
-// Holder 4 is paused while holder 5 takes over, then sends an order, also after an agent
-// restart. The engine ignores fencing numbers, so the agent must refuse the order.
+// A lease holder with fencing number 4 is paused while number 5 takes over, then sends an order, also
+// after an agent restart. The engine ignores fencing numbers, so the agent must refuse the order.
 func TestAgentRefusesStaleOrdersForEnginesWithoutFencing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/agent/rank_test.go
+++ b/agent/rank_test.go
@@ -20,7 +20,7 @@
 
 const testRanks = 3
 
-// rankBench is a group of three ranks behind real agents. The test plays the coordinator.
+// rankBench is a group of three ranks behind real agents. The test acts as the coordinator.
 type rankBench struct {
 	g       *WithT
 	group   *fake.LockStep
@@ -211,8 +211,8 @@
 	b.g.Expect(b.group.Idle()).To(BeZero())
 }
 
-// The holder of an old lease orders a hold, which the engine would obey. The agent must
-// refuse it, and must refuse every hold before it knows the fencing floors.
+// The holder of an old lease orders a hold that the engine would execute. The agent must refuse
+// this hold, and every hold before it knows the fencing floors.
 func TestHoldWithStaleFencingNumberIsRefused(t *testing.T) {
 	b := newRankBench(t)
 	hold := func(fence uint64) error {
@@ -253,7 +253,7 @@
 	b.expectRunsWith(b.first)
 }
 
-// An agent is gone when a switch begins, so the coordinator withdraws before the ranks reach
+// An agent is unreachable when a switch begins, so the coordinator withdraws before the ranks reach
 // the hold. No step is lost, and a late copy of the hold is refused.
 func TestWithdrawnSwitchCostsNoStep(t *testing.T) {
 	b := newRankBench(t)
