--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The longest prefix of the host's routes decides. Prefixes end with a slash, so one route's
-// name may begin with another's.
+// Of the routes of a host, the one with the longest matching prefix must be chosen. Prefixes end
+// with a slash, so one route's name may begin with another's.
 func TestRouteHasLongestMatchingPrefix(t *testing.T) {
 	g := NewWithT(t)
 	x := NewIndex(Config{Routes: []Route{
@@ -141,8 +141,8 @@
 	g.Expect(s.ByService(anyService)["s"]).To(HaveLen(1))
 }
 
-// A new entry's snapshot does not contain the removal of a target. A peer that read last
-// before the removal must still learn of it, or it would send to the target for good.
+// A new entry's snapshot does not contain the removal of a target. A peer that read the store
+// before the removal must still learn of it, or it would send requests to the target for ever.
 func TestNewReplicaPropagatesRemovalsBeforeItsStart(t *testing.T) {
 	g := NewWithT(t)
 	peer, newcomer := NewReplica(nil), NewReplica(nil)
