--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -114,8 +114,8 @@
 	g.Expect(p.DialCount()).To(Equal(int64(1)), "the connection was reused")
 }
 
-// A target closes an idle connection. The next request must use a new one: on the old one it
-// would be lost and would seem to have been sent.
+// A target closes an idle connection. The next request must use a new connection: on the closed one
+// it would be lost and would count as sent.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(nc net.Conn, br *bufio.Reader, _ int) bool {
@@ -172,7 +172,7 @@
 			return false
 		}
 		_, _ = io.WriteString(nc, "HTTP/1.1 503 Busy\r\nId: r\r\nContent-Length: 0\r\n\r\n")
-		_, _ = io.Copy(io.Discard, br) // keeps reading, as targets with keep-alive do
+		_, _ = io.Copy(io.Discard, br) // reads the rest of the body, as targets with keep-alive do
 		return false
 	})
 	p := NewPool(s.addr)
@@ -206,7 +206,8 @@
 	g.Expect(failed.MayHaveRun).To(BeTrue())
 }
 
-// The caller has disconnected before anything was sent: nothing may be sent any more.
+// A caller disconnects before anything of its request was sent. The request must not be sent any
+// more.
 func TestNothingIsSentAfterCallerDisconnects(t *testing.T) {
 	g := NewWithT(t)
 	received := make(chan struct{}, 4)
