--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -26,8 +26,8 @@
 	return c
 }
 
-// counter is an extension that counts its records, to detect a record that is folded
-// twice or not at all.
+// counter is an extension that counts its records, so that a record that is folded twice or never
+// is detected.
 type counter struct{ n byte }
 
 func (c *counter) Kind() string               { return "count" }
@@ -60,8 +60,8 @@
 			}
 		}
 	}
-	var held []byte // a saved state that is not yet on the log
-	var upto uint64
+	var savedState []byte // a saved state that is not yet on the log
+	var savedOffset uint64
 	for i := range rapid.IntRange(1, 25).Draw(t, "steps") {
 		read()
 		id := fmt.Sprint("c", i)
@@ -80,20 +80,20 @@
 			if len(log) > 0 {
 				log = append(log, log[rapid.IntRange(0, len(log)-1).Draw(t, "double")])
 			}
-		case 4: // in parts, some lost or duplicated
+		case 4: // a change in parts, some of them lost or duplicated
 			log = append(log, parts(t, changeTo(id, version, old, next))...)
 		case 7:
 			raw, _ := NewRecord("count", &Part{})
 			log = append(log, raw)
 		case 5:
 			var err error
-			if held, err = reader.Save(); err != nil {
+			if savedState, err = reader.Save(); err != nil {
 				t.Fatal(err)
 			}
-			upto = reader.Next()
+			savedOffset = reader.Next()
 		case 6:
-			if held != nil {
-				records, err := SnapshotRecords(id, held, upto)
+			if savedState != nil {
+				records, err := SnapshotRecords(id, savedState, savedOffset)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -121,8 +121,8 @@
 	return out
 }
 
-// feed folds the log as a reader receives it: in pages that overlap records already
-// folded, from the first offset that the log still holds.
+// feed folds the log as a reader receives it: from the first offset that the log still contains, in
+// pages that repeat some records already folded.
 func feed(t *rapid.T, f *Fold, log [][]byte, first uint64) {
 	version := uint64(0)
 	for f.Next() < uint64(len(log)) {
@@ -160,7 +160,7 @@
 		}
 		first := uint64(rapid.IntRange(0, len(log)).Draw(t, "first"))
 		reader := NewFold(new(counter))
-		if rapid.Bool().Draw(t, "slow") { // a reader whose next records were trimmed
+		if rapid.Bool().Draw(t, "slow") { // the next records of the reader have been trimmed
 			for o := uint64(0); o < first/2; o++ {
 				if err := reader.Apply(o, log[o]); err != nil {
 					t.Fatal(err)
@@ -184,8 +184,8 @@
 	})
 }
 
-// A peer that was paused since version 1 sends its state to a reader at version 2.
-// Adopting it would bring an old policy back into force.
+// A peer that was paused since version 1 sends its state to a reader at version 2. If the reader
+// adopted this state, an old policy would be in force again.
 func TestRestoreIgnoresOlderState(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
