--- a/wire/malformed_test.go
+++ b/wire/malformed_test.go
@@ -131,8 +131,8 @@
 	g.Expect(result.From(err).Code).To(Equal(result.WireSchema))
 }
 
-// A peer opens more streams than MaxStreams. The excess stream must be refused as not
-// run, and the others must stay open.
+// A peer opens more streams than MaxStreams. The excess stream must be refused as not run, and the
+// others must stay open.
 func TestStreamsBeyondTheLimitAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	a, b := net.Pipe()
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -91,8 +91,8 @@
 	g.Expect(result.From(err).Code).To(Equal(result.EngineLost))
 }
 
-// The receiver closes the stream before the end of the response. The sender, blocked
-// for credit that will never arrive, must be cancelled.
+// The receiver closes the stream before the end of the response. The sender, which waits for
+// flow-control credit that will never arrive, must be cancelled.
 func TestClosingAStreamCancelsTheBlockedSender(t *testing.T) {
 	g := NewWithT(t)
 	stopped := make(chan error, 1)
