--- a/outside/backend_test.go
+++ b/outside/backend_test.go
@@ -65,8 +65,8 @@
 	return string(text), err
 }
 
-// The service accepts a request and closes the connection without a response. The client
-// of fasthttp would resend it, on a reused connection even a POST.
+// The service accepts a request and closes the connection without a response. The client of
+// fasthttp would send the request again, on a reused connection even a POST.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	g := NewWithT(t)
 	addr, requests := rawHTTPServer(t, func(n int64) string {
@@ -92,8 +92,8 @@
 	}
 }
 
-// The service closes an idle connection, for example in a restart. A request sent on it
-// would count as possibly run, so the backend must open a new connection.
+// The service closes an idle connection, for example in a restart. A request sent on the closed
+// connection would count as possibly run, so the backend must open a new one.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{}, 1)
--- a/outside/vmlist_test.go
+++ b/outside/vmlist_test.go
@@ -55,7 +55,7 @@
 }
 
 // Entries request the list twice a second; at the planned size, whole lists take a hundred times the
-// control traffic budget. An unchanged list must cost few bytes, and a change must show at once.
+// control traffic budget. An unchanged list must cost few bytes, and a change must be received at once.
 func TestUnchangedVMListIsNotResent(t *testing.T) {
 	g := NewWithT(t)
 	vms := fake.NewVMList(0)
