--- a/outcomes/cases_test.go
+++ b/outcomes/cases_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// homeTarget returns the home of a key of team-0.
+// homeTarget returns the home target of a key of team-0, the only target that may run the key.
 func homeTarget(w *World, key string, spare bool) string {
 	names := []string{"oven-api-1", "oven-api-2", "oven-api-3"}
 	if spare {
@@ -44,8 +44,8 @@
 	return names[route.HomeIndex(route.DedupKey("team-0", ServicePlain, key), names)]
 }
 
-// keyWithHome returns a key whose home is target. moves says whether adding the spare
-// target must change its home.
+// keyWithHome returns a key whose home target is target. moves states whether the key must get
+// another home target when the spare target is added.
 func keyWithHome(w *World, target string, moves bool) string {
 	for n := 'a'; ; n++ {
 		key := "key-" + string(n)
@@ -65,8 +65,8 @@
 	return n
 }
 
-// A caller sends the same key through two entries concurrently. Both entries must choose
-// the same home, and the second request must attach to the run of the first.
+// A caller sends the same key through two entries concurrently. Both entries must choose the same
+// home target, and the second request must attach to the run of the first.
 func TestSameKeyThroughTwoEntriesRunsOnce(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		codes := make(chan result.Code, 2)
@@ -92,7 +92,7 @@
 	})
 }
 
-// An entry dies after dispatch, and the caller repeats through another entry. The repeat
+// An entry dies after dispatch, and the caller repeats through another entry. The repeated request
 // must attach to the run, which continues at the home target.
 func TestRepeatAfterEntryCrashDoesNotRunTwice(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
@@ -107,10 +107,10 @@
 	})
 }
 
-// An agent loses its deduplication table in a restart, and the caller repeats a key. The entry
-// that dispatched the key must report it, and the repeat must end with "may have run".
+// An agent loses its deduplication table in a restart, and the caller repeats a key. The entry that
+// dispatched the key must report it to the agent, and the repeated request must end with "may have run".
 func TestRestartedAgentRefusesDispatchedKeys(t *testing.T) {
-	for _, newAddress := range []bool{false, true} { // on the same VM, or on a new one
+	for _, newAddress := range []bool{false, true} { // the agent restarts on the same VM or on a new one
 		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 			home := homeTarget(w, "k", false)
 			g.Expect(w.send("team-0", 0, plainJob("k"), 0).Code).To(Equal(result.OK))
@@ -123,8 +123,8 @@
 	}
 }
 
-// A request frame is delayed until after a restart of the agent, and its sender has given
-// up. The frame carries the earlier incarnation and must not run.
+// A request frame arrives only after a restart of the agent and after its sender has timed out. The
+// frame carries the agent's earlier incarnation, so the request must not run.
 func TestDelayedFrameForEarlierIncarnationDoesNotRun(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		g.Expect(result.From(lateFrame(g, w)).Code).To(Equal(result.StaleAgent))
@@ -186,8 +186,8 @@
 	})
 }
 
-// A configuration moves the home of a key between two attempts. The entry that dispatched
-// the key must report it to the new home. An unused key must run there.
+// A configuration changes the home target of a key between two attempts. The entry that dispatched
+// the key must report it to the new home target. An unused key must run there.
 func TestKeyWithMovedHomeDoesNotRunTwice(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		key := keyWithHome(w, "oven-api-2", true)
@@ -203,8 +203,8 @@
 	})
 }
 
-// A paused entry dispatches a key under an old version while others use the new one. The
-// key must not run at both its old and its new home.
+// A paused entry dispatches a key under an old version while others use the new one. The key must
+// not run at both its old and its new home target.
 func TestStaleEntryDoesNotRunKeyAtOldHome(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		key := keyWithHome(w, "oven-api-2", true)
@@ -221,8 +221,8 @@
 	})
 }
 
-// A target is lost, and a configuration moves its keys to a new home. The new home must answer
-// keys that the lost target ran with "may have run", and must run unused keys.
+// A target is lost, and a configuration moves its keys to a new home target. This target must
+// answer keys that the lost one ran with "may have run", and must run unused keys.
 func TestKeysOfLostTargetMoveToNewHome(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		g.Expect(w.applyConfig(true)).To(Succeed())
@@ -246,8 +246,8 @@
 	})
 }
 
-// The entry that dispatched a key and the agent die within one deduplication window. All unknown
-// keys must get "may have run", unless the entry shut down and left its dispatched keys on the log.
+// The entry that dispatched a key and the agent die within one deduplication window. All unknown keys
+// must get "may have run", unless the entry wrote its dispatched keys to the log in a shutdown.
 func TestUnknownKeysMayHaveRunAfterLossOfEntryAndAgent(t *testing.T) {
 	for _, graceful := range []bool{false, true} {
 		runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
@@ -289,13 +289,13 @@
 		g.Expect(w.send("team-0", 0, plainJob(first), 0).Code).To(Equal(result.OK))
 		g.Expect(w.send("team-0", 0, plainJob(second), 0).Code).To(Equal(result.DedupFull))
 		g.Expect(w.send("team-0", 0, plainJob(first), 1).Code).To(Equal(result.OK))
-		time.Sleep(11 * time.Minute) // the window passes
+		time.Sleep(11 * time.Minute) // longer than the deduplication window
 		g.Expect(w.send("team-0", 0, plainJob(second), 1).Code).To(Equal(result.OK))
 	})
 }
 
-// All agents and entries are drained and replaced in turn under load. Requests in flight
-// must complete; callers do not use leaving entries.
+// All agents and entries are drained and replaced in turn under load. Requests in flight must
+// complete. Callers send no requests to leaving entries.
 func TestRollingReplacementInterruptsNoRequest(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		until := time.Now().Add(20 * time.Second)
@@ -341,8 +341,8 @@
 	}
 }
 
-// The VM list marks a target as leaving, and its agent is not notified. New requests must
-// stop within two seconds; a repeat of a completed key must still get its answer.
+// The VM list marks a target as leaving, and its agent is not notified. New requests must stop
+// within two seconds; a repeated request with a completed key must still get its answer.
 func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	runInWorld(t, safeguard.Off{}, func(g *WithT, w *World) {
 		leaving := homeTarget(w, "k", false)
--- a/outcomes/crash_test.go
+++ b/outcomes/crash_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A request crashes every engine that runs it. The requests on the first crashed engine are
-// suspects and run alone. After the second crash only the crashing request may be refused.
+// A request crashes every engine that runs it. Requests on the first crashed engine become suspects
+// and run alone. After the second crash only the crashing request may be refused.
 func TestCrashingRequestTakesDownAtMostTwoTargets(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/outcomes/safeguards_test.go
+++ b/outcomes/safeguards_test.go
@@ -12,8 +12,8 @@
 	"github.com/heatherrail/heatherrail/internal/safeguard"
 )
 
-// A checker that misses violations would make the other tests pass vacuously. With one
-// safeguard off, its scenario must violate a rule; with the safeguard on, none.
+// A checker that misses violations would make the other tests pass vacuously. With one safeguard
+// off, its scenario must violate a rule; with the safeguard on, it must violate no rule.
 func TestCheckerDetectsEachDisabledSafeguard(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -88,16 +88,16 @@
 	w.send("team-0", 1, plainJob("k"), 1)
 }
 
-// deliverFrameAfterRestart: a key ran before a restart of the agent, and its frame
-// arrives again after it.
+// deliverFrameAfterRestart records an execution of a key, and then delivers a request frame of the
+// key that carries an earlier incarnation of the agent.
 func deliverFrameAfterRestart(w *World) {
 	g := NewWithT(panicT{})
 	w.History.addExecution(&Execution{Key: "late", ID: "first"})
 	_ = lateFrame(g, w)
 }
 
-// runOldAndNewAgent: a VM is replaced while the old one keeps running, and an entry
-// starts with a stale VM list.
+// runOldAndNewAgent replaces a VM while the old one keeps running, and starts an entry with a stale
+// VM list.
 func runOldAndNewAgent(w *World) {
 	home := homeTarget(w, "k", false)
 	old := w.currentAgent(home)
@@ -145,7 +145,7 @@
 func (panicT) Helper()                   {}
 func (panicT) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
-// loseAgentsAfterDispatch: a request runs, its response is lost with the agents, and
+// loseAgentsAfterDispatch stops all agents while a request runs, so that its response is lost and
 // its retry finds no target.
 func loseAgentsAfterDispatch(w *World) {
 	for n := range 12 {
