--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -25,8 +25,8 @@
 	return soak.Options{Program: program, Seed: seed, Duration: 12 * time.Second, Entries: 3, Targets: 3, Callers: 12, Out: out}
 }
 
-// Entries are killed, the store fails and targets drop responses. No non-idempotent request
-// runs twice, no refused one runs, responses are right and complete, and service recovers.
+// Entries are killed, the store fails and targets drop responses. No non-idempotent request may run
+// twice, no refused request may run, responses must be correct and complete, and service must recover.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
