--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -47,8 +47,8 @@
 	g.Expect(out.String()).To(ContainSubstring("entries written in all: 1"))
 }
 
-// The description that --keep prints lists every address and key, and requests to its
-// control address change the running system.
+// The description that --keep prints must list every address and key. Requests to the control
+// address in it must change the running system.
 func TestDescriptionListsAllAddressesAndControlChangesTheSystem(t *testing.T) {
 	g := NewWithT(t)
 	f, ctx := startFleet(t)
--- a/demo/hosted/show_test.go
+++ b/demo/hosted/show_test.go
@@ -12,8 +12,8 @@
 	"github.com/heatherrail/heatherrail/demo/hosted"
 )
 
-// Guards against incomplete streams, log entries that run twice and passes that use two maps
-// while demand shifts, an entry crashes and a configuration adds a route.
+// Guards against incomplete streams, log entries that are written twice and passes that use two
+// maps, while demand shifts, an entry crashes and a configuration adds a route.
 func TestTheWholeSystemInOneProcess(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
--- a/demo/ranks_test.go
+++ b/demo/ranks_test.go
@@ -93,8 +93,8 @@
 	return b.String()
 }
 
-// A rank's engine restarts without its map and step. Guards against the group not continuing,
-// and against the rank running with its initial map after the others have switched.
+// A rank's engine restarts without its map and step. Guards against a group that does not continue,
+// and against a rank that runs with its initial map after the others have switched.
 func TestRestartedRankRejoinsWithTheCurrentMap(t *testing.T) {
 	g := NewWithT(t)
 	f, group := rankFleet(t)
