--- a/scenarios/groups_test.go
+++ b/scenarios/groups_test.go
@@ -42,8 +42,8 @@
 	return state, nil
 }
 
-// popular implements the command "popular GROUP EXPERT": it gives the expert of that index in each
-// layer ten times the tokens of the others, and records the current map for "switched".
+// popular implements the command "popular GROUP EXPERT": it gives the expert with that index in
+// each layer ten times the tokens of other experts, and records the current map for "switched".
 func (sc *scenario) popular(args []string) (string, error) {
 	if len(args) != 2 {
 		return "", errors.New("want: popular GROUP EXPERT")
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -75,9 +75,8 @@
 	return sc.entries[rng.IntN(len(sc.entries))]
 }
 
-// replace implements the command "replace NAME…": it replaces VMs one after the other, as operators
-// do. The new VM is ready before callers stop using the old entry, and before the old entry or agent
-// is shut down.
+// replace implements the command "replace NAME…": it replaces VMs in sequence, as operators do. The
+// new VM is ready before callers stop using the old entry and before the old process is shut down.
 func (sc *scenario) replace(names []string) (string, error) {
 	for _, name := range names {
 		if err := sc.replaceOne(name); err != nil {
--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -106,8 +106,8 @@
 	return "", nil
 }
 
-// repeat implements the command "repeat COUNT": it sends the latest request COUNT times again,
-// one after the other, through the entries in turn, and prints the outcomes.
+// repeat implements the command "repeat COUNT": it sends the latest request again COUNT times in
+// sequence, through the entries in turn, and prints the outcomes.
 func (sc *scenario) repeat(args []string) (string, error) {
 	count, err := strconv.Atoi(args[0])
 	if err != nil {
