--- a/bench/group/group_test.go
+++ b/bench/group/group_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Under overload and demand shifts, long passes make nearly all streams late or abandoned if there is
-// no queue. With it, only rejections after a wait lower on-time streams below those at full load.
+// Without an admission queue, long passes under overload and demand shifts make nearly all streams late
+// or abandoned. With it, only rejections after a wait reduce on-time streams below those at full load.
 func TestTheAdmissionQueueKeepsTheSupportedLoadOnTimeUnderOverload(t *testing.T) {
 	for s := range Shapes {
 		g := NewWithT(t)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against a loss of worth near capacity with 46 entries, whose load reports are up to 0.3 s
-// old. The oracle is one entry that knows the current loads.
+// Guards against a loss of Figures.Worth near capacity with 46 entries, whose load reports are up
+// to 0.3 s old. The oracle is one entry that knows the current loads.
 func TestManyEntriesComeCloseToTheOracle(t *testing.T) {
 	g := NewWithT(t)
 	shape := &Shapes[1]
@@ -80,8 +80,8 @@
 	}
 }
 
-// Guards against entries that take targets for empty and overload them while the leader, frozen
-// for four seconds during a demand shift, sends no load reports.
+// Guards against entries that consider targets empty and overload them while the leader, frozen for
+// four seconds during a demand shift, sends no load reports.
 func TestPlacementBeatsLeastOutstandingWhileTheLeaderIsFrozen(t *testing.T) {
 	g := NewWithT(t)
 	for s := range Shapes {
--- a/bench/place/place_test.go
+++ b/bench/place/place_test.go
@@ -9,8 +9,8 @@
 // sharedSuite is shared by the tests so that the capacity is measured once.
 var sharedSuite = &suite{seed: 3, capacities: make(map[string]float64)}
 
-// Guards against late first tokens at 0.9 of capacity with half of the load reports lost and the
-// others a second old. p99 is at most 0.7 of least-outstanding; the goal with all reports is 0.6.
+// Guards against late first tokens at 0.9 of capacity with half of the load reports lost, the others a
+// second old. The p99 may be 0.7 of that of least-outstanding; the goal with all reports is 0.6.
 func TestFirstTokensBeatLeastOutstandingWithLostAndStaleReports(t *testing.T) {
 	g := NewWithT(t)
 	b := sharedSuite
--- a/callers/conn_test.go
+++ b/callers/conn_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// One address opens idle connections. It gets at most half of all connections, other addresses
-// are still served, and a connection that it closes can be replaced.
+// One address opens many idle connections. It must get at most half of all connections, other
+// addresses must still be served, and a connection that it closes may be replaced.
 func TestOneAddressCannotUseAllConnections(t *testing.T) {
 	g := NewWithT(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/heatherrail/explain_test.go
+++ b/cmd/heatherrail/explain_test.go
@@ -19,7 +19,7 @@
 func (l vmList) List(context.Context) ([]outside.VM, error) { return l, nil }
 
 // The first entry is unreachable, the second has no record of the request and the third has a
-// decision. Without a team key no entry is queried.
+// decision. The decision must be printed. Without a team key no entry may be queried.
 func TestExplainReturnsTheFirstDecisionThatAnEntryHolds(t *testing.T) {
 	g := NewWithT(t)
 	queries := 0
--- a/logging/async_test.go
+++ b/logging/async_test.go
@@ -41,8 +41,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// The log reader has stopped reading. Writes must not block, and once the reader goes
-// on, the log must state how many lines were dropped.
+// The log reader has stopped reading. Writes must not block, and once the reader continues, the log
+// must state how many lines were dropped.
 func TestBlockedReaderDropsLinesWithoutBlockingWrites(t *testing.T) {
 	g := NewWithT(t)
 	w := &blockedWriter{release: make(chan struct{})}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,7 +27,7 @@
 	return "[agent]\ntarget = t\ndata-centre = a\nlisten = " + listen + "\nbackend = 127.0.0.1:3\nkind = engine\n" + platform + rest
 }
 
-// Settings have a listen address off loopback without keys, unusable keys or invalid
+// Settings have a listen address other than loopback without TLS keys, unusable keys or invalid
 // sections. Loading them must fail with an error that names the fault.
 func TestLoadRejectsUnsafeAddressesAndBadKeys(t *testing.T) {
 	g := NewWithT(t)
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -48,8 +48,8 @@
 	g.Expect(b.String()).To(ContainSubstring("no line of request r99"))
 }
 
-// Log lines may be truncated, mixed up or forged. Parse returns an event with a name
-// or an error.
+// Log lines may be truncated, mixed up or forged. Parse must return an event with a name, or an
+// error.
 func FuzzParse(f *testing.F) {
 	for line := range strings.Lines(recorded) {
 		f.Add(line)
@@ -75,8 +75,8 @@
 front-1 time=2026-04-20T08:45:42.300Z level=info event=refused request=a7 kind=once code=301 reason=target_lost detail="i-5: EOF" ms=53
 `
 
-// Requests are late, refused or broken off for different reasons. Cause must name the
-// reason from the log lines, and none for a request that was answered on time.
+// Requests are late, refused or lose their connection for different reasons. Cause must name the
+// reason given by the log lines, and no reason for a request that was answered on time.
 func TestCauseNamesReasonOfFailureOrDelay(t *testing.T) {
 	g := NewWithT(t)
 	for id, cause := range map[string]string{
