--- a/entry/slowcaller_test.go
+++ b/entry/slowcaller_test.go
@@ -120,8 +120,8 @@
 		defer slow.Close()
 		synctest.Wait()
 		time.Sleep(time.Minute)
-		producedForSlow := backend.produced.Load()
-		g.Expect(producedForSlow).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
+		slowStreamBytes := backend.produced.Load()
+		g.Expect(slowStreamBytes).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
 
 		fast := startCall(g, e, "/short")
 		defer fast.Close()
@@ -135,7 +135,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		g.Expect(got).To(Equal(100 << 10))
-		g.Expect(backend.produced.Load()).To(Equal(producedForSlow))
+		g.Expect(backend.produced.Load()).To(Equal(slowStreamBytes))
 
 		read := 0
 		for read < 4*wire.DefaultWindow {
@@ -144,7 +144,7 @@
 			read += len(p)
 		}
 		time.Sleep(time.Second)
-		g.Expect(backend.produced.Load()).To(BeNumerically(">", producedForSlow))
+		g.Expect(backend.produced.Load()).To(BeNumerically(">", slowStreamBytes))
 		g.Expect(backend.produced.Load() - int64(read)).To(BeNumerically("<=", wire.DefaultWindow+(16<<10)))
 	})
 }
--- a/expert/balance_test.go
+++ b/expert/balance_test.go
@@ -48,9 +48,9 @@
 	copies := make([]int, experts)
 	for r, list := range after {
 		g.Expect(len(list)).To(BeNumerically("<=", maxExperts))
-		hadBefore := make(map[uint16]bool)
+		previousExperts := make(map[uint16]bool)
 		for _, e := range before[r] {
-			hadBefore[e] = true
+			previousExperts[e] = true
 		}
 		added := 0
 		hasExpert := make(map[uint16]bool)
@@ -58,7 +58,7 @@
 			copies[e]++
 			g.Expect(hasExpert[e]).To(BeFalse(), "rank %d holds expert %d twice", r, e)
 			hasExpert[e] = true
-			if !hadBefore[e] {
+			if !previousExperts[e] {
 				added++
 			}
 		}
--- a/expert/switch_test.go
+++ b/expert/switch_test.go
@@ -52,13 +52,13 @@
 // The search must detect a missing safeguard. Each case switches one off and must end with two maps in
 // a step or with a group that cannot advance.
 func TestSwitchModelDetectsBrokenVariants(t *testing.T) {
-	agentDiesOnly := agentDies
-	agentDiesOnly.noWithdrawals = true
+	agentDiesNoWithdrawals := agentDies
+	agentDiesNoWithdrawals.noWithdrawals = true
 	small := bounds{steps: 1, holdAt: []uint64{0, 0}, wantedMaps: []MapID{2, 1}}
 	cases := map[variant]bounds{
 		ignorePromise:       small,
-		ignoreIncarnation:   agentDiesOnly,
-		skipConfirm:         agentDiesOnly,
+		ignoreIncarnation:   agentDiesNoWithdrawals,
+		skipConfirm:         agentDiesNoWithdrawals,
 		ignoreMissing:       small,
 		forgetEarlierSteps:  small,
 		ignorePlanned:       duel,
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -108,8 +108,8 @@
 	before := imbalance(layouts, shifted, nil, m)
 	g.Expect(before).To(And(BeNumerically(">", 1.15), BeNumerically("<", largeImbalance)), "the shift is small")
 	g.Expect(busy.best(layouts, shifted).copies).To(BeNumerically(">", 0))
-	calm := planner{model: m, urgency: 0.4, switchCosts: newSwitchCosts(), meanStreams: busyStreams}
-	g.Expect(calm.best(layouts, shifted).copies).To(BeZero())
+	lowUrgency := planner{model: m, urgency: 0.4, switchCosts: newSwitchCosts(), meanStreams: busyStreams}
+	g.Expect(lowUrgency.best(layouts, shifted).copies).To(BeZero())
 }
 
 // A group with hardly any streams stays within its objective on any map, so copying weights
--- a/placing/idleconn_test.go
+++ b/placing/idleconn_test.go
@@ -45,7 +45,7 @@
 	return f
 }
 
-func (f *connFleet) play() {
+func (f *connFleet) run() {
 	now := time.Unix(1000, 0)
 	for range connRounds {
 		now = now.Add(requestInterval)
@@ -74,7 +74,7 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			g := NewWithT(t)
 			f := newConnFleet(size.entries, size.targets)
-			f.play()
+			f.run()
 			mean := float64(f.sent) / float64(len(f.targets))
 			for _, target := range f.targets {
 				g.Expect(float64(f.sentPerTarget[target.Run()])).To(BeNumerically("<", 2.5*mean))
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -38,9 +38,9 @@
 			prefill := m.MeanPromptTokens / m.PrefillRate / m.MeanOutputTokens * float64(time.Second)
 			timePerStream := (float64(m.StepTimePerStream) + prefill) * (0.15 + 0.85*imbalance)
 			pass := time.Duration(float64(m.StepsPerPass) * (float64(m.BaseStepTime)*slowdown + streams*timePerStream) * copySlowdown)
-			oneStreamMore := time.Duration(float64(m.StepsPerPass) * timePerStream * copySlowdown)
+			extraStreamTime := time.Duration(float64(m.StepsPerPass) * timePerStream * copySlowdown)
 			g.Expect(pass).To(BeNumerically("<=", gapObjective+time.Microsecond), "imbalance %.1f, slowdown %.0f: %.1f streams", imbalance, slowdown, streams)
-			g.Expect(streams == float64(m.Slots) || pass+oneStreamMore > gapObjective).To(BeTrue(), "imbalance %.1f, slowdown %.0f: one stream more than %.1f fits", imbalance, slowdown, streams)
+			g.Expect(streams == float64(m.Slots) || pass+extraStreamTime > gapObjective).To(BeTrue(), "imbalance %.1f, slowdown %.0f: one stream more than %.1f fits", imbalance, slowdown, streams)
 		}
 	}
 	g.Expect(streamLimit(m, gapObjective, 1, 1)).To(Equal(12.0))
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -145,10 +145,10 @@
 // before the removal must still learn of it, or it would send requests to the target for ever.
 func TestNewReplicaPropagatesRemovalsBeforeItsStart(t *testing.T) {
 	g := NewWithT(t)
-	peer, newcomer := NewReplica(nil), NewReplica(nil)
+	peer, startedLater := NewReplica(nil), NewReplica(nil)
 	peer.ApplySnapshot([]Record{{Key: "gone", Value: []byte("x"), Offset: 5}, {Key: "stays", Value: []byte("x"), Offset: 6}}, 7)
-	newcomer.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}, {Key: "new", Value: []byte("x"), Offset: 8}}, 9)
-	changes := peer.ApplyUpdate(newcomer.UpdateSince(peer.NextOffset()))
+	startedLater.ApplySnapshot([]Record{{Key: "stays", Value: []byte("x"), Offset: 6}, {Key: "new", Value: []byte("x"), Offset: 8}}, 9)
+	changes := peer.ApplyUpdate(startedLater.UpdateSince(peer.NextOffset()))
 	g.Expect(peer.NextOffset()).To(Equal(uint64(9)))
 	g.Expect(signedKeys(changes)).To(ConsistOf("-gone", "+new"))
 }
